--- /dev/null
+++ b/tests/sim/history_digest.h
@@ -0,0 +1,40 @@
+// A digest of what could be seen of a world from outside: every request, answer, frame and record
+// in order, with its virtual time. Two runs that behaved alike have the same digest.
+#pragma once
+
+#include <boost/crc.hpp>
+#include <cstdint>
+#include <string_view>
+
+#include "sim/checker.h"
+
+namespace fawnwheel::sim {
+
+/// Accumulates the observable events of one simulated run into a 64-bit CRC (ECMA-182).
+class HistoryDigest {
+  public:
+    /// Adds one event. `kind` says what it is; the parts are its source, its target and its bytes.
+    void add(Time when, std::string_view kind, std::initializer_list<std::string_view> parts) {
+        const double seconds = when.count();
+        crc_.process_bytes(&seconds, sizeof seconds);
+        addText(kind);
+        for (const auto part : parts) addText(part);
+        ++events_;
+    }
+
+    [[nodiscard]] std::uint64_t value() const { return crc_.checksum(); }
+    [[nodiscard]] std::uint64_t events() const { return events_; }
+
+  private:
+    // The length keeps neighbouring texts apart.
+    void addText(std::string_view text) {
+        const std::uint64_t size = text.size();
+        crc_.process_bytes(&size, sizeof size);
+        crc_.process_bytes(text.data(), text.size());
+    }
+
+    boost::crc_optimal<64, 0x42F0E1EBA9EA3693ULL, 0, 0, false, false> crc_;
+    std::uint64_t events_ = 0;
+};
+
+}  // namespace fawnwheel::sim
--- a/tests/sim/scenario_main.cpp
+++ b/tests/sim/scenario_main.cpp
@@ -1,5 +1,7 @@
-// Runs one scenario file: `scenario_runner FILE [SEEDS | FROM-TO]`. The words of the files are
-// described in tests/scenarios/README.md.
+// Runs one scenario file: `scenario_runner FILE [SEEDS | FROM-TO] [MODE]`. The words of the files
+// are described in tests/scenarios/README.md. Modes: `costs` prints what each seed cost, `digest` a
+// digest of each seed's history, `repeat` plays each seed twice and fails if the digests differ,
+// any other word prints the controllers' log.
 #include <spdlog/fmt/fmt.h>
 #include <spdlog/spdlog.h>
 
@@ -103,6 +105,7 @@
 
     // Of the last run.
     [[nodiscard]] const sim::Costs& costs() const { return costs_; }
+    [[nodiscard]] const sim::HistoryDigest& history() const { return history_; }
 
     // The failures; none: passed.
     std::vector<std::string> run(std::uint64_t seed) {
@@ -125,6 +128,7 @@
         }
         world.run(end);
         costs_ = world.costs();
+        history_ = world.history();
         auto failures = world.checker().breaches();
         for (const auto& line : lines_)
             if (line.words.front() == "expect") expect(world, line, failures);
@@ -335,6 +339,7 @@
 
     std::vector<Line> lines_;
     sim::Costs costs_;
+    sim::HistoryDigest history_;
 };
 
 void print(std::uint64_t seed, const sim::Costs& costs) {
@@ -349,12 +354,27 @@
         micros(steps.total) / 1000, micros(steps.longest) / 1000);
 }
 
+std::string textOf(const sim::HistoryDigest& history) {
+    return fmt::format("{:016x} of {} events", history.value(), history.events());
+}
+
+// Whether the seed, played once more, has the same history as its last run.
+bool repeats(Scenario& scenario, std::uint64_t seed) {
+    const auto first = textOf(scenario.history());
+    scenario.run(seed);
+    const auto second = textOf(scenario.history());
+    if (first == second) return true;
+    std::cout << fmt::format("seed {}: digest {}, and {} when played again\n", seed, first, second);
+    return false;
+}
+
 }  // namespace
 
 int main(int argc, char** argv) {
     if (argc < 2) return 2;
-    const bool costs = argc > 3 && std::string(argv[3]) == "costs";
-    spdlog::set_level(argc > 3 && !costs ? spdlog::level::debug : spdlog::level::off);
+    const std::string mode = argc > 3 ? argv[3] : "";
+    const bool quiet = mode.empty() || mode == "costs" || mode == "digest" || mode == "repeat";
+    spdlog::set_level(!quiet ? spdlog::level::debug : spdlog::level::off);
     spdlog::set_pattern("%L %v");
     try {
         Scenario scenario(argv[1]);
@@ -367,7 +387,10 @@
         bool passed = true;
         for (std::uint64_t seed = first; seed <= seeds; ++seed) {
             const auto failures = scenario.run(seed);
-            if (costs) print(seed, scenario.costs());
+            if (mode == "costs") print(seed, scenario.costs());
+            if (mode == "digest")
+                std::cout << fmt::format("seed {}: digest {}\n", seed, textOf(scenario.history()));
+            if (mode == "repeat") passed = repeats(scenario, seed) && passed;
             for (const auto& failure : failures) {
                 std::cout << "seed " << seed << ": " << failure << '\n';
                 passed = false;
--- a/tests/sim/world.cpp
+++ b/tests/sim/world.cpp
@@ -163,6 +163,7 @@
 }
 
 void World::sendFrame(const std::string& from, const std::string& peer, std::string payload) {
+    history_.add(now_, "frame", {from, peer, payload});
     const auto chance = [this] { return std::uniform_real_distribution<>(0, 1)(rng_); };
     const auto hand = [this, peer, payload = std::move(payload)] {
         for (const auto& node : nodes_)
@@ -176,6 +177,7 @@
 
 void World::request(const std::string& from, const std::string& address, HttpRequest request,
                     Time timeout, HttpDone done) {
+    history_.add(now_, "request", {from, address, request.method, request.path, request.body});
     auto open = std::make_shared<bool>(true);
     auto finish = [open, done = std::move(done)](std::optional<HttpResponse> response) {
         if (!*open) return;
@@ -191,6 +193,8 @@
            });
     deliver(from, address, [this, from, address, request = std::move(request), finish] {
         serve(from, address, request, [this, from, address, finish](HttpResponse response) {
+            history_.add(now_, "response",
+                         {address, from, std::to_string(response.status), response.body});
             if (std::uniform_real_distribution<>(0, 1)(rng_) < lostAnswers_) return;
             deliver(address, from, [this, finish, given = now_, response = std::move(response)] {
                 givenAt_ = given;
--- a/tests/sim/world.h
+++ b/tests/sim/world.h
@@ -10,6 +10,7 @@
 
 #include "coordination/controller.h"
 #include "sim/checker.h"
+#include "sim/history_digest.h"
 
 namespace fawnwheel::sim {
 
@@ -211,6 +212,8 @@
     [[nodiscard]] std::size_t machineMoves() const { return moveFigures_.moves; }
     [[nodiscard]] const MoveFigures& moveFigures() const { return moveFigures_; }
     [[nodiscard]] Time now() const { return now_; }
+    // Of all that could be seen so far.
+    [[nodiscard]] const HistoryDigest& history() const { return history_; }
     [[nodiscard]] int nodeCount() const { return spec_.nodes; }
 
   private:
@@ -312,6 +315,7 @@
     std::mt19937_64 rng_;
     Checker checker_;
     Costs costs_;
+    HistoryDigest history_;
     Time now_{};
     std::multimap<Time, std::function<void()>> queue_;
     std::vector<std::unique_ptr<Node>> nodes_;
--- a/tests/sim/world_state.cpp
+++ b/tests/sim/world_state.cpp
@@ -47,6 +47,7 @@
 
 void World::changed(const std::string& key, bool deleted) {
     log_.emplace_back(revision_, key, deleted ? std::nullopt : std::optional(records_[key].value));
+    history_.add(now_, "record", {key, deleted ? std::string() : records_[key].value.dump()});
     if (log_.size() > keptChanges) log_.pop_front();
 }
 
