--- a/src/app/settings.h
+++ b/src/app/settings.h
@@ -73,8 +73,8 @@
     double memoryMb = 128;
     std::size_t sockets = 1000;
 
-    // All nodes in one order that every node agrees on; a part has the number of the node that
-    // it belongs to by nature.
+    // All nodes in one order that every node agrees on; a partition has the number of the node that
+    // it belongs to by preference.
     [[nodiscard]] std::vector<std::string> nodeNames() const;
     [[nodiscard]] std::string zoneOf(const std::string& node) const;
 };
@@ -89,7 +89,7 @@
     double low = 0.5;            // of averaged tasks without a place: below it nothing is asked
     double high = 8;             // from here on all that is lacking is asked
     double weight = 0.3;         // of the latest sample in the average
-    Seconds hold{30};            // least time that a part keeps a machine
+    Seconds minTenure{30};       // least time that a partition keeps a machine
     double movesPerMinute = 60;  // of each controller
     double shareOfWrites = 0.1;  // of the measured write rate
     bool busyMachines = true;    // also machines that run tasks
--- a/src/bookkeeping/cancellations.cpp
+++ b/src/bookkeeping/cancellations.cpp
@@ -4,7 +4,7 @@
 
 namespace fawnwheel::bookkeeping {
 
-bool CancellationLog::note(const std::string& job, std::uint64_t revision) {
+bool CancellationLog::append(const std::string& job, std::uint64_t revision) {
     if (!known_.insert(job).second) return false;
     entries_.push_back({job, revision});
     if (entries_.size() > mostEntries) {
--- a/src/bookkeeping/cancellations.h
+++ b/src/bookkeeping/cancellations.h
@@ -19,7 +19,7 @@
     static constexpr std::uint64_t unknownRevision = std::numeric_limits<std::uint64_t>::max();
 
     // False if it was known already.
-    bool note(const std::string& job, std::uint64_t revision);
+    bool append(const std::string& job, std::uint64_t revision);
     [[nodiscard]] bool contains(const std::string& job) const { return known_.contains(job); }
 
     // The position after the last entry.
--- a/src/bookkeeping/dependencies.cpp
+++ b/src/bookkeeping/dependencies.cpp
@@ -36,20 +36,20 @@
         std::erase(found->second, id);
         if (!found->second.empty()) continue;
         successors_.erase(found);
-        finals_.erase(predecessor);
+        terminals_.erase(predecessor);
         unresolved_.erase(predecessor);
     }
-    if (successors_.contains(id) && !finals_.contains(id)) unresolved_.insert(id);
+    if (successors_.contains(id) && !terminals_.contains(id)) unresolved_.insert(id);
 }
 
-void Dependencies::noteCancelled(Job& job) {
+void Dependencies::onCancelled(Job& job) {
     job.knownCancelled = true;
     doomSuccessors(job.spec.id);
     passOnDemand(job);
 }
 
-void Dependencies::noteFinal(const std::string& job, const FinalState& state) {
-    if (!successors_.contains(job) || !finals_.emplace(job, state).second) return;
+void Dependencies::recordTerminal(const std::string& job, const TerminalState& state) {
+    if (!successors_.contains(job) || !terminals_.emplace(job, state).second) return;
     unresolved_.erase(job);
     for (const auto& id : std::vector(successors(job))) {
         const auto found = jobs_.find(id);
@@ -65,7 +65,7 @@
 }
 
 void Dependencies::prune() {
-    std::erase_if(finals_,
+    std::erase_if(terminals_,
                   [this](const auto& entry) { return !successors_.contains(entry.first); });
 }
 
@@ -74,7 +74,7 @@
     job.readySince = job.submitted;
     bool doomed = false;
     for (const auto& predecessor : job.spec.predecessors) {
-        if (const auto final = finals_.find(predecessor); final != finals_.end()) {
+        if (const auto final = terminals_.find(predecessor); final != terminals_.end()) {
             if (final->second.cancelled) job.waiting = doomed = true;
             if (final->second.at) job.readySince = std::max(job.readySince, *final->second.at);
             continue;
--- a/src/bookkeeping/dependencies.h
+++ b/src/bookkeeping/dependencies.h
@@ -1,6 +1,6 @@
 // Which jobs wait for which others, and what that means for each of them.
 //
-// The edges are those that the live records name. A predecessor counts as done only by its final
+// The edges are those that the active records name. A predecessor counts as done only by its final
 // record, which never changes: what was once read holds for ever. Everything is kept up along the
 // edges when a job arrives, ends or is cancelled, so that nothing ever walks over all jobs. What is
 // known of a job is kept with it (`Job::waiting` and the fields after it).
@@ -17,8 +17,8 @@
 
 namespace fawnwheel::bookkeeping {
 
-// What a final record says.
-struct FinalState {
+// What a terminal record says.
+struct TerminalState {
     bool cancelled = false;
     std::optional<WallTime> at;  // records of the first version lack it
 };
@@ -27,25 +27,28 @@
   public:
     explicit Dependencies(std::map<std::string, Job>& jobs) : jobs_(jobs) {}
 
-    // The job's live record was seen for the first time; all durable fields are set.
+    // The job's active record was seen for the first time; all durable fields are set.
     void add(Job& job);
-    // The job's live record is gone. Its final state, if known, is to be noted before.
+    // The job's active record is gone. Its terminal state, if known, is to be noted before.
     void remove(const Job& job);
     // The job is cancelled, by its record or by a peer's word: so are all that need it.
-    void noteCancelled(Job& job);
+    void onCancelled(Job& job);
     // Ignored unless a live job names it.
-    void noteFinal(const std::string& job, const FinalState& state);
+    void recordTerminal(const std::string& job, const TerminalState& state);
 
-    // The live records are read anew: forgets the edges, and keeps the final states.
+    // The active records are read anew: forgets the edges, and keeps the terminal states.
     void clear();
-    // After that: forgets the final states that no live job asks for.
+    // After that: forgets the terminal states that no live job asks for.
     void prune();
 
     // Live jobs that name the job.
     [[nodiscard]] const std::vector<std::string>& successors(const std::string& job) const;
-    // Predecessors of live jobs that are not live, and whose final record has not been read here.
+    // Predecessors of live jobs that are not live, and whose terminal record has not been read
+    // here.
     [[nodiscard]] const std::set<std::string>& unresolved() const { return unresolved_; }
-    [[nodiscard]] bool finalKnown(const std::string& job) const { return finals_.contains(job); }
+    [[nodiscard]] bool isTerminalKnown(const std::string& job) const {
+        return terminals_.contains(job);
+    }
 
     // How long a job takes from its release to its end, as far as can be foreseen.
     std::function<Seconds(const JobSpec&)> stepTime = [](const JobSpec& spec) {
@@ -75,7 +78,7 @@
 
     std::map<std::string, Job>& jobs_;
     std::unordered_map<std::string, std::vector<std::string>> successors_;  // by predecessor
-    std::unordered_map<std::string, FinalState> finals_;                    // of predecessors
+    std::unordered_map<std::string, TerminalState> terminals_;              // of predecessors
     std::set<std::string> unresolved_;
 };
 
--- a/src/bookkeeping/guarded.h
+++ b/src/bookkeeping/guarded.h
@@ -7,7 +7,7 @@
 namespace fawnwheel::bookkeeping {
 
 template <typename T>
-class Guarded {
+class Synchronized {
   public:
     class Access {
       public:
--- a/src/bookkeeping/job.cpp
+++ b/src/bookkeeping/job.cpp
@@ -42,7 +42,7 @@
 }
 
 SliceContent Slice::content() const {
-    SliceContent content{part, range(), divided, done, {}, failures};
+    SliceContent content{partition, range(), divided, done, {}, failures};
     for (const auto& claim : claims)
         if (claim.durable) content.claims.push_back(claim);
     return content;
@@ -103,10 +103,10 @@
 }
 
 Slice* Job::sliceOf(std::uint32_t task) {
-    const auto holds = [task](const Slice& slice) { return slice.range().contains(task); };
+    const auto covers = [task](const Slice& slice) { return slice.range().contains(task); };
     const auto at = task / sliceSize;
-    if (at < slices.size() && holds(slices[at])) return &slices[at];
-    const auto found = std::find_if(slices.begin(), slices.end(), holds);
+    if (at < slices.size() && covers(slices[at])) return &slices[at];
+    const auto found = std::find_if(slices.begin(), slices.end(), covers);
     return found == slices.end() ? nullptr : &*found;
 }
 
@@ -121,7 +121,7 @@
     while (slices.size() <= index) {
         Slice empty;
         empty.index = static_cast<std::uint32_t>(slices.size());
-        empty.part = part;
+        empty.partition = partition;
         empty.divided = true;
         slices.push_back(std::move(empty));
     }
@@ -132,13 +132,14 @@
     return spec.kind == protocol::JobKind::gang || spec.oneZone || spec.spread;
 }
 
-std::deque<Slice> makeSlices(const JobSpec& spec, std::uint32_t sliceSize, std::uint32_t part) {
+std::deque<Slice> makeSlices(const JobSpec& spec, std::uint32_t sliceSize,
+                             std::uint32_t partition) {
     std::deque<Slice> slices;
     for (std::uint32_t first = 0; first < spec.tasks; first += sliceSize) {
         Slice slice;
         slice.index = static_cast<std::uint32_t>(slices.size());
         slice.first = first;
-        slice.part = part;
+        slice.partition = partition;
         slice.done.assign(std::min(sliceSize, spec.tasks - first), false);
         slices.push_back(std::move(slice));
     }
@@ -154,7 +155,7 @@
         Slice piece;
         piece.index = i == 0 ? slice.index : nextIndex++;
         piece.first = first;
-        piece.part = slice.part;
+        piece.partition = slice.partition;
         piece.done.assign(slice.done.begin() + (first - slice.first),
                           slice.done.begin() + (end - slice.first));
         piece.doneCount =
--- a/src/bookkeeping/job.h
+++ b/src/bookkeeping/job.h
@@ -36,7 +36,7 @@
     std::optional<SteadyTime> ran;  // first reported as running
 
     // The task may have been started or not, and whatever was ordered may not have arrived: only a
-    // report to its present owner tells.
+    // report to its present leader tells.
     void forgetState() {
         seen = false;
         startsSent = 0;
@@ -56,7 +56,7 @@
 
 // What a slice's record holds.
 struct SliceContent {
-    std::uint32_t part = 0;
+    std::uint32_t partition = 0;
     TaskRange range;
     bool divided = false;  // the range is not the one its index gives
     std::vector<bool> done;
@@ -64,11 +64,11 @@
     std::uint32_t failures = 0;  // as in `Slice`
 };
 
-// Consecutive tasks of one job that have one owner and one record.
+// Consecutive tasks of one job that have one leader and one record.
 struct Slice {
     std::uint32_t index = 0;
     std::uint32_t first = 0;  // task
-    std::uint32_t part = 0;
+    std::uint32_t partition = 0;
     std::vector<bool> done;
     std::uint32_t doneCount = 0;
     std::vector<Claim> claims;
@@ -77,7 +77,7 @@
     std::uint64_t version = 0;   // 0: no record; as in the job's record
     bool dirty = false;          // changed since `version`; set by `touch` alone
     SliceContent recorded;       // while dirty: the content as of `version`
-    std::optional<SteadyTime> dirtySince;  // as the recorder saw it
+    std::optional<SteadyTime> dirtySince;  // as the state writer saw it
     std::optional<TaskRange> leaving;      // being pushed to a peer: not to be placed here
 
     [[nodiscard]] std::uint32_t size() const { return static_cast<std::uint32_t>(done.size()); }
@@ -102,7 +102,7 @@
     [[nodiscard]] SliceContent content() const;
 };
 
-// What this process has seen of a job's failed tasks. The durable part is `Slice::failures`.
+// What this process has seen of a job's failed tasks. The durable partition is `Slice::failures`.
 struct FailureHistory {
     std::map<std::string, SteadyTime> machines;  // where tasks failed, and when last
     Duration longestRun{};                       // of a task that failed
@@ -113,7 +113,7 @@
 
 struct Job {
     JobSpec spec;
-    std::uint32_t part = 0;  // home: sees the job through
+    std::uint32_t partition = 0;  // home: sees the job through
     bool cancelled = false;
     WallTime submitted;
     std::uint32_t sliceSize = 1;
@@ -153,11 +153,11 @@
     [[nodiscard]] std::optional<TaskRange> undividedRange(std::uint32_t index) const;
     // The slice with this index, made as an empty one if need be.
     Slice& sliceAt(std::uint32_t index);
-    // Gangs and jobs whose tasks' zones depend on one another have one owner.
+    // Gangs and jobs whose tasks' zones depend on one another have one leader.
     [[nodiscard]] bool undivided() const;
 };
 
-std::deque<Slice> makeSlices(const JobSpec& spec, std::uint32_t sliceSize, std::uint32_t part);
+std::deque<Slice> makeSlices(const JobSpec& spec, std::uint32_t sliceSize, std::uint32_t partition);
 
 // The slice cut before each of these tasks (ascending, within it). The first piece keeps the index,
 // the others get indexes from `nextIndex` on and no version.
--- a/src/bookkeeping/ledger.cpp
+++ b/src/bookkeeping/ledger.cpp
@@ -16,80 +16,81 @@
     order_.pop_front();
 }
 
-Job* Ledger::job(const std::string& id) {
+Job* ClusterState::job(const std::string& id) {
     const auto found = jobs.find(id);
     return found == jobs.end() ? nullptr : &found->second;
 }
 
-void Ledger::addJob(Job job) {
+void ClusterState::addJob(Job job) {
     const auto id = job.spec.id;
     Job& added = jobs.insert_or_assign(id, std::move(job)).first->second;
     added.knownCancelled = knownCancelled(added);
     dependencies.add(added);
 }
 
-bool Ledger::noteCancellation(const std::string& id, std::uint64_t revision) {
-    const bool fresh = cancellations.note(id, revision);
+bool ClusterState::recordCancellation(const std::string& id, std::uint64_t revision) {
+    const bool fresh = cancellations.append(id, revision);
     if (Job* live = job(id); live != nullptr && !live->knownCancelled)
-        dependencies.noteCancelled(*live);
+        dependencies.onCancelled(*live);
     return fresh;
 }
 
-void Ledger::clearRecords() {
+void ClusterState::clearRecords() {
     ++generation;
-    strayRecords.clear();
-    damagedMachines.clear();
+    orphanedRecords.clear();
+    corruptMachines.clear();
     jobs.clear();
     dependencies.clear();
     machines.clear();
-    parts.clear();
+    partitions.clear();
     nodes.clear();
     shares.clear();
     shareVersions.clear();
     lastTerm = termVersion = catalogVersion = 0;
 }
 
-Machine* Ledger::machine(const std::string& id) {
+Machine* ClusterState::machine(const std::string& id) {
     const auto found = machines.find(id);
     return found == machines.end() ? nullptr : &found->second;
 }
 
-const std::vector<Machine*>& Ledger::machinesOf(std::uint32_t part) const {
+const std::vector<Machine*>& ClusterState::machinesOf(std::uint32_t partition) const {
     static const std::vector<Machine*> none;
-    const auto found = byPart_.find(part);
-    return found == byPart_.end() ? none : found->second;
+    const auto found = byPartition_.find(partition);
+    return found == byPartition_.end() ? none : found->second;
 }
 
-Machine& Ledger::addMachine(const std::string& id, std::uint32_t part) {
+Machine& ClusterState::addMachine(const std::string& id, std::uint32_t partition) {
     const auto [entry, fresh] = machines.try_emplace(id);
     Machine& added = entry->second;
     if (!fresh) {
-        movePart(added, part);
+        assignPartition(added, partition);
         return added;
     }
     added.id = id;
-    added.part = part;
-    goneMachines.noteFleet(machines.size());
-    byPart_[part].push_back(&added);
+    added.partition = partition;
+    goneMachines.recordCount(machines.size());
+    byPartition_[partition].push_back(&added);
     return added;
 }
 
-void Ledger::movePart(Machine& machine, std::uint32_t part) {
-    if (machine.part == part) return;
-    std::erase(byPart_[machine.part], &machine);
-    machine.part = part;
-    byPart_[part].push_back(&machine);
+void ClusterState::assignPartition(Machine& machine, std::uint32_t partition) {
+    if (machine.partition == partition) return;
+    std::erase(byPartition_[machine.partition], &machine);
+    machine.partition = partition;
+    byPartition_[partition].push_back(&machine);
 }
 
-std::optional<std::uint32_t> Ledger::partOfClaimsOn(const std::string& machine) const {
+std::optional<std::uint32_t> ClusterState::partitionOfAllocationsOn(
+    const std::string& machine) const {
     for (const auto& [id, job] : jobs)
         for (const auto& slice : job.slices)
             for (const auto& claim : slice.claims)
-                if (claim.machine == machine) return slice.part;
+                if (claim.machine == machine) return slice.partition;
     return std::nullopt;
 }
 
-void Ledger::attachClaims(Machine& machine) const {
+void ClusterState::attachClaims(Machine& machine) const {
     for (const auto& [name, job] : jobs)
         for (const auto& slice : job.slices)
             for (const auto& claim : slice.claims)
@@ -99,12 +100,12 @@
                 }
 }
 
-void Ledger::forgetTaskStates(const Machine& machine) {
+void ClusterState::forgetTaskStates(const Machine& machine) {
     for (const auto& ref : machine.claims)
         if (const auto [job, slice, claim] = held(ref); claim != nullptr) claim->forgetState();
 }
 
-Held Ledger::held(const TaskRef& ref) {
+Held ClusterState::held(const TaskRef& ref) {
     Job* found = job(ref.job);
     Slice* slice = found == nullptr ? nullptr : found->sliceOf(ref.task);
     Claim* claim = slice == nullptr ? nullptr : slice->claimOf(ref.task);
@@ -112,17 +113,17 @@
     return {found, slice, claim};
 }
 
-void Ledger::attach(const Job& job, const Claim& claim) {
+void ClusterState::attach(const Job& job, const Claim& claim) {
     Machine* m = machine(claim.machine);
     if (m == nullptr) return;
     const TaskRef ref{job.spec.id, claim.task, claim.attempt};
     if (std::find(m->claims.begin(), m->claims.end(), ref) != m->claims.end()) return;
     m->claims.push_back(ref);
     m->used += job.spec.each;
-    ++imageUse_[job.spec.image][m->part];
+    ++imageUse_[job.spec.image][m->partition];
 }
 
-void Ledger::detach(const Job& job, const Claim& claim) {
+void ClusterState::detach(const Job& job, const Claim& claim) {
     Machine* m = machine(claim.machine);
     if (m == nullptr) return;
     if (std::erase(m->claims, TaskRef{job.spec.id, claim.task, claim.attempt}) == 0) return;
@@ -130,7 +131,7 @@
     if (m->claims.empty()) m->used = {};
 }
 
-void Ledger::noteImage(Machine& machine, const JobSpec& spec) {
+void ClusterState::recordImage(Machine& machine, const JobSpec& spec) {
     auto& images = machine.images;
     std::erase_if(images, [&](const auto& i) { return i.name == spec.image; });
     images.push_front({spec.image, spec.imageSize});
@@ -145,13 +146,13 @@
     }
 }
 
-void Ledger::addClaim(Job& job, Slice& slice, Claim claim) {
+void ClusterState::addClaim(Job& job, Slice& slice, Claim claim) {
     slice.touch();
     attach(job, claim);
     slice.claims.push_back(std::move(claim));
 }
 
-void Ledger::removeClaim(Job& job, Slice& slice, std::uint32_t task) {
+void ClusterState::removeClaim(Job& job, Slice& slice, std::uint32_t task) {
     const Claim* claim = slice.claimOf(task);
     if (claim == nullptr) return;
     slice.touch();
@@ -159,27 +160,28 @@
     std::erase_if(slice.claims, [task](const Claim& c) { return c.task == task; });
 }
 
-void Ledger::dropJob(const std::string& id) {
+void ClusterState::dropJob(const std::string& id) {
     Job* found = job(id);
     if (found == nullptr) return;
     for (const auto& slice : found->slices) {
         for (const auto& claim : slice.claims) detach(*found, claim);
-        // Deleted with the job, as far as they fitted into that transaction; the follow tells.
-        if (slice.version > 0) strayRecords[keys::slice(id, slice.index)] = {id, slice.part};
+        // Deleted with the job, as far as they fitted into that transaction; the watch tells.
+        if (slice.version > 0)
+            orphanedRecords[keys::slice(id, slice.index)] = {id, slice.partition};
     }
     dependencies.remove(*found);
     jobs.erase(id);
 }
 
-void Ledger::dropMachine(const std::string& id) {
+void ClusterState::dropMachine(const std::string& id) {
     if (const auto found = machines.find(id); found != machines.end()) {
-        std::erase(byPart_[found->second.part], &found->second);
+        std::erase(byPartition_[found->second.partition], &found->second);
         machines.erase(found);
     }
     goneMachines.insert(id);
 }
 
-void Ledger::shortenOthers(Job& job, const Slice& slice, const TaskRange& range) {
+void ClusterState::shortenOthers(Job& job, const Slice& slice, const TaskRange& range) {
     // Both records of a division have one revision; whichever is seen first, no task is in two.
     for (auto& other : job.slices) {
         if (&other == &slice || other.first >= range.first || other.range().end() <= range.first)
@@ -190,7 +192,7 @@
     }
 }
 
-TaskRange Ledger::withoutPieces(const Job& job, const Slice& slice, TaskRange range) {
+TaskRange ClusterState::withoutPieces(const Job& job, const Slice& slice, TaskRange range) {
     // Ranges only shrink. A record that still covers what a piece of it holds is older than the
     // division, whichever of the two is read last.
     for (const auto& other : job.slices)
@@ -200,30 +202,30 @@
     return range;
 }
 
-void Ledger::replaceSlice(Job& job, Slice& slice, SliceContent content) {
+void ClusterState::replaceSlice(Job& job, Slice& slice, SliceContent content) {
     const auto range = withoutPieces(job, slice, content.range);
     content.divided = content.divided || range != content.range;
     content.range = range;
     content.done.resize(range.count);
     std::erase_if(content.claims,
                   [&content](const Claim& claim) { return !content.range.contains(claim.task); });
-    const bool sameOwner = content.part == slice.part;
+    const bool sameLeader = content.partition == slice.partition;
     for (auto& claim : content.claims) {
         claim.durable = true;
         if (const Claim* old = slice.claimOf(claim.task);
             old != nullptr && old->attempt == claim.attempt && old->machine == claim.machine) {
             claim = *old;
             claim.durable = true;
-            if (!sameOwner) claim.forgetState();
+            if (!sameLeader) claim.forgetState();
         } else if (Machine* m = machine(claim.machine)) {
-            // Another owner's placement: who takes its part over then knows where images lie.
+            // Another leader's placement: who takes its partition over then knows where images lie.
             // Without that all were fetched anew (day zone of a fleet).
-            noteImage(*m, job.spec);
+            recordImage(*m, job.spec);
         }
     }
     shortenOthers(job, slice, content.range);
     for (const auto& claim : slice.claims) detach(job, claim);
-    slice.part = content.part;
+    slice.partition = content.partition;
     slice.failures = content.failures;
     job.failures.any = job.failures.any || slice.failures > 0;
     slice.first = content.range.first;
@@ -237,37 +239,37 @@
     slice.recorded = {};
 }
 
-bool Ledger::hasUnrecorded(std::uint32_t part) const {
-    return std::any_of(jobs.begin(), jobs.end(), [part](const auto& entry) {
+bool ClusterState::hasUnrecorded(std::uint32_t partition) const {
+    return std::any_of(jobs.begin(), jobs.end(), [partition](const auto& entry) {
         const auto& slices = entry.second.slices;
-        return std::any_of(slices.begin(), slices.end(), [part](const Slice& slice) {
-            return slice.part == part && slice.dirty;
+        return std::any_of(slices.begin(), slices.end(), [partition](const Slice& slice) {
+            return slice.partition == partition && slice.dirty;
         });
     });
 }
 
-void Ledger::discardUnrecorded(std::uint32_t part) {
+void ClusterState::discardUnrecorded(std::uint32_t partition) {
     for (auto& [id, found] : jobs)
         for (auto& slice : found.slices)
-            if (slice.part == part && slice.dirty) {
+            if (slice.partition == partition && slice.dirty) {
                 auto recorded = std::move(slice.recorded);
                 replaceSlice(found, slice, std::move(recorded));
             }
 }
 
-void Ledger::divideSlice(Job& job, std::uint32_t index, const std::vector<Slice>& pieces) {
+void ClusterState::divideSlice(Job& job, std::uint32_t index, const std::vector<Slice>& pieces) {
     // Claims stay with their tasks and machines, whichever slice they are in.
     job.sliceAt(index) = pieces.front();
     for (std::size_t i = 1; i < pieces.size(); ++i) job.sliceAt(pieces[i].index) = pieces[i];
 }
 
-void Ledger::rebuildIndexes() {
-    byPart_.clear();
+void ClusterState::rebuildIndexes() {
+    byPartition_.clear();
     imageUse_.clear();
     for (auto& [id, m] : machines) {
         m.claims.clear();
         m.used = {};
-        byPart_[m.part].push_back(&m);
+        byPartition_[m.partition].push_back(&m);
     }
     for (const auto& [id, j] : jobs)
         for (const auto& slice : j.slices)
@@ -275,20 +277,20 @@
     dependencies.prune();
 }
 
-double Ledger::cachedShare(const JobSpec& spec, std::uint32_t part) const {
+double ClusterState::cachedShare(const JobSpec& spec, std::uint32_t partition) const {
     const auto image = imageUse_.find(spec.image);
     if (image == imageUse_.end()) return 0;
-    const auto uses = image->second.find(part);
+    const auto uses = image->second.find(partition);
     if (uses == image->second.end()) return 0;
     return std::min(1.0, static_cast<double>(uses->second) / std::max(1U, spec.tasks));
 }
 
-Resources Ledger::usedBy(const std::string& team, std::uint32_t part) const {
+Resources ClusterState::usedBy(const std::string& team, std::uint32_t partition) const {
     Resources total;
     for (const auto& [id, j] : jobs) {
         if (j.spec.team != team) continue;
         for (const auto& slice : j.slices) {
-            if (slice.part != part) continue;
+            if (slice.partition != partition) continue;
             for (std::size_t i = 0; i < slice.claims.size(); ++i) total += j.spec.each;
         }
     }
--- a/src/bookkeeping/ledger.h
+++ b/src/bookkeeping/ledger.h
@@ -1,4 +1,4 @@
-// What this process knows of the cluster: the mirror of the durable records, and beside it what
+// What this process knows of the cluster: the replica of the durable records, and beside it what
 // it has learnt from workers and the cloud about machines it owns.
 #pragma once
 
@@ -36,30 +36,31 @@
     std::string type;
     std::string zone;
     bool spot = false;
-    std::uint32_t part = 0;
-    std::optional<std::uint32_t> lender;  // part that has lent it to `part`
-    std::uint64_t tokenFloor = 0;         // its worker may have seen this token from a lender
-    std::string movedBy;                  // node that last gave it to another part with its tasks
-    bool retired = false;                 // a release was or will be sent: never gets work again
-    std::uint64_t version = 0;            // 0: no record yet, and so no work
+    std::uint32_t partition = 0;
+    std::optional<std::uint32_t> lender;  // partition that has lent it to `partition`
+    std::uint64_t minFencingToken = 0;    // its worker may have seen this token from a lender
+    std::string movedBy;        // node that last gave it to another partition with its tasks
+    bool retired = false;       // a release was or will be sent: never gets work again
+    std::uint64_t version = 0;  // 0: no record yet, and so no work
 
     // Not durable: learnt from reports and lists.
     std::string address;
     std::uint64_t session = 0;
     std::uint64_t sequence = 0;
     std::uint64_t endedSession = 0;  // its lease has surely run out
-    std::uint64_t firstToken = 0;    // of ours as its owner: who has seen it heeds no older owner
-    std::uint64_t token = 0;         // what it is answered with; grows within a term
+    std::uint64_t firstFencingToken =
+        0;                           // of ours as its leader: who has seen it heeds no older leader
+    std::uint64_t fencingToken = 0;  // what it is answered with; grows within a term
     SteadyTime reportRequested{};    // when its worker was last made to report
     // An answer sent is no answer received: a report that shows the expected token proves that the
     // worker heard us. Until then the machine gets no work.
-    std::uint64_t expected = 0;
-    std::uint64_t shown = 0;
+    std::uint64_t expectedToken = 0;
+    std::uint64_t acknowledgedToken = 0;
     SteadyTime doubtedSince{};
     int unacknowledged = 0;        // answered reports in a row that don't show it
     SteadyTime unansweredUntil{};  // not answered, so that its lease runs out
 
-    std::optional<SteadyTime> lastReport;  // last newer report, by this process as its owner
+    std::optional<SteadyTime> lastReport;  // last newer report, by this process as its leader
     SteadyTime silentSince{};              // leases can't have been renewed after this
     SteadyTime known{};                    // when this process first knew of it
     SteadyTime idleSince{};
@@ -67,8 +68,8 @@
     std::optional<SteadyTime> noticeEnds;  // the cloud takes it then
     std::optional<SteadyTime> listed;      // seen in a list, at its receipt
     bool failedInList = false;
-    bool transferring = false;  // its record is being changed to another part
-    // Its record already names another part, although our own transaction has no outcome yet.
+    bool transferring = false;  // its record is being changed to another partition
+    // Its record already names another partition, although our own transaction has no outcome yet.
     std::optional<std::uint32_t> departedTo;
     bool emptying = false;    // its tasks move together with others, then it is given back
     std::string reservedFor;  // job that room is kept for: others were stopped, or it is a gang
@@ -81,16 +82,16 @@
     std::vector<TaskRef> claims;
     Resources used;
 
-    [[nodiscard]] bool acknowledged() const { return shown >= expected; }
+    [[nodiscard]] bool acknowledged() const { return acknowledgedToken >= expectedToken; }
 };
 
-struct Part {
-    std::string owner;
+struct Partition {
+    std::string leader;
     std::uint64_t term = 0;
     std::uint64_t version = 0;
 };
 
-// Limits over all: a part's share of each team's limit.
+// Limits over all: a partition's share of each team's limit.
 struct TeamShare {
     double cpus = 0;
     double gpus = 0;
@@ -105,13 +106,13 @@
 };
 
 // A slice's record that has outlived its job's.
-struct StrayRecord {
+struct OrphanedRecord {
     std::string job;
-    std::uint32_t part = 0;
+    std::uint32_t partition = 0;
 };
 
-// A machine's record that can't be read, or that names a part that does not exist.
-struct DamagedRecord {
+// A machine's record that can't be read, or that names a partition that does not exist.
+struct CorruptRecord {
     std::uint64_t version = 0;
     protocol::Json value;
 };
@@ -122,7 +123,7 @@
   public:
     void insert(const std::string& id);
     // So many machines are known.
-    void noteFleet(std::size_t machines) { mostMachines_ = std::max(mostMachines_, machines); }
+    void recordCount(std::size_t machines) { mostMachines_ = std::max(mostMachines_, machines); }
     [[nodiscard]] bool contains(const std::string& id) const { return known_.contains(id); }
 
   private:
@@ -133,31 +134,31 @@
     std::unordered_set<std::string> known_;
 };
 
-class Ledger {
+class ClusterState {
   public:
-    Ledger() : dependencies(jobs) {}
-    Ledger(const Ledger&) = delete;
-    Ledger& operator=(const Ledger&) = delete;
+    ClusterState() : dependencies(jobs) {}
+    ClusterState(const ClusterState&) = delete;
+    ClusterState& operator=(const ClusterState&) = delete;
 
     std::map<std::string, Job> jobs;
     Dependencies dependencies;
     std::map<std::string, Machine> machines;
-    std::map<std::uint32_t, Part> parts;
+    std::map<std::uint32_t, Partition> partitions;
     std::map<std::string, std::uint64_t> nodes;  // alive, with the record's version
     // Nodes that have run a version which knows divided slices and dependencies between jobs. A
     // name never leaves this set: the version before must not come back.
-    std::set<std::string> upgradedNodes;
+    std::set<std::string> nodesWithJobDependencies;
     // Nodes that have run a version which knows machines that change hands with their tasks.
-    std::set<std::string> transferNodes;
-    std::uint32_t partCount = std::numeric_limits<std::uint32_t>::max();
-    // Their machines stay with the part that had them until its owner has written them anew.
-    std::map<std::string, DamagedRecord> damagedMachines;
+    std::set<std::string> nodesWithMachineTransfers;
+    std::uint32_t partitionCount = std::numeric_limits<std::uint32_t>::max();
+    // Their machines stay with the partition that had them until its leader has written them anew.
+    std::map<std::string, CorruptRecord> corruptMachines;
     std::uint64_t lastTerm = 0;
     std::uint64_t termVersion = 0;
-    // team -> part -> share
+    // team -> partition -> share
     std::map<std::string, std::map<std::uint32_t, TeamShare>> shares;
     std::map<std::string, std::uint64_t> shareVersions;
-    // Not durable: team -> what is being given away by a part of ours.
+    // Not durable: team -> what is being given away by a partition of ours.
     std::map<std::string, std::pair<std::uint32_t, TeamShare>> sharesLeaving;
     std::vector<protocol::MachineType> catalog;  // as last recorded
     std::uint64_t catalogVersion = 0;
@@ -165,15 +166,15 @@
     GoneMachines goneMachines;     // their records went after proof; names never return
     std::uint64_t applied = 0;     // every change up to this revision is in here
     std::uint64_t generation = 0;  // how often the records have been read anew
-    // Slice records of jobs that have no live record: nobody needs them any more.
-    std::map<std::string, StrayRecord> strayRecords;  // by key
+    // Slice records of jobs that have no active record: nobody needs them any more.
+    std::map<std::string, OrphanedRecord> orphanedRecords;  // by key
 
     [[nodiscard]] Job* job(const std::string& id);
     [[nodiscard]] Machine* machine(const std::string& id);
     // A job's record was seen for the first time.
     void addJob(Job job);
     // Cancelled for certain; in the records at this revision.
-    bool noteCancellation(const std::string& id, std::uint64_t revision);
+    bool recordCancellation(const std::string& id, std::uint64_t revision);
     // Its tasks may be started: it waits for no other job, is not cancelled and has not ended.
     [[nodiscard]] bool startable(const Job& job) const {
         return !job.waiting && !job.doomed && !job.finishing && !knownCancelled(job);
@@ -187,43 +188,44 @@
     [[nodiscard]] bool knownCancelled(const Job& job) const {
         return job.cancelled || job.knownCancelled || cancellations.contains(job.spec.id);
     }
-    [[nodiscard]] const std::vector<Machine*>& machinesOf(std::uint32_t part) const;
-    Machine& addMachine(const std::string& id, std::uint32_t part);
-    void movePart(Machine& machine, std::uint32_t part);
-    // The part whose slices have claims on the machine; none: no claim names it.
-    [[nodiscard]] std::optional<std::uint32_t> partOfClaimsOn(const std::string& machine) const;
+    [[nodiscard]] const std::vector<Machine*>& machinesOf(std::uint32_t partition) const;
+    Machine& addMachine(const std::string& id, std::uint32_t partition);
+    void assignPartition(Machine& machine, std::uint32_t partition);
+    // The partition whose slices have claims on the machine; none: no claim names it.
+    [[nodiscard]] std::optional<std::uint32_t> partitionOfAllocationsOn(
+        const std::string& machine) const;
     // A claim's record may have come before its machine's.
     void attachClaims(Machine& machine) const;
-    // What this process knew of the tasks on the machine as an owner is void: only reports to its
-    // present owner tell.
+    // What this process knew of the tasks on the machine as a leader is void: only reports to its
+    // present leader tell.
     void forgetTaskStates(const Machine& machine);
     [[nodiscard]] Held held(const TaskRef& ref);
 
     // The machine has the image, or will have it soon.
-    void noteImage(Machine& machine, const JobSpec& spec);
+    void recordImage(Machine& machine, const JobSpec& spec);
     void addClaim(Job& job, Slice& slice, Claim claim);
     void removeClaim(Job& job, Slice& slice, std::uint32_t task);
     void dropJob(const std::string& id);
     void dropMachine(const std::string& id);
     // Replaces a slice's content by that of a record, keeping what is known of claims that stay.
     void replaceSlice(Job& job, Slice& slice, SliceContent content);
-    // Whether a slice of the part has changes that are not recorded.
-    [[nodiscard]] bool hasUnrecorded(std::uint32_t part) const;
-    // The part's slices become what their records hold. What this process has concluded as the
-    // part's owner without recording it is void once another may have owned the part.
-    void discardUnrecorded(std::uint32_t part);
+    // Whether a slice of the partition has changes that are not recorded.
+    [[nodiscard]] bool hasUnrecorded(std::uint32_t partition) const;
+    // The partition's slices become what their records hold. What this process has concluded as the
+    // partition's leader without recording it is void once another may have owned the partition.
+    void discardUnrecorded(std::uint32_t partition);
     // The slice becomes these pieces; the first takes its place, the others those of their index.
     void divideSlice(Job& job, std::uint32_t index, const std::vector<Slice>& pieces);
-    // All that mirrors records is dropped, before they are read anew.
+    // All that replicates records is dropped, before they are read anew.
     void clearRecords();
     // After the records were read anew.
     void rebuildIndexes();
 
-    // How much of an image's demand a part can serve from its machines' caches, 0 to 1: by the
+    // How much of an image's demand a partition can serve from its machines' caches, 0 to 1: by the
     // tasks with this image that had a place there.
-    [[nodiscard]] double cachedShare(const JobSpec& spec, std::uint32_t part) const;
+    [[nodiscard]] double cachedShare(const JobSpec& spec, std::uint32_t partition) const;
 
-    [[nodiscard]] Resources usedBy(const std::string& team, std::uint32_t part) const;
+    [[nodiscard]] Resources usedBy(const std::string& team, std::uint32_t partition) const;
 
   private:
     void attach(const Job& job, const Claim& claim);
@@ -234,8 +236,8 @@
                                                  TaskRange range);
     void detach(const Job& job, const Claim& claim);
 
-    std::map<std::uint32_t, std::vector<Machine*>> byPart_;
-    std::map<std::string, std::map<std::uint32_t, std::uint32_t>> imageUse_;  // by part
+    std::map<std::uint32_t, std::vector<Machine*>> byPartition_;
+    std::map<std::string, std::map<std::uint32_t, std::uint32_t>> imageUse_;  // by partition
 };
 
 }  // namespace fawnwheel::bookkeeping
--- a/src/bookkeeping/records.cpp
+++ b/src/bookkeeping/records.cpp
@@ -16,12 +16,12 @@
 constexpr auto jobKey = "live/job/";
 constexpr auto sliceKey = "live/slice/";
 constexpr auto machineKey = "live/machine/";
-constexpr auto partKey = "live/part/";
+constexpr auto partitionKey = "live/part/";
 constexpr auto nodeKey = "live/node/";
 constexpr auto shareKey = "live/share/";
 constexpr auto upgradedKey = "live/upgraded/";
 constexpr auto transfersKey = "live/transfers/";
-constexpr auto partField = "part";
+constexpr auto partitionField = "part";
 constexpr auto lenderField = "lender";
 constexpr auto floorField = "floor";
 constexpr auto movedByField = "from";
@@ -48,30 +48,30 @@
     return value;
 }
 
-void applyJob(Ledger& ledger, const std::string& id, const protocol::Event& event) {
-    Job* known = ledger.job(id);
+void applyJob(ClusterState& clusterState, const std::string& id, const protocol::Event& event) {
+    Job* known = clusterState.job(id);
     if (known != nullptr && known->version >= event.version) return;
-    if (!event.value) return ledger.dropJob(id);
+    if (!event.value) return clusterState.dropJob(id);
     const Json& value = *event.value;
     const auto spec = protocol::parseJobSpec(value.value("spec", Json::object()));
     if (!std::holds_alternative<JobSpec>(spec)) return;
-    const auto part = static_cast<std::uint32_t>(countOf(value, "part"));
+    const auto partition = static_cast<std::uint32_t>(countOf(value, "part"));
     if (known == nullptr) {
         Job job;
         job.spec = std::get<JobSpec>(spec);
         job.sliceSize =
             std::max<std::uint32_t>(1, static_cast<std::uint32_t>(countOf(value, "slice", 1)));
-        job.slices = makeSlices(job.spec, job.sliceSize, part);
+        job.slices = makeSlices(job.spec, job.sliceSize, partition);
         job.submitted = WallTime(std::chrono::milliseconds(countOf(value, "submitted")));
-        ledger.addJob(std::move(job));
-        known = ledger.job(id);
+        clusterState.addJob(std::move(job));
+        known = clusterState.job(id);
     }
-    known->part = part;
+    known->partition = partition;
     known->cancelled = flagOf(value, "cancelled");
-    if (known->cancelled) ledger.noteCancellation(id, event.version);
+    if (known->cancelled) clusterState.recordCancellation(id, event.version);
     known->version = event.version;
     for (auto& slice : known->slices)
-        if (slice.version == 0) slice.part = part;
+        if (slice.version == 0) slice.partition = partition;
 }
 
 std::vector<bool> readDone(const Json& value, std::uint32_t size) {
@@ -108,19 +108,19 @@
     return TaskRange{static_cast<std::uint32_t>(first), static_cast<std::uint32_t>(count)};
 }
 
-void applySlice(Ledger& ledger, const std::string& name, const protocol::Event& event) {
+void applySlice(ClusterState& clusterState, const std::string& name, const protocol::Event& event) {
     const auto slash = name.rfind('/');
     if (slash == std::string::npos) return;
     // The record of a slice goes only with its job's or after it.
     if (!event.value) {
-        ledger.strayRecords.erase(event.key);
+        clusterState.orphanedRecords.erase(event.key);
         return;
     }
     const auto id = name.substr(0, slash);
-    Job* job = ledger.job(id);
+    Job* job = clusterState.job(id);
     if (job == nullptr) {
-        const auto part = static_cast<std::uint32_t>(countOf(*event.value, "part"));
-        ledger.strayRecords[event.key] = {id, part};
+        const auto partition = static_cast<std::uint32_t>(countOf(*event.value, "part"));
+        clusterState.orphanedRecords[event.key] = {id, partition};
         return;
     }
     const auto index = toNumber(std::string_view(name).substr(slash + 1));
@@ -130,17 +130,17 @@
     if (!content) return;
     Slice& slice = job->sliceAt(*index);
     if (slice.version >= event.version) return;
-    ledger.replaceSlice(*job, slice, std::move(*content));
+    clusterState.replaceSlice(*job, slice, std::move(*content));
     slice.version = event.version;
 }
 
-bool isPart(const Json& value, const char* field, std::uint32_t partCount) {
+bool isPartition(const Json& value, const char* field, std::uint32_t partitionCount) {
     const auto found = value.find(field);
     return found != value.end() && found->is_number_unsigned() &&
-           found->get<std::uint64_t>() < partCount;
+           found->get<std::uint64_t>() < partitionCount;
 }
 
-// What was learnt of the machine by its former owner does not hold for its new one.
+// What was learnt of the machine by its former leader does not hold for its new one.
 void resetAfterMove(Machine& m, SteadyTime now) {
     m.reservedUntil = {};
     m.notBefore = {};
@@ -152,78 +152,79 @@
     m.known = m.silentSince = m.idleSince = now;
 }
 
-// Where its worker's tokens begin with the new owner.
+// Where its worker's tokens begin with the new leader.
 void startTokens(Machine& m, SteadyTime now) {
-    if (m.tokenFloor <= m.firstToken) return;
+    if (m.minFencingToken <= m.firstFencingToken) return;
     m.lastReport = now;
-    m.firstToken = m.token = m.expected = m.tokenFloor;
-    // Lent or given back: the part it comes from has just heard it, and it is empty. With tasks on
-    // it nothing is proved until the worker has shown the new owner's token.
-    m.shown = m.movedBy.empty() ? m.tokenFloor : 0;
+    m.firstFencingToken = m.fencingToken = m.expectedToken = m.minFencingToken;
+    // Lent or given back: the partition it comes from has just heard it, and it is empty. With
+    // tasks on it nothing is proved until the worker has shown the new leader's token.
+    m.acknowledgedToken = m.movedBy.empty() ? m.minFencingToken : 0;
     m.doubtedSince = now;
     m.unacknowledged = 0;
 }
 
-void applyMachine(Ledger& ledger, const std::string& id, const protocol::Event& event,
+void applyMachine(ClusterState& clusterState, const std::string& id, const protocol::Event& event,
                   SteadyTime now) {
-    Machine* known = ledger.machine(id);
+    Machine* known = clusterState.machine(id);
     if (known != nullptr && known->version >= event.version) return;
     if (!event.value) {
-        ledger.damagedMachines.erase(id);
+        clusterState.corruptMachines.erase(id);
         // Not yet recorded: its first write is under way.
-        if (known != nullptr && known->version > 0) ledger.dropMachine(id);
+        if (known != nullptr && known->version > 0) clusterState.dropMachine(id);
         return;
     }
     const Json& value = *event.value;
-    if (!machineValueValid(value, ledger.partCount)) {
+    if (!machineValueValid(value, clusterState.partitionCount)) {
         // It moves no machine: who had it keeps it, and writes it anew over this version.
-        ledger.damagedMachines[id] = {event.version, value};
+        clusterState.corruptMachines[id] = {event.version, value};
         if (known != nullptr) known->version = event.version;
         return;
     }
-    ledger.damagedMachines.erase(id);
+    clusterState.corruptMachines.erase(id);
     const bool fresh = known == nullptr;
-    const auto part = static_cast<std::uint32_t>(countOf(value, partField));
-    const bool moved = !fresh && known->part != part;
-    Machine& m = ledger.addMachine(id, part);
+    const auto partition = static_cast<std::uint32_t>(countOf(value, partitionField));
+    const bool moved = !fresh && known->partition != partition;
+    Machine& m = clusterState.addMachine(id, partition);
     m.lender.reset();
     if (value.contains(lenderField))
         m.lender = static_cast<std::uint32_t>(countOf(value, lenderField));
-    m.tokenFloor = countOf(value, floorField);
+    m.minFencingToken = countOf(value, floorField);
     m.movedBy = textOf(value, movedByField);
     if (fresh) m.known = m.silentSince = m.idleSince = now;
     if (moved) {
         resetAfterMove(m, now);
         startTokens(m, now);
-        ledger.forgetTaskStates(m);
+        clusterState.forgetTaskStates(m);
     }
     m.type = textOf(value, "type");
     m.zone = textOf(value, "zone");
     m.spot = flagOf(value, "spot");
     m.retired = flagOf(value, "retired");
     m.version = event.version;
-    if (fresh) ledger.attachClaims(m);
+    if (fresh) clusterState.attachClaims(m);
 }
 
-void applyPart(Ledger& ledger, std::uint32_t number, const protocol::Event& event) {
-    Part& part = ledger.parts[number];
-    if (part.version >= event.version || !event.value) return;
-    part.owner = textOf(*event.value, "owner");
-    part.term = countOf(*event.value, "term");
-    part.version = event.version;
+void applyPartition(ClusterState& clusterState, std::uint32_t number,
+                    const protocol::Event& event) {
+    Partition& partition = clusterState.partitions[number];
+    if (partition.version >= event.version || !event.value) return;
+    partition.leader = textOf(*event.value, "owner");
+    partition.term = countOf(*event.value, "term");
+    partition.version = event.version;
 }
 
-void applyShare(Ledger& ledger, const std::string& team, const protocol::Event& event) {
-    if (ledger.shareVersions[team] >= event.version || !event.value) return;
-    auto& shares = ledger.shares[team];
+void applyShare(ClusterState& clusterState, const std::string& team, const protocol::Event& event) {
+    if (clusterState.shareVersions[team] >= event.version || !event.value) return;
+    auto& shares = clusterState.shares[team];
     shares.clear();
-    std::uint32_t part = 0;
+    std::uint32_t partition = 0;
     for (const auto& entry : listOf(*event.value, "shares")) {
         if (entry.is_array() && entry.size() == 2)
-            shares[part] = {entry[0].get<double>(), entry[1].get<double>()};
-        ++part;
+            shares[partition] = {entry[0].get<double>(), entry[1].get<double>()};
+        ++partition;
     }
-    ledger.shareVersions[team] = event.version;
+    clusterState.shareVersions[team] = event.version;
 }
 
 }  // namespace
@@ -238,22 +239,22 @@
 std::string machine(const std::string& id) {
     return machineKey + id;
 }
-std::string part(std::uint32_t part) {
-    return partKey + std::to_string(part);
+std::string partition(std::uint32_t partition) {
+    return partitionKey + std::to_string(partition);
 }
 std::string node(const std::string& name) {
     return nodeKey + name;
 }
-std::string share(const std::string& team) {
+std::string quota(const std::string& team) {
     return shareKey + team;
 }
-std::string upgraded(const std::string& node) {
+std::string jobDependenciesGate(const std::string& node) {
     return upgradedKey + node;
 }
-std::string transfers(const std::string& node) {
+std::string machineTransfersGate(const std::string& node) {
     return transfersKey + node;
 }
-std::string final(const std::string& id) {
+std::string terminal(const std::string& id) {
     return "final/" + id;
 }
 }  // namespace keys
@@ -262,7 +263,7 @@
     const auto submitted =
         std::chrono::duration_cast<std::chrono::milliseconds>(job.submitted.time_since_epoch());
     return {{"spec", protocol::encodeJobSpec(job.spec)},
-            {"part", job.part},
+            {"part", job.partition},
             {"slice", job.sliceSize},
             {"cancelled", job.cancelled},
             {"submitted", submitted.count()}};
@@ -280,7 +281,7 @@
     Json claims = Json::array();
     for (const auto& claim : slice.claims)
         claims.push_back({claim.task - slice.first, claim.machine, claim.attempt});
-    Json value{{"part", slice.part}, {"done", std::move(done)}, {"claims", std::move(claims)}};
+    Json value{{"part", slice.partition}, {"done", std::move(done)}, {"claims", std::move(claims)}};
     if (slice.failures > 0) value[failuresField] = slice.failures;
     if (slice.divided) {
         value[rangeFirst] = slice.first;
@@ -304,38 +305,39 @@
     Json value{{"type", machine.type},
                {"zone", machine.zone},
                {"spot", machine.spot},
-               {"part", machine.part},
+               {"part", machine.partition},
                {"retired", machine.retired}};
     if (machine.lender) value[lenderField] = *machine.lender;
-    if (machine.tokenFloor > 0) value[floorField] = machine.tokenFloor;
+    if (machine.minFencingToken > 0) value[floorField] = machine.minFencingToken;
     if (!machine.movedBy.empty()) value[movedByField] = machine.movedBy;
     return value;
 }
 
-bool machineValueValid(const Json& value, std::uint32_t partCount) {
+bool machineValueValid(const Json& value, std::uint32_t partitionCount) {
     const auto isText = [&value](const char* field) {
         const auto found = value.find(field);
         return found != value.end() && found->is_string();
     };
-    if (!value.is_object() || !isPart(value, partField, partCount) || !isText("type") ||
-        !isText("zone"))
+    if (!value.is_object() || !isPartition(value, partitionField, partitionCount) ||
+        !isText("type") || !isText("zone"))
+        return false;
+    if (value.contains(lenderField) && !isPartition(value, lenderField, partitionCount))
         return false;
-    if (value.contains(lenderField) && !isPart(value, lenderField, partCount)) return false;
     if (value.contains(floorField) && !value[floorField].is_number_unsigned()) return false;
     return !value.contains(movedByField) || isText(movedByField);
 }
 
-Json partValue(const Part& part) {
-    return {{"owner", part.owner}, {"term", part.term}};
+Json partitionValue(const Partition& partition) {
+    return {{"owner", partition.leader}, {"term", partition.term}};
 }
 
 Json shareValue(const std::map<std::uint32_t, TeamShare>& shares) {
     Json list = Json::array();
-    for (const auto& [part, share] : shares) list.push_back({share.cpus, share.gpus});
+    for (const auto& [partition, share] : shares) list.push_back({share.cpus, share.gpus});
     return {{"shares", std::move(list)}};
 }
 
-Json upgradedValue() {
+Json featureGateValue() {
     return {{"formats", 1}};
 }
 
@@ -343,7 +345,7 @@
     return protocol::encodeCatalog(types);
 }
 
-Json finalValue(const FinalState& state) {
+Json terminalValue(const TerminalState& state) {
     Json value{{"cancelled", state.cancelled}};
     if (state.at)
         value[finalAt] =
@@ -352,8 +354,8 @@
     return value;
 }
 
-FinalState readFinal(const Json& value) {
-    FinalState state{flagOf(value, "cancelled"), std::nullopt};
+TerminalState readTerminal(const Json& value) {
+    TerminalState state{flagOf(value, "cancelled"), std::nullopt};
     if (value.contains(finalAt))
         state.at = WallTime(std::chrono::milliseconds(countOf(value, finalAt)));
     return state;
@@ -377,55 +379,55 @@
     return std::clamp(even, std::min(smallSlice, most), most);
 }
 
-void noteCancellation(Ledger& ledger, const protocol::Event& event) {
+void recordCancellation(ClusterState& clusterState, const protocol::Event& event) {
     const auto id = after(event.key, jobKey);
     if (id && event.value && flagOf(*event.value, "cancelled"))
-        ledger.noteCancellation(*id, event.version);
+        clusterState.recordCancellation(*id, event.version);
 }
 
-void noteDeparture(Ledger& ledger, const protocol::Event& event) {
+void recordDeparture(ClusterState& clusterState, const protocol::Event& event) {
     const auto id = after(event.key, machineKey);
-    Machine* machine = id ? ledger.machine(*id) : nullptr;
+    Machine* machine = id ? clusterState.machine(*id) : nullptr;
     if (machine == nullptr || !event.value || machine->version >= event.version ||
-        !machineValueValid(*event.value, ledger.partCount))
+        !machineValueValid(*event.value, clusterState.partitionCount))
         return;
-    const auto part = static_cast<std::uint32_t>(countOf(*event.value, partField));
+    const auto partition = static_cast<std::uint32_t>(countOf(*event.value, partitionField));
     machine->departedTo.reset();
-    if (part != machine->part) machine->departedTo = part;
+    if (partition != machine->partition) machine->departedTo = partition;
 }
 
-void applyEvent(Ledger& ledger, const protocol::Event& event, SteadyTime now) {
+void applyEvent(ClusterState& clusterState, const protocol::Event& event, SteadyTime now) {
     if (event.key == keys::catalog) {
-        if (event.value && event.version > ledger.catalogVersion) {
-            ledger.catalog = protocol::parseCatalog(*event.value);
-            ledger.catalogVersion = event.version;
+        if (event.value && event.version > clusterState.catalogVersion) {
+            clusterState.catalog = protocol::parseCatalog(*event.value);
+            clusterState.catalogVersion = event.version;
         }
     } else if (event.key == keys::term) {
-        if (event.value && event.version > ledger.termVersion) {
-            ledger.lastTerm = countOf(*event.value, "term");
-            ledger.termVersion = event.version;
+        if (event.value && event.version > clusterState.termVersion) {
+            clusterState.lastTerm = countOf(*event.value, "term");
+            clusterState.termVersion = event.version;
         }
     } else if (const auto id = after(event.key, jobKey)) {
-        applyJob(ledger, *id, event);
+        applyJob(clusterState, *id, event);
     } else if (const auto slice = after(event.key, sliceKey)) {
-        applySlice(ledger, *slice, event);
+        applySlice(clusterState, *slice, event);
     } else if (const auto machine = after(event.key, machineKey)) {
-        applyMachine(ledger, *machine, event, now);
-    } else if (const auto part = after(event.key, partKey)) {
-        if (const auto number = toNumber(*part)) applyPart(ledger, *number, event);
+        applyMachine(clusterState, *machine, event, now);
+    } else if (const auto partition = after(event.key, partitionKey)) {
+        if (const auto number = toNumber(*partition)) applyPartition(clusterState, *number, event);
     } else if (const auto node = after(event.key, nodeKey)) {
-        const auto known = ledger.nodes.find(*node);
+        const auto known = clusterState.nodes.find(*node);
         if (event.value)
-            ledger.nodes[*node] =
-                std::max(event.version, known == ledger.nodes.end() ? 0 : known->second);
-        else if (known != ledger.nodes.end() && known->second < event.version)
-            ledger.nodes.erase(known);
+            clusterState.nodes[*node] =
+                std::max(event.version, known == clusterState.nodes.end() ? 0 : known->second);
+        else if (known != clusterState.nodes.end() && known->second < event.version)
+            clusterState.nodes.erase(known);
     } else if (const auto team = after(event.key, shareKey)) {
-        applyShare(ledger, *team, event);
-    } else if (const auto upgraded = after(event.key, upgradedKey)) {
-        if (event.value) ledger.upgradedNodes.insert(*upgraded);
-    } else if (const auto transfers = after(event.key, transfersKey)) {
-        if (event.value) ledger.transferNodes.insert(*transfers);
+        applyShare(clusterState, *team, event);
+    } else if (const auto jobDependenciesGate = after(event.key, upgradedKey)) {
+        if (event.value) clusterState.nodesWithJobDependencies.insert(*jobDependenciesGate);
+    } else if (const auto machineTransfersGate = after(event.key, transfersKey)) {
+        if (event.value) clusterState.nodesWithMachineTransfers.insert(*machineTransfersGate);
     }
 }
 
--- a/src/bookkeeping/records.h
+++ b/src/bookkeeping/records.h
@@ -1,7 +1,7 @@
 // The durable records: their keys in the state service and their values.
 //
-// Everything alive is under one prefix, so that one follow mirrors it; final states are apart and
-// are kept for ever.
+// Everything alive is under one prefix, so that one follow replicates it; terminal states are apart
+// and are kept for ever.
 #pragma once
 
 #include <string>
@@ -14,20 +14,20 @@
 using protocol::Json;
 
 namespace keys {
-inline constexpr auto live = "live/";
+inline constexpr auto activePrefix = "live/";
 inline constexpr auto term = "live/term";
 inline constexpr auto catalog = "live/catalog";
 std::string job(const std::string& id);
 std::string slice(const std::string& id, std::uint32_t index);
 std::string machine(const std::string& id);
-std::string part(std::uint32_t part);
+std::string partition(std::uint32_t partition);
 std::string node(const std::string& name);
-std::string share(const std::string& team);
+std::string quota(const std::string& team);
 // Says, for ever, that a node has run a version that knows the formats added since the first one.
-std::string upgraded(const std::string& node);
+std::string jobDependenciesGate(const std::string& node);
 // The same of a version that knows machines which change hands with their tasks.
-std::string transfers(const std::string& node);
-std::string final(const std::string& id);
+std::string machineTransfersGate(const std::string& node);
+std::string terminal(const std::string& id);
 }  // namespace keys
 
 Json jobValue(const Job& job);
@@ -35,14 +35,14 @@
 // The content of the job's slice with this index by its record; none: the record makes no sense.
 std::optional<SliceContent> readSlice(const Job& job, std::uint32_t index, const Json& value);
 Json machineValue(const Machine& machine);
-// Whether a machine's record can be read and names parts that exist.
-bool machineValueValid(const Json& value, std::uint32_t partCount);
-Json partValue(const Part& part);
+// Whether a machine's record can be read and names partitions that exist.
+bool machineValueValid(const Json& value, std::uint32_t partitionCount);
+Json partitionValue(const Partition& partition);
 Json shareValue(const std::map<std::uint32_t, TeamShare>& shares);
-Json upgradedValue();
+Json featureGateValue();
 Json catalogValue(const std::vector<protocol::MachineType>& types);
-Json finalValue(const FinalState& state);
-FinalState readFinal(const Json& value);
+Json terminalValue(const TerminalState& state);
+TerminalState readTerminal(const Json& value);
 
 // What the state service allows.
 struct RecordBounds {
@@ -55,14 +55,14 @@
 // whole.
 std::uint32_t sliceSizeFor(const JobSpec& spec, const RecordBounds& bounds, bool divisible);
 
-// Applies a record as read or followed, unless the ledger has it at least as new. An event without
-// value is a deletion.
-void applyEvent(Ledger& ledger, const protocol::Event& event, SteadyTime now);
+// Applies a record as read or followed, unless the cluster state has it at least as new. An event
+// without value is a deletion.
+void applyEvent(ClusterState& clusterState, const protocol::Event& event, SteadyTime now);
 
 // Notes a cancellation that a record shows, and nothing else of it.
-void noteCancellation(Ledger& ledger, const protocol::Event& event);
+void recordCancellation(ClusterState& clusterState, const protocol::Event& event);
 
-// Notes that a machine's record names another part, and nothing else of it.
-void noteDeparture(Ledger& ledger, const protocol::Event& event);
+// Notes that a machine's record names another partition, and nothing else of it.
+void recordDeparture(ClusterState& clusterState, const protocol::Event& event);
 
 }  // namespace fawnwheel::bookkeeping
--- a/src/coordination/admission.cpp
+++ b/src/coordination/admission.cpp
@@ -79,13 +79,13 @@
     job.submitted = context_.timers.wallNow();
     job.sliceSize =
         bookkeeping::sliceSizeFor(spec, {context_.settings.valueKb, context_.settings.stateWrites},
-                                  context_.upgradeComplete(*context_.ledger.lock()));
+                                  context_.jobDependenciesEnabled(*context_.clusterState.lock()));
     return job;
 }
 
 bool Admission::recordable(const protocol::JobSpec& spec) const {
     Job job = newJob(spec);
-    job.part = context_.partCount();
+    job.partition = context_.partitionCount();
     return bookkeeping::jobValue(job).dump().size() <= context_.settings.valueBytes() &&
            spec.predecessors.size() + ownConditions <= context_.settings.transactionConditions();
 }
@@ -96,14 +96,14 @@
     auto parsed = protocol::parseJobSpec(*map);
     if (!std::holds_alternative<protocol::JobSpec>(parsed)) return reply({400, {}, 0});
     auto& spec = std::get<protocol::JobSpec>(parsed);
-    if (const auto final = lookup_.knownFinal(spec.id))
+    if (const auto final = lookup_.knownTerminal(spec.id))
         return reply(stateOf(spec.id, *final, true));
     if (!recordable(spec)) return reply({400, {}, 0});
     // Answered at once when we can't take it: the user is told when to come again.
     if (!synced() || !context_.state.reachable() || submissions_.full()) return reply(later());
     reply = limited(submissions_, std::move(reply));
     // A job that was accepted once is known, whatever the catalog or the teams say by now.
-    if (context_.ledger.lock()->job(spec.id) != nullptr) return tellKnown(spec.id, reply);
+    if (context_.clusterState.lock()->job(spec.id) != nullptr) return tellKnown(spec.id, reply);
     if (auto refusal = check(spec))
         return lookup_.find(spec.id, LookupPurpose::decision,
                             [this, id = spec.id, refusal, reply](JobStatus status) {
@@ -122,21 +122,22 @@
     });
 }
 
-Admission::Judgement Admission::judge(Ledger& ledger, const Submission& submission) const {
+Admission::Judgement Admission::judge(ClusterState& clusterState,
+                                      const Submission& submission) const {
     Judgement judgement;
     // While a node of the version before may come back, nobody would keep the order for sure.
-    if (!submission.spec.predecessors.empty() && !context_.upgradeComplete(ledger))
+    if (!submission.spec.predecessors.empty() && !context_.jobDependenciesEnabled(clusterState))
         judgement.refusal = later();
     for (const auto& id : submission.spec.predecessors) {
-        if (const auto final = submission.finals.find(id); final != submission.finals.end()) {
+        if (const auto final = submission.terminals.find(id); final != submission.terminals.end()) {
             judgement.cancelled = judgement.cancelled || final->second;
             continue;
         }
-        if (const auto final = lookup_.knownFinal(id)) {
-            judgement.cancelled = judgement.cancelled || final == JobStatus::finalCancelled;
+        if (const auto final = lookup_.knownTerminal(id)) {
+            judgement.cancelled = judgement.cancelled || final == JobStatus::terminalCancelled;
             continue;
         }
-        const Job* live = ledger.job(id);
+        const Job* live = clusterState.job(id);
         if (live == nullptr) {
             judgement.unknown.push_back(id);
             continue;
@@ -144,17 +145,17 @@
         // A service never ends; and who needs a cancelled job is cancelled first.
         if (live->spec.kind == protocol::JobKind::service)
             judgement.refusal = HttpResponse{422, {}, 0};
-        else if (!live->cancelled && (live->doomed || ledger.knownCancelled(*live)))
+        else if (!live->cancelled && (live->doomed || clusterState.knownCancelled(*live)))
             judgement.refusal = later();
         judgement.cancelled = judgement.cancelled || live->cancelled;
-        judgement.conditions.push_back({bookkeeping::keys::job(id), live->version});
+        judgement.compares.push_back({bookkeeping::keys::job(id), live->version});
     }
     return judgement;
 }
 
 void Admission::accept(const SubmissionPtr& submission) {
     if (submission->tries++ >= maxTries) return submission->reply(later());
-    const auto judgement = judge(*context_.ledger.lock(), *submission);
+    const auto judgement = judge(*context_.clusterState.lock(), *submission);
     if (judgement.refusal) return submission->reply(*judgement.refusal);
     if (!judgement.unknown.empty()) return lookUp(submission, judgement.unknown);
     if (judgement.cancelled)
@@ -173,8 +174,8 @@
     gather->left = predecessors.size();
     for (const auto& id : predecessors)
         lookup_.find(id, LookupPurpose::decision, [this, submission, gather, id](JobStatus status) {
-            if (status == JobStatus::finalDone || status == JobStatus::finalCancelled)
-                submission->finals[id] = status == JobStatus::finalCancelled;
+            if (status == JobStatus::terminalDone || status == JobStatus::terminalCancelled)
+                submission->terminals[id] = status == JobStatus::terminalCancelled;
             // Only the state service itself can say that a job was never accepted.
             if (status == JobStatus::unknownJob) gather->refusal = HttpResponse{422, {}, 0};
             if (status == JobStatus::noAnswer && !gather->refusal) gather->refusal = later();
@@ -187,23 +188,24 @@
 void Admission::create(const SubmissionPtr& submission, const Judgement& judgement) {
     const auto& spec = submission->spec;
     Job job = newJob(spec);
-    job.part = moves_.mapJob(job);
+    job.partition = moves_.mapJob(job);
     const auto key = bookkeeping::keys::job(spec.id);
     const auto value = bookkeeping::jobValue(job);
     // Also if this is carried out late it can't revive a job: its end is a record as well. Nor can
     // it follow a job that has been called off or has ended meanwhile: that changes its live
     // record.
-    protocol::Transaction transaction{judgement.conditions, {{key, value, 0}}};
-    transaction.conditions.push_back({key, 0});
-    transaction.conditions.push_back({bookkeeping::keys::final(spec.id), 0});
+    protocol::CompareAndSwap transaction{judgement.compares, {{key, value, 0}}};
+    transaction.compares.push_back({key, 0});
+    transaction.compares.push_back({bookkeeping::keys::terminal(spec.id), 0});
     context_.state.transact(
-        std::move(transaction), protocol::Urgency::userRequest,
-        [this, submission, key, value](const protocol::TransactionAnswer& answer) {
+        std::move(transaction), protocol::RequestPriority::userRequest,
+        [this, submission, key, value](const protocol::CompareAndSwapResponse& answer) {
             if (answer.result == StateResult::refused) return onRefused(submission, answer);
             if (answer.result != StateResult::ok) return submission->reply(later());
             {
-                auto ledger = context_.ledger.lock();
-                bookkeeping::applyEvent(*ledger, {key, value, answer.revision}, context_.now());
+                auto clusterState = context_.clusterState.lock();
+                bookkeeping::applyEvent(*clusterState, {key, value, answer.revision},
+                                        context_.now());
             }
             submission->reply(ok(
                 protocol::encodeJobState(submission->spec.id, protocol::wire::stateQueued), 201));
@@ -214,18 +216,18 @@
 void Admission::createCancelled(const SubmissionPtr& submission, const Judgement& judgement) {
     // It is accepted all the same, and ends there and then.
     const auto& id = submission->spec.id;
-    const auto final = bookkeeping::keys::final(id);
-    protocol::Transaction transaction{
-        judgement.conditions,
-        {{final, bookkeeping::finalValue({true, context_.timers.wallNow()}), 0}}};
-    transaction.conditions.push_back({bookkeeping::keys::job(id), 0});
-    transaction.conditions.push_back({final, 0});
+    const auto final = bookkeeping::keys::terminal(id);
+    protocol::CompareAndSwap transaction{
+        judgement.compares,
+        {{final, bookkeeping::terminalValue({true, context_.timers.wallNow()}), 0}}};
+    transaction.compares.push_back({bookkeeping::keys::job(id), 0});
+    transaction.compares.push_back({final, 0});
     context_.state.transact(
-        std::move(transaction), protocol::Urgency::userRequest,
-        [this, submission](const protocol::TransactionAnswer& answer) {
+        std::move(transaction), protocol::RequestPriority::userRequest,
+        [this, submission](const protocol::CompareAndSwapResponse& answer) {
             if (answer.result == StateResult::refused) return onRefused(submission, answer);
             if (answer.result != StateResult::ok) return submission->reply(later());
-            lookup_.noteFinal(submission->spec.id, true);
+            lookup_.recordTerminal(submission->spec.id, true);
             submission->reply(
                 ok(protocol::encodeJobState(submission->spec.id, protocol::wire::stateCancelled),
                    201));
@@ -233,7 +235,7 @@
 }
 
 void Admission::onRefused(const SubmissionPtr& submission,
-                          const protocol::TransactionAnswer& answer) {
+                          const protocol::CompareAndSwapResponse& answer) {
     const auto& id = submission->spec.id;
     std::vector<std::string> moved;  // predecessors whose records have changed
     for (const auto& predecessor : submission->spec.predecessors)
@@ -255,16 +257,16 @@
             return {404, {}, 0};
         case JobStatus::noAnswer:
             return later();
-        case JobStatus::finalDone:
+        case JobStatus::terminalDone:
             state = wire::stateDone;
             break;
         case JobStatus::cancelled:
-        case JobStatus::finalCancelled:
+        case JobStatus::terminalCancelled:
             state = wire::stateCancelled;
             break;
         case JobStatus::active: {
-            auto ledger = context_.ledger.lock();
-            if (const Job* job = ledger->job(id)) {
+            auto clusterState = context_.clusterState.lock();
+            if (const Job* job = clusterState->job(id)) {
                 done = job->doneTasks();
                 running = job->claimedTasks();
                 if (running > 0) state = wire::stateRunning;
@@ -285,7 +287,7 @@
 
 void Admission::ask(const std::string& id, HttpReply reply) {
     if (!protocol::validJobId(id)) return reply({404, {}, 0});
-    if (const auto final = lookup_.knownFinal(id)) return reply(stateOf(id, *final, false));
+    if (const auto final = lookup_.knownTerminal(id)) return reply(stateOf(id, *final, false));
     if (!synced() || questions_.full()) return reply(later());
     reply = limited(questions_, std::move(reply));
     lookup_.find(id, LookupPurpose::question,
@@ -294,7 +296,7 @@
 
 void Admission::cancel(const std::string& id, HttpReply reply) {
     if (!protocol::validJobId(id)) return reply({404, {}, 0});
-    if (const auto final = lookup_.knownFinal(id)) return reply(stateOf(id, *final, true));
+    if (const auto final = lookup_.knownTerminal(id)) return reply(stateOf(id, *final, true));
     if (!synced() || cancellations_.full()) return reply(later());
     tryCancel(id, 0, limited(cancellations_, std::move(reply)));
 }
@@ -302,12 +304,12 @@
 void Admission::tryCancel(const std::string& id, int tries, const HttpReply& reply) {
     lookup_.find(id, LookupPurpose::decision, [this, id, tries, reply](JobStatus status) {
         if (status != JobStatus::active) return tell(id, status, true, reply);
-        protocol::Transaction transaction;
+        protocol::CompareAndSwap transaction;
         protocol::Json value;
         const auto key = bookkeeping::keys::job(id);
         {
-            auto ledger = context_.ledger.lock();
-            const Job* job = ledger->job(id);
+            auto clusterState = context_.clusterState.lock();
+            const Job* job = clusterState->job(id);
             if (job == nullptr) return reply(later());
             Job next = *job;
             next.cancelled = true;
@@ -315,14 +317,15 @@
             transaction = {{{key, job->version}}, {{key, value, 0}}};
         }
         context_.state.transact(
-            std::move(transaction), protocol::Urgency::userRequest,
-            [this, id, key, value, tries, reply](const protocol::TransactionAnswer& answer) {
+            std::move(transaction), protocol::RequestPriority::userRequest,
+            [this, id, key, value, tries, reply](const protocol::CompareAndSwapResponse& answer) {
                 if (answer.result == StateResult::refused && tries + 1 < maxTries)
                     return tryCancel(id, tries + 1, reply);
                 if (answer.result != StateResult::ok) return reply(later());
                 {
-                    auto ledger = context_.ledger.lock();
-                    bookkeeping::applyEvent(*ledger, {key, value, answer.revision}, context_.now());
+                    auto clusterState = context_.clusterState.lock();
+                    bookkeeping::applyEvent(*clusterState, {key, value, answer.revision},
+                                            context_.now());
                 }
                 spdlog::debug("job {}: cancelled by its user", id);
                 tell(id, JobStatus::cancelled, true, reply);
--- a/src/coordination/admission.h
+++ b/src/coordination/admission.h
@@ -48,13 +48,13 @@
         protocol::JobSpec spec;
         transport::HttpReply reply;
         int tries = 0;
-        std::map<std::string, bool> finals;  // predecessors that have ended; cancelled?
+        std::map<std::string, bool> terminals;  // predecessors that have ended; cancelled?
     };
     using SubmissionPtr = std::shared_ptr<Submission>;
     // What is known of a submission's predecessors.
     struct Judgement {
-        std::vector<std::string> unknown;             // to be looked up
-        std::vector<protocol::Condition> conditions;  // live records as they were judged
+        std::vector<std::string> unknown;         // to be looked up
+        std::vector<protocol::Compare> compares;  // active records as they were judged
         std::optional<transport::HttpResponse> refusal;
         bool cancelled = false;  // one of them is
     };
@@ -71,12 +71,12 @@
     [[nodiscard]] bool recordable(const protocol::JobSpec& spec) const;
     [[nodiscard]] Job newJob(const protocol::JobSpec& spec) const;
 
-    [[nodiscard]] Judgement judge(Ledger& ledger, const Submission& submission) const;
+    [[nodiscard]] Judgement judge(ClusterState& clusterState, const Submission& submission) const;
     void accept(const SubmissionPtr& submission);
     void lookUp(const SubmissionPtr& submission, const std::vector<std::string>& predecessors);
     void create(const SubmissionPtr& submission, const Judgement& judgement);
     void createCancelled(const SubmissionPtr& submission, const Judgement& judgement);
-    void onRefused(const SubmissionPtr& submission, const protocol::TransactionAnswer& answer);
+    void onRefused(const SubmissionPtr& submission, const protocol::CompareAndSwapResponse& answer);
 
     Context& context_;
     JobLookup& lookup_;
--- a/src/coordination/context.h
+++ b/src/coordination/context.h
@@ -1,4 +1,4 @@
-// What the parts of the coordination share.
+// What the modules of the coordination layer share.
 #pragma once
 
 #include <algorithm>
@@ -17,8 +17,8 @@
 namespace fawnwheel::coordination {
 
 using bookkeeping::Claim;
+using bookkeeping::ClusterState;
 using bookkeeping::Job;
-using bookkeeping::Ledger;
 using bookkeeping::Machine;
 using bookkeeping::Slice;
 using protocol::MachineType;
@@ -48,12 +48,12 @@
                 platform.cloudCalls * shareOfLimits / static_cast<double>(nodes.size())),
           rng(seed) {
         for (std::uint32_t i = 0; i < nodes.size(); ++i)
-            if (nodes[i] == settings.name) naturalPart = i;
-        ledger.lock()->partCount = partCount();
+            if (nodes[i] == settings.name) preferredPartition = i;
+        clusterState.lock()->partitionCount = partitionCount();
     }
 
     [[nodiscard]] SteadyTime now() const { return timers.now(); }
-    [[nodiscard]] std::uint32_t partCount() const {
+    [[nodiscard]] std::uint32_t partitionCount() const {
         return static_cast<std::uint32_t>(nodes.size());
     }
     [[nodiscard]] const MachineType* type(const std::string& name) const {
@@ -68,35 +68,36 @@
     }
     // An array of the lowest priority, of a team without a guarantee: it uses what is left over.
     [[nodiscard]] bool isGuest(const Job& job) const {
-        const auto* owner = team(job.spec.team);
+        const auto* teamSettings = team(job.spec.team);
         return job.priority == protocol::Priority::low &&
                job.spec.kind == protocol::JobKind::array &&
-               (owner == nullptr || (owner->cpus <= 0 && owner->gpus <= 0));
+               (teamSettings == nullptr || (teamSettings->cpus <= 0 && teamSettings->gpus <= 0));
     }
     // Whether records and frames may have the formats that the first version doesn't know: no node
     // runs that version any more, nor ever will.
-    [[nodiscard]] bool upgradeComplete(const Ledger& held) const {
+    [[nodiscard]] bool jobDependenciesEnabled(const ClusterState& held) const {
         return std::all_of(nodes.begin(), nodes.end(), [&held](const std::string& node) {
-            return held.upgradedNodes.contains(node);
+            return held.nodesWithJobDependencies.contains(node);
         });
     }
     // Whether machines may change hands with their tasks: every node knows how to read it.
-    [[nodiscard]] bool transfersUnderstood(const Ledger& held) const {
-        return upgradeComplete(held) &&
+    [[nodiscard]] bool machineTransfersEnabled(const ClusterState& held) const {
+        return jobDependenciesEnabled(held) &&
                std::all_of(nodes.begin(), nodes.end(), [&held](const std::string& node) {
-                   return held.transferNodes.contains(node);
+                   return held.nodesWithMachineTransfers.contains(node);
                });
     }
-    // The part that a machine belongs to while no record says otherwise; every node agrees on it.
-    // A part has machines of few zones, so that a gang finds its places together and a cut between
-    // zones parts few of them from their owner: the nodes stand in the order of their zones, and
-    // each zone has an equal run of them. With one node or less for a zone all its machines would
-    // hang on that node: then by number alone.
-    [[nodiscard]] std::uint32_t defaultPart(const std::string& zone, const std::string& id) const {
+    // The partition that a machine belongs to while no record says otherwise; every node agrees on
+    // it. A partition has machines of few zones, so that a gang finds its places together and a cut
+    // between zones separates few of them from their leader: the nodes stand in the order of their
+    // zones, and each zone has an equal run of them. With one node or less for a zone all its
+    // machines would hang on that node: then by number alone.
+    [[nodiscard]] std::uint32_t defaultPartition(const std::string& zone,
+                                                 const std::string& id) const {
         std::vector<std::pair<std::string, std::uint32_t>> order;
         std::set<std::string> zones;
-        for (std::uint32_t part = 0; part < nodes.size(); ++part) {
-            order.emplace_back(settings.zoneOf(nodes[part]), part);
+        for (std::uint32_t partition = 0; partition < nodes.size(); ++partition) {
+            order.emplace_back(settings.zoneOf(nodes[partition]), partition);
             zones.insert(order.back().first);
         }
         std::sort(order.begin(), order.end());
@@ -116,7 +117,7 @@
     }
     // How old the cancellations known here may be when a worker's lease is renewed: a lease later
     // its tasks are gone, and that has to be within `cancel_s`. Not above zero: there is no room.
-    [[nodiscard]] Duration cancellationRoom() const {
+    [[nodiscard]] Duration cancellationSlack() const {
         return ticks(settings.cancel * shortenedByDrift - settings.lease * prolongedByDrift -
                      cancelMargin);
     }
@@ -130,10 +131,10 @@
     transport::Timers& timers;
     transport::Network& network;
     std::vector<std::string> nodes;
-    std::uint32_t naturalPart = 0;
+    std::uint32_t preferredPartition = 0;
     protocol::StateClient state;
     protocol::CloudClient cloud;
-    bookkeeping::Guarded<Ledger> ledger;
+    bookkeeping::Synchronized<ClusterState> clusterState;
     std::vector<MachineType> catalog;
     std::mt19937_64 rng;
 
--- a/src/coordination/controller.cpp
+++ b/src/coordination/controller.cpp
@@ -23,66 +23,66 @@
     : context_(settings, tuning, timers, network, seed),
       replica_(context_),
       contact_(context_),
-      committer_(context_),
+      pipeline_(context_),
       membership_(context_),
-      recorder_(context_, committer_),
+      stateWriter_(context_, pipeline_),
       placement_(context_, membership_),
-      reports_(context_, membership_, recorder_),
-      fleet_(context_, membership_, committer_, placement_, reports_),
-      shares_(context_, membership_, committer_, placement_),
-      transfers_(context_, committer_, recorder_.writer(), shares_, reports_),
+      reports_(context_, membership_, stateWriter_),
+      fleet_(context_, membership_, pipeline_, placement_, reports_),
+      shares_(context_, membership_, pipeline_, placement_),
+      transfers_(context_, pipeline_, stateWriter_.writer(), shares_, reports_),
       loans_(context_, membership_, placement_, transfers_),
-      sharing_(context_, membership_, committer_, placement_, transfers_),
-      moves_(context_, membership_, committer_, recorder_, placement_),
+      sharing_(context_, membership_, pipeline_, placement_, transfers_),
+      moves_(context_, membership_, pipeline_, stateWriter_, placement_),
       lookup_(context_),
       admission_(context_, lookup_, moves_),
       triggers_(context_, membership_) {
-    replica_.inFlight = [this](const std::string& key) { return committer_.inFlight(key); };
+    replica_.inFlight = [this](const std::string& key) { return pipeline_.inFlight(key); };
     replica_.onChange = [this] {
         fleet_.adoptCatalog();
-        membership_.review();
-        noteCancellations();
+        membership_.reconcile();
+        stopCancelledJobs();
         triggers_.review();
         soon();
     };
-    committer_.onDoubt = [this] { replica_.resync(); };
-    committer_.onSettled = [this](const std::vector<std::string>& keys) { replica_.settle(keys); };
+    pipeline_.onDoubt = [this] { replica_.resync(); };
+    pipeline_.onSettled = [this](const std::vector<std::string>& keys) { replica_.settle(keys); };
     membership_.synced = [this] { return replica_.synced(); };
     membership_.everSynced = [this] { return replica_.everSynced(); };
     membership_.recordsCurrentAsOf = [this] { return replica_.currentAsOf(); };
-    membership_.onCancellations = [this] { noteCancellations(); };
+    membership_.onCancellations = [this] { stopCancelledJobs(); };
     membership_.ready = [this] {
         return replica_.synced() && !context_.catalog.empty() && contact_.steady();
     };
     membership_.workersLost = [this] { return contact_.lost(); };
     contact_.onChange = [this] {
-        membership_.noteContact();
+        membership_.onReachabilityChanged();
         soon();
     };
-    membership_.busy = [this](std::uint32_t part) { return committer_.busy(part); };
-    membership_.onActive = [this](std::uint32_t part) {
-        reports_.onPartActive(part);
+    membership_.busy = [this](std::uint32_t partition) { return pipeline_.busy(partition); };
+    membership_.onActive = [this](std::uint32_t partition) {
+        reports_.onPartitionAcquired(partition);
         contact_.expectReports();
         soon();
     };
-    membership_.onLost = [this](std::uint32_t part) { discardUnrecorded(part); };
+    membership_.onLost = [this](std::uint32_t partition) { discardUnrecorded(partition); };
     membership_.recordsComplete = [this] { return !replica_.anyDeferred(); };
-    recorder_.onFinal = [this](const std::string& id, bool cancelled) {
-        lookup_.noteFinal(id, cancelled);
+    stateWriter_.onTerminal = [this](const std::string& id, bool cancelled) {
+        lookup_.recordTerminal(id, cancelled);
         triggers_.announce(id);
         stopping_.erase(id);
     };
-    recorder_.onCancelled = [this] { membership_.spreadCancellations([] {}); };
+    stateWriter_.onCancelled = [this] { membership_.spreadCancellations([] {}); };
     triggers_.onRead = [this] { soon(); };
     lookup_.recordsCurrentAsOf = [this] { return replica_.currentAsOf(); };
-    context_.ledger.lock()->dependencies.stepTime = [this](const protocol::JobSpec& spec) {
+    context_.clusterState.lock()->dependencies.stepTime = [this](const protocol::JobSpec& spec) {
         return placement_.stepTime(spec);
     };
-    recorder_.onDurable = [this](const std::set<std::string>& machines) {
+    stateWriter_.onDurable = [this](const std::set<std::string>& machines) {
         reports_.requestReports(machines);
         soon();
     };
-    transfers_.onDurable = recorder_.onDurable;
+    transfers_.onDurable = stateWriter_.onDurable;
     sharing_.onChange = [this] { soon(); };
     reports_.onUnassigned = [this](const protocol::WorkerReport& report) {
         fleet_.noteReported(report);
@@ -96,7 +96,7 @@
     admission_.onAccepted = [this] { soon(); };
     admission_.onCancelled = [this](std::function<void()> then) {
         membership_.spreadCancellations(std::move(then));
-        noteCancellations();
+        stopCancelledJobs();
     };
 }
 
@@ -124,57 +124,57 @@
 }
 
 void Controller::work() {
-    for (const auto part : membership_.activeParts()) {
-        // Starts would reach nobody: what waits is left to the next owner.
+    for (const auto partition : membership_.ledPartitions()) {
+        // Starts would reach nobody: what waits is left to the next leader.
         if (membership_.leaseStands() && !contact_.lost()) {
-            const auto unplaced = placement_.run(part);
-            sharing_.noteUnplaced(part, unplaced);
-            for (const auto& machine : placement_.preemptFor(part, unplaced))
+            const auto unplaced = placement_.run(partition);
+            sharing_.recordUnplaced(partition, unplaced);
+            for (const auto& machine : placement_.preemptFor(partition, unplaced))
                 reports_.stopMarked(machine);
-            loans_.askFor(part, unplaced);
-            shares_.askFor(part, unplaced);
-            fleet_.rentFor(part, unplaced);
+            loans_.askFor(partition, unplaced);
+            shares_.askFor(partition, unplaced);
+            fleet_.rentFor(partition, unplaced);
         }
-        recorder_.flush(part);
+        stateWriter_.flush(partition);
     }
 }
 
-void Controller::discardUnrecorded(std::uint32_t part) {
-    // Kept over a loss, a claim that this owner had seen ended, and a successor had started once
-    // more by its record, was written off when the part came back: the task then ran unknown to
-    // anybody, and once more elsewhere (scenario unrecorded_over_terms).
-    if (committer_.busy(part)) {
+void Controller::discardUnrecorded(std::uint32_t partition) {
+    // Kept over a loss, a claim that this leader had seen ended, and a successor had started once
+    // more by its record, was written off when the partition came back: the task then ran unknown
+    // to anybody, and once more elsewhere (scenario unrecorded_over_terms).
+    if (pipeline_.busy(partition)) {
         // The outcome of what is under way is unknown: only the records tell.
-        committer_.abandon(part);
+        pipeline_.abandon(partition);
         return replica_.resync();
     }
-    context_.ledger.lock()->discardUnrecorded(part);
+    context_.clusterState.lock()->discardUnrecorded(partition);
 }
 
-void Controller::noteCancellations() {
+void Controller::stopCancelledJobs() {
     std::vector<std::string> fresh;
     {
-        auto ledger = context_.ledger.lock();
-        for (const auto& [id, job] : ledger->jobs)
-            if (ledger->knownCancelled(job) && job.anyClaim() && stopping_.insert(id).second)
+        auto clusterState = context_.clusterState.lock();
+        for (const auto& [id, job] : clusterState->jobs)
+            if (clusterState->knownCancelled(job) && job.anyClaim() && stopping_.insert(id).second)
                 fresh.push_back(id);
     }
     for (const auto& id : fresh) reports_.stopNow(id);
 }
 
 void Controller::housekeeping() {
-    for (const auto part : membership_.activeParts()) {
-        if (membership_.leaseStands()) reports_.expireSilent(part);
-        fleet_.review(part);
-        if (membership_.leaseStands()) loans_.review(part);
-        if (membership_.leaseStands() && fleet_.mayEmpty(part))
-            if (const auto machine = placement_.emptyOne(part)) reports_.stopMarked(*machine);
+    for (const auto partition : membership_.ledPartitions()) {
+        if (membership_.leaseStands()) reports_.expireSilent(partition);
+        fleet_.review(partition);
+        if (membership_.leaseStands()) loans_.review(partition);
+        if (membership_.leaseStands() && fleet_.mayEmpty(partition))
+            if (const auto machine = placement_.emptyOne(partition)) reports_.stopMarked(*machine);
     }
     std::erase_if(stopping_, [this](const std::string& id) {
-        return context_.ledger.lock()->job(id) == nullptr;
+        return context_.clusterState.lock()->job(id) == nullptr;
     });
     triggers_.review();
-    contact_.review(membership_.activeParts());
+    contact_.review(membership_.ledPartitions());
     soon();
     context_.timers.after(housekeepingPeriod, [this] { housekeeping(); });
 }
@@ -219,8 +219,8 @@
     std::visit(
         [&](const auto& message) {
             using Message = std::decay_t<decltype(message)>;
-            if constexpr (std::is_same_v<Message, protocol::Status>)
-                membership_.onStatus(peer, message);
+            if constexpr (std::is_same_v<Message, protocol::PeerHeartbeat>)
+                membership_.onPeerHeartbeat(peer, message);
             else if constexpr (std::is_same_v<Message, protocol::MoveAsk>)
                 moves_.onAsk(peer, message);
             else if constexpr (std::is_same_v<Message, protocol::MoveAnswer>)
@@ -235,8 +235,8 @@
                 triggers_.onEnded(message);
             else if constexpr (std::is_same_v<Message, protocol::DemandReport>)
                 sharing_.onDemand(peer, message);
-            else if constexpr (std::is_same_v<Message, protocol::OwnerStatus>)
-                membership_.onOwnerStatus(peer, message);
+            else if constexpr (std::is_same_v<Message, protocol::LeaderHeartbeat>)
+                membership_.onLeaderHeartbeat(peer, message);
         },
         envelope->message);
 }
--- a/src/coordination/controller.h
+++ b/src/coordination/controller.h
@@ -1,5 +1,5 @@
-// One controller: routes requests and messages to the parts of the coordination and lets them
-// work in turn.
+// One controller: routes requests and messages to the modules of the coordination layer and lets
+// them work in turn.
 #pragma once
 
 #include "coordination/admission.h"
@@ -25,7 +25,9 @@
 
     [[nodiscard]] bool healthy() const { return membership_.healthy(); }
     // For audits: what this process knows.
-    [[nodiscard]] bookkeeping::Guarded<Ledger>& ledger() { return context_.ledger; }
+    [[nodiscard]] bookkeeping::Synchronized<ClusterState>& clusterState() {
+        return context_.clusterState;
+    }
     [[nodiscard]] bool synced() const { return replica_.synced(); }
 
   private:
@@ -33,15 +35,15 @@
     void soon();
     void work();
     void housekeeping();
-    void noteCancellations();
-    void discardUnrecorded(std::uint32_t part);
+    void stopCancelledJobs();
+    void discardUnrecorded(std::uint32_t partition);
 
     Context context_;
     Replica replica_;
     WorkerContact contact_;
-    Committer committer_;
+    TransactionPipeline pipeline_;
     Membership membership_;
-    Recorder recorder_;
+    StateWriter stateWriter_;
     Placement placement_;
     Reports reports_;
     Fleet fleet_;
--- a/src/coordination/failure_review.cpp
+++ b/src/coordination/failure_review.cpp
@@ -17,7 +17,7 @@
 
 }  // namespace
 
-void FailureReview::noteError(Ledger& ledger, Machine& machine, Job& job, Slice& slice,
+void FailureReview::noteError(ClusterState& clusterState, Machine& machine, Job& job, Slice& slice,
                               const Claim& claim) {
     const auto now = context_.now();
     auto& history = job.failures;
@@ -40,21 +40,21 @@
         ++slice.failures;
     }
     if (job.failing())
-        blameJob(ledger, job, slice.part);
+        blameJob(clusterState, job, slice.partition);
     else
         blameMachine(machine, job);
 }
 
-void FailureReview::blameJob(Ledger& ledger, Job& job, std::uint32_t part) {
+void FailureReview::blameJob(ClusterState& clusterState, Job& job, std::uint32_t partition) {
     // Counted against the machines, one such job after the other had dozens of them replaced, with
     // all that ran there (incident inc-59fe).
     spdlog::info("job {}: fails on every machine, tried again now and then", job.spec.id);
     job.notBefore = context_.now() + firstBackoff;
     job.failures.machines.clear();
     job.failures.probes = 1;
-    for (auto& [id, machine] : ledger.machines) machine.failedJobs.erase(job.spec.id);
+    for (auto& [id, machine] : clusterState.machines) machine.failedJobs.erase(job.spec.id);
     for (auto& slice : job.slices) {
-        if (slice.part != part) continue;
+        if (slice.partition != partition) continue;
         for (auto& claim : slice.claims)
             if (!claim.seen) claim.giveUp = true;
     }
@@ -73,11 +73,11 @@
     machine.notBefore = context_.now() + quarantineTime;
 }
 
-void FailureReview::noteDone(Ledger& ledger, Machine& machine, Job& job) {
+void FailureReview::noteDone(ClusterState& clusterState, Machine& machine, Job& job) {
     machine.failedJobs.clear();
     // The job is sound: those that failed its tasks, and have done none since, are faulty.
     for (const auto& [id, when] : job.failures.machines)
-        if (Machine* other = ledger.machine(id);
+        if (Machine* other = clusterState.machine(id);
             other != nullptr && other->failedJobs.contains(job.spec.id))
             quarantine(*other);
     job.failures.machines.clear();
@@ -90,7 +90,7 @@
     spdlog::info("job {}: runs after all", job.spec.id);
     job.failures.disproved = true;
     for (auto& other : job.slices) {
-        if (other.part != slice.part || other.failures == 0) continue;
+        if (other.partition != slice.partition || other.failures == 0) continue;
         other.touch();
         other.failures = 0;
     }
--- a/src/coordination/failure_review.h
+++ b/src/coordination/failure_review.h
@@ -15,14 +15,15 @@
     explicit FailureReview(Context& context) : context_(context) {}
 
     // A task has ended with an error. Called before its claim is removed.
-    void noteError(Ledger& ledger, Machine& machine, Job& job, Slice& slice, const Claim& claim);
+    void noteError(ClusterState& clusterState, Machine& machine, Job& job, Slice& slice,
+                   const Claim& claim);
     // A task has been done.
-    void noteDone(Ledger& ledger, Machine& machine, Job& job);
+    void noteDone(ClusterState& clusterState, Machine& machine, Job& job);
     // A task runs: one that does so for longer than those that failed shows that the job is sound.
     void noteRunning(Job& job, Slice& slice, const Claim& claim);
 
   private:
-    void blameJob(Ledger& ledger, Job& job, std::uint32_t part);
+    void blameJob(ClusterState& clusterState, Job& job, std::uint32_t partition);
     void blameMachine(Machine& machine, const Job& job);
     void quarantine(Machine& machine);
 
--- a/src/coordination/fleet.cpp
+++ b/src/coordination/fleet.cpp
@@ -52,44 +52,44 @@
 void Fleet::recordCatalog() {
     // A controller that starts while the cloud does not answer would else know no machine types,
     // and take in and place nothing (incident inc-058e).
-    if (!membership_.active(0) || !membership_.leaseStands()) return;
+    if (!membership_.isLeader(0) || !membership_.leaseStands()) return;
     auto value = bookkeeping::catalogValue(context_.catalog);
     std::uint64_t version = 0;
     {
-        auto ledger = context_.ledger.lock();
-        version = ledger->catalogVersion;
+        auto clusterState = context_.clusterState.lock();
+        version = clusterState->catalogVersion;
         // Prices move all the time and are not worth a write.
         const auto same = [](const MachineType& a, const MachineType& b) {
             return a.name == b.name && a.capacity.fits(b.capacity) && b.capacity.fits(a.capacity) &&
                    a.zones == b.zones;
         };
-        if (std::equal(context_.catalog.begin(), context_.catalog.end(), ledger->catalog.begin(),
-                       ledger->catalog.end(), same))
+        if (std::equal(context_.catalog.begin(), context_.catalog.end(),
+                       clusterState->catalog.begin(), clusterState->catalog.end(), same))
             return;
     }
     if (value.dump().size() > context_.settings.valueBytes()) return;
     const auto types = context_.catalog;
-    committer_.commit(0,
-                      {{{bookkeeping::keys::catalog, version}},
-                       {{bookkeeping::keys::catalog, std::move(value), 0}}},
-                      [this, types](CommitResult result, std::uint64_t revision) {
-                          if (result != CommitResult::done) return;
-                          auto ledger = context_.ledger.lock();
-                          if (ledger->catalogVersion >= revision) return;
-                          ledger->catalog = types;
-                          ledger->catalogVersion = revision;
-                      });
+    pipeline_.commit(0,
+                     {{{bookkeeping::keys::catalog, version}},
+                      {{bookkeeping::keys::catalog, std::move(value), 0}}},
+                     [this, types](CommitResult result, std::uint64_t revision) {
+                         if (result != CommitResult::done) return;
+                         auto clusterState = context_.clusterState.lock();
+                         if (clusterState->catalogVersion >= revision) return;
+                         clusterState->catalog = types;
+                         clusterState->catalogVersion = revision;
+                     });
 }
 
 void Fleet::adoptCatalog() {
-    auto ledger = context_.ledger.lock();
-    if (!context_.catalog.empty() || ledger->catalog.empty()) return;
-    context_.catalog = ledger->catalog;
+    auto clusterState = context_.clusterState.lock();
+    if (!context_.catalog.empty() || clusterState->catalog.empty()) return;
+    context_.catalog = clusterState->catalog;
     spdlog::info("cloud: {} machine types from the record", context_.catalog.size());
 }
 
 void Fleet::listMachines() {
-    if (membership_.activeParts().empty()) {
+    if (membership_.ledPartitions().empty()) {
         context_.timers.after(context_.jittered(500ms), [this] { listMachines(); });
         return;
     }
@@ -123,12 +123,12 @@
     const auto now = context_.now();
     const auto lag = ticks(context_.settings.listLag * lagMargin) + listMargin;
     std::set<std::string> present;
-    const auto parts = membership_.activeParts();
-    const std::set<std::uint32_t> own(parts.begin(), parts.end());
-    auto ledger = context_.ledger.lock();
+    const auto partitions = membership_.ledPartitions();
+    const std::set<std::uint32_t> own(partitions.begin(), partitions.end());
+    auto clusterState = context_.clusterState.lock();
     for (const auto& listed : machines) {
         present.insert(listed.id);
-        if (Machine* machine = ledger->machine(listed.id)) {
+        if (Machine* machine = clusterState->machine(listed.id)) {
             machine->listed = now;
             if (machine->address.empty()) machine->address = listed.address;
             machine->failedInList = listed.state == protocol::CloudState::failed;
@@ -136,17 +136,17 @@
         }
         // A lagging list still shows machines that are gone. One that was returned before this
         // process began is told from a new one by the lists of a later moment.
-        const auto part = partFor(*ledger, listed.id, listed.zone);
-        if (!own.contains(part) || ledger->goneMachines.contains(listed.id)) continue;
+        const auto partition = partitionFor(*clusterState, listed.id, listed.zone);
+        if (!own.contains(partition) || clusterState->goneMachines.contains(listed.id)) continue;
         const auto& found = unassigned_.try_emplace(listed.id, Found{listed, now}).first->second;
         if (asked - found.seen <= lag || now - found.seen <= renterFirst) continue;
         unassigned_.erase(listed.id);
-        note(listed.id, listed.type, listed.zone, listed.spot, part);
+        note(listed.id, listed.type, listed.zone, listed.spot, partition);
     }
     std::erase_if(unassigned_, [&](const auto& e) { return !present.contains(e.first); });
     std::vector<std::pair<std::uint32_t, std::string>> gone;
-    for (auto& [id, machine] : ledger->machines) {
-        if (!own.contains(machine.part)) continue;
+    for (auto& [id, machine] : clusterState->machines) {
+        if (!own.contains(machine.partition)) continue;
         if (machine.failedInList && !machine.retired) {
             // It has stopped on its own, with all that ran on it.
             reports_.releaseClaims(machine, "failed");
@@ -159,113 +159,115 @@
             (machine.lastReport && asked - *machine.lastReport <= lag))
             continue;
         reports_.releaseClaims(machine, "no longer listed");
-        gone.emplace_back(machine.part, id);
+        gone.emplace_back(machine.partition, id);
     }
-    for (const auto& [part, id] : gone) forgetMachine(part, id);
+    for (const auto& [partition, id] : gone) forgetMachine(partition, id);
 }
 
 void Fleet::noteReported(const protocol::WorkerReport& report) {
     const auto now = context_.now();
     // A report that was held back on its way.
-    if (context_.ledger.lock()->goneMachines.contains(report.machine)) return;
+    if (context_.clusterState.lock()->goneMachines.contains(report.machine)) return;
     const auto [entry, fresh] = unassigned_.try_emplace(report.machine);
     if (fresh) entry->second.seen = now;
     // Its renter's record may be on its way; but machines that were there before us have none.
     if (fresh || now - entry->second.seen <= 1s) return;
     unassigned_.erase(entry);
     note(report.machine, report.type, report.zone, report.spot,
-         partFor(*context_.ledger.lock(), report.machine, report.zone));
+         partitionFor(*context_.clusterState.lock(), report.machine, report.zone));
 }
 
-std::uint32_t Fleet::partFor(const Ledger& ledger, const std::string& id,
-                             const std::string& zone) const {
-    if (ledger.damagedMachines.contains(id))
-        if (const auto part = ledger.partOfClaimsOn(id)) return *part;
-    return context_.defaultPart(zone, id);
+std::uint32_t Fleet::partitionFor(const ClusterState& clusterState, const std::string& id,
+                                  const std::string& zone) const {
+    if (clusterState.corruptMachines.contains(id))
+        if (const auto partition = clusterState.partitionOfAllocationsOn(id)) return *partition;
+    return context_.defaultPartition(zone, id);
 }
 
-void Fleet::repairRecords(Ledger& ledger, std::uint32_t part) {
-    for (const auto& [id, damaged] : ledger.damagedMachines) {
-        const Machine* machine = ledger.machine(id);
+void Fleet::repairRecords(ClusterState& clusterState, std::uint32_t partition) {
+    for (const auto& [id, damaged] : clusterState.corruptMachines) {
+        const Machine* machine = clusterState.machine(id);
         const auto type = protocol::textOf(damaged.value, "type");
         const auto zone = protocol::textOf(damaged.value, "zone");
-        // Read damaged at the start: with a type and a zone it can be made out, and else the
+        // Read corrupt at the start: with a type and a zone it can be made out, and else the
         // cloud's list tells them.
         if (machine == nullptr && context_.type(type) != nullptr &&
-            partFor(ledger, id, zone) == part)
-            machine = note(id, type, zone, protocol::flagOf(damaged.value, "spot"), part);
-        if (machine == nullptr || machine->part != part || machine->transferring) continue;
+            partitionFor(clusterState, id, zone) == partition)
+            machine = note(id, type, zone, protocol::flagOf(damaged.value, "spot"), partition);
+        if (machine == nullptr || machine->partition != partition || machine->transferring)
+            continue;
         if (recording_.pending.contains(id)) continue;
         spdlog::warn("machine {}: its record can't be used, part {} keeps it and writes it anew",
-                     id, part);
-        write(recording_, part, id);
+                     id, partition);
+        write(recording_, partition, id);
     }
 }
 
 Machine* Fleet::note(const std::string& id, const std::string& type, const std::string& zone,
-                     bool spot, std::uint32_t part) {
-    auto ledger = context_.ledger.lock();
-    if (ledger->machine(id) != nullptr || ledger->goneMachines.contains(id)) return nullptr;
-    Machine& machine = ledger->addMachine(id, part);
+                     bool spot, std::uint32_t partition) {
+    auto clusterState = context_.clusterState.lock();
+    if (clusterState->machine(id) != nullptr || clusterState->goneMachines.contains(id))
+        return nullptr;
+    Machine& machine = clusterState->addMachine(id, partition);
     machine.type = type;
     machine.zone = zone;
     machine.spot = spot;
     machine.known = machine.silentSince = machine.idleSince = context_.now();
-    if (const auto damaged = ledger->damagedMachines.find(id);
-        damaged != ledger->damagedMachines.end()) {
+    if (const auto damaged = clusterState->corruptMachines.find(id);
+        damaged != clusterState->corruptMachines.end()) {
         machine.version = damaged->second.version;
-        ledger->attachClaims(machine);
+        clusterState->attachClaims(machine);
     }
     return &machine;
 }
 
-void Fleet::write(RecordWrites& writes, std::uint32_t part, const std::string& id) {
+void Fleet::write(RecordWrites& writes, std::uint32_t partition, const std::string& id) {
     if (!writes.pending.insert(id).second) return;
-    writes.queues[part].push_back(id);
-    writeSome(writes, part);
+    writes.queues[partition].push_back(id);
+    writeSome(writes, partition);
 }
 
-void Fleet::writeSome(RecordWrites& writes, std::uint32_t part) {
+void Fleet::writeSome(RecordWrites& writes, std::uint32_t partition) {
     // Many in one transaction, and half of what it may hold, so that claims don't wait for long.
     // With one write after the other a thousand machines took minutes to record, and idle ones
     // to be given back.
-    auto& queue = writes.queues[part];
-    if (queue.empty() || !writes.underWay.insert(part).second) return;
+    auto& queue = writes.queues[partition];
+    if (queue.empty() || !writes.underWay.insert(partition).second) return;
     const auto most = std::max<std::size_t>(1, context_.settings.transactionChanges / 2);
-    protocol::Transaction transaction;
+    protocol::CompareAndSwap transaction;
     std::vector<std::string> ids;
     {
-        auto ledger = context_.ledger.lock();
+        auto clusterState = context_.clusterState.lock();
         while (!queue.empty() && ids.size() < most) {
             const auto id = std::move(queue.front());
             queue.pop_front();
-            const Machine* machine = ledger->machine(id);
-            if (machine == nullptr || machine->part != part) {
+            const Machine* machine = clusterState->machine(id);
+            if (machine == nullptr || machine->partition != partition) {
                 writes.pending.erase(id);
                 continue;
             }
             const auto key = bookkeeping::keys::machine(id);
-            transaction.conditions.push_back({key, machine->version});
-            transaction.changes.push_back({key, writes.value(*machine), 0});
+            transaction.compares.push_back({key, machine->version});
+            transaction.writes.push_back({key, writes.value(*machine), 0});
             ids.push_back(id);
         }
     }
     if (ids.empty()) {
-        writes.underWay.erase(part);
+        writes.underWay.erase(partition);
         return;
     }
-    committer_.commit(part, std::move(transaction),
-                      [this, &writes, part, ids](CommitResult result, std::uint64_t revision) {
-                          writes.underWay.erase(part);
-                          for (const auto& id : ids) {
-                              writes.pending.erase(id);
-                              auto ledger = context_.ledger.lock();
-                              Machine* machine = ledger->machine(id);
-                              if (machine != nullptr) writes.settled(*machine, result, revision);
-                          }
-                          onAnswer();
-                          writeSome(writes, part);
-                      });
+    pipeline_.commit(partition, std::move(transaction),
+                     [this, &writes, partition, ids](CommitResult result, std::uint64_t revision) {
+                         writes.underWay.erase(partition);
+                         for (const auto& id : ids) {
+                             writes.pending.erase(id);
+                             auto clusterState = context_.clusterState.lock();
+                             Machine* machine = clusterState->machine(id);
+                             if (machine != nullptr) writes.settled(*machine, result, revision);
+                         }
+                         onAnswer();
+                         writeSome(writes, partition);
+                     });
 }
 
 void Fleet::setUpWrites() {
@@ -273,10 +275,10 @@
     recording_.settled = [this](Machine& machine, CommitResult result, std::uint64_t revision) {
         if (result == CommitResult::done) {
             machine.version = std::max(machine.version, revision);
-            context_.ledger.lock()->damagedMachines.erase(machine.id);
-        } else if (machine.version == 0 && result != CommitResult::partLost) {
+            context_.clusterState.lock()->corruptMachines.erase(machine.id);
+        } else if (machine.version == 0 && result != CommitResult::partitionLost) {
             // Another of the batch has a record; this one is tried again.
-            write(recording_, machine.part, machine.id);
+            write(recording_, machine.partition, machine.id);
         }
     };
     retiring_.value = [](const Machine& machine) {
@@ -292,25 +294,25 @@
     dropping_.value = [](const Machine&) { return std::optional<protocol::Json>(); };
     dropping_.settled = [this](Machine& machine, CommitResult result, std::uint64_t) {
         if (result == CommitResult::done)
-            context_.ledger.lock()->dropMachine(std::string(machine.id));
+            context_.clusterState.lock()->dropMachine(std::string(machine.id));
     };
 }
 
-bool Fleet::wantedByAny(const Ledger& ledger, const Machine& machine,
+bool Fleet::wantedByAny(const ClusterState& clusterState, const Machine& machine,
                         const MachineType& type) const {
-    return std::any_of(ledger.jobs.begin(), ledger.jobs.end(), [&](const auto& entry) {
+    return std::any_of(clusterState.jobs.begin(), clusterState.jobs.end(), [&](const auto& entry) {
         return Placement::typeAllowed(entry.second.spec, type, machine.zone, machine.spot);
     });
 }
 
-void Fleet::reviewUnrecorded(std::uint32_t part, Machine& machine, const MachineType& type) {
+void Fleet::reviewUnrecorded(std::uint32_t partition, Machine& machine, const MachineType& type) {
     const auto now = context_.now();
     if (recording_.pending.contains(machine.id)) return;
     // What only late copies of reports speak of, or can't hear, is of no use.
     const bool ghost =
         !machine.acknowledged() && now - machine.known > ticks(context_.settings.lease);
-    if (machine.acknowledged() && wantedByAny(*context_.ledger.lock(), machine, type)) {
-        write(recording_, part, machine.id);
+    if (machine.acknowledged() && wantedByAny(*context_.clusterState.lock(), machine, type)) {
+        write(recording_, partition, machine.id);
     } else if (ghost || now - machine.idleSince > idleLimit(machine, type)) {
         // It never had work, and no claim can name it: it needs no record to be given back.
         spdlog::debug("machine {}: giving back, never wanted", machine.id);
@@ -319,12 +321,12 @@
 }
 
 void Fleet::retire(Machine& machine, const char* why) {
-    // Its new owner will see to it.
+    // Its new leader will see to it.
     if (machine.transferring) return;
     if (machine.retired || retiring_.pending.contains(machine.id)) return;
     spdlog::info("machine {}: giving back, {}", machine.id, why);
     machine.retired = true;  // no new claims from now on
-    write(retiring_, machine.part, machine.id);
+    write(retiring_, machine.partition, machine.id);
 }
 
 void Fleet::release() {
@@ -332,9 +334,9 @@
     // machine hundreds of idle ones stayed for minutes.
     if (!releasing_.empty()) return;
     std::vector<std::string> names;
-    auto ledger = context_.ledger.lock();
-    for (const auto part : membership_.activeParts())
-        for (const auto* machine : ledger->machinesOf(part)) {
+    auto clusterState = context_.clusterState.lock();
+    for (const auto partition : membership_.ledPartitions())
+        for (const auto* machine : clusterState->machinesOf(partition)) {
             // Only after the record says so, durably: a late copy of the request must not hit a
             // machine that has work again.
             if (machine->retired && !retiring_.pending.contains(machine->id) &&
@@ -346,34 +348,36 @@
         for (const auto& id : names) {
             releasing_.erase(id);
             if (!gone) continue;
-            auto held = context_.ledger.lock();
+            auto held = context_.clusterState.lock();
             Machine* machine = held->machine(id);
-            if (machine == nullptr || !membership_.active(machine->part)) continue;
+            if (machine == nullptr || !membership_.isLeader(machine->partition)) continue;
             reports_.releaseClaims(*machine, "given back");
-            forgetMachine(machine->part, id);
+            forgetMachine(machine->partition, id);
         }
     });
 }
 
-void Fleet::forgetMachine(std::uint32_t part, const std::string& id) {
-    auto ledger = context_.ledger.lock();
-    const Machine* machine = ledger->machine(id);
+void Fleet::forgetMachine(std::uint32_t partition, const std::string& id) {
+    auto clusterState = context_.clusterState.lock();
+    const Machine* machine = clusterState->machine(id);
     // While a claim on it is being written, its end can't be recorded.
     if (machine == nullptr || !machine->claims.empty()) return;
-    if (machine->version == 0 && !recording_.pending.contains(id)) return ledger->dropMachine(id);
-    write(dropping_, part, id);
+    if (machine->version == 0 && !recording_.pending.contains(id))
+        return clusterState->dropMachine(id);
+    write(dropping_, partition, id);
 }
 
-void Fleet::logUse(const Ledger& ledger, std::uint32_t part) {
+void Fleet::logUse(const ClusterState& clusterState, std::uint32_t partition) {
     const auto now = context_.now();
-    if (!spdlog::should_log(spdlog::level::debug) || now - useLogged_[part] < useLogPeriod) return;
-    useLogged_[part] = now;
+    if (!spdlog::should_log(spdlog::level::debug) || now - useLogged_[partition] < useLogPeriod)
+        return;
+    useLogged_[partition] = now;
     struct Use {
         int up = 0, booting = 0, idle = 0, kept = 0;
         Resources used, all;
     };
     std::map<std::string, Use> kinds;
-    for (const auto* machine : ledger.machinesOf(part)) {
+    for (const auto* machine : clusterState.machinesOf(partition)) {
         const auto* type = context_.type(machine->type);
         if (type == nullptr) continue;
         auto& use = kinds[machine->type + " in " + machine->zone];
@@ -387,22 +391,23 @@
         spdlog::debug(
             "part {}: {}: {} up, {} booting, {} idle, {} kept, CPUs {:.0f} of {:.0f}, GPUs {:.0f} "
             "of {:.0f}",
-            part, kind, use.up, use.booting, use.idle, use.kept, use.used.cpus, use.all.cpus,
+            partition, kind, use.up, use.booting, use.idle, use.kept, use.used.cpus, use.all.cpus,
             use.used.gpus, use.all.gpus);
 }
 
-std::set<std::string> Fleet::quietZones(const Ledger& ledger, std::uint32_t part) const {
-    // Many at once are behind a cut rather than dead, and cuts go by zones: a part with machines in
-    // two zones once gave back all of one. They are counted as soon as a report is overdue: counted
-    // only when it was time to give them up, each in turn was the only silent one, and a part gave
-    // back all its machines with all that ran there (incident inc-59fe).
+std::set<std::string> Fleet::quietZones(const ClusterState& clusterState,
+                                        std::uint32_t partition) const {
+    // Many at once are behind a cut rather than dead, and cuts go by zones: a partition with
+    // machines in two zones once gave back all of one. They are counted as soon as a report is
+    // overdue: counted only when it was time to give them up, each in turn was the only silent one,
+    // and a partition gave back all its machines with all that ran there (incident inc-59fe).
     struct Count {
         std::size_t live = 0;
         std::size_t quiet = 0;
     };
     std::map<std::string, Count> zones;
     const auto overdue = ticks(context_.settings.report * quietReports);
-    for (const auto* machine : ledger.machinesOf(part)) {
+    for (const auto* machine : clusterState.machinesOf(partition)) {
         if (!machine->lastReport) continue;
         auto& count = zones[machine->zone];
         ++count.live;
@@ -415,25 +420,26 @@
     return quiet;
 }
 
-void Fleet::review(std::uint32_t part) {
+void Fleet::review(std::uint32_t partition) {
     if (!membership_.leaseStands()) return;
     const auto now = context_.now();
-    auto ledger = context_.ledger.lock();
-    noteGuaranteed(*ledger);
-    logUse(*ledger, part);
-    if (part == 0 && ledger->catalog.empty() && !context_.catalog.empty() && !committer_.busy(0))
+    auto clusterState = context_.clusterState.lock();
+    noteGuaranteed(*clusterState);
+    logUse(*clusterState, partition);
+    if (partition == 0 && clusterState->catalog.empty() && !context_.catalog.empty() &&
+        !pipeline_.busy(0))
         recordCatalog();
-    noteClasses(*ledger);
-    repairRecords(*ledger, part);
+    recordClasses(*clusterState);
+    repairRecords(*clusterState, partition);
     const auto silentLimit =
         std::max<Duration>(silentRelease, ticks(context_.settings.report * silentReports));
-    const auto behindCut = quietZones(*ledger, part);
-    for (auto* entry : ledger->machinesOf(part)) {
+    const auto behindCut = quietZones(*clusterState, partition);
+    for (auto* entry : clusterState->machinesOf(partition)) {
         Machine& machine = *entry;
         const auto* type = context_.type(machine.type);
         if (machine.retired || type == nullptr) continue;
         if (machine.version == 0) {
-            reviewUnrecorded(part, machine, *type);
+            reviewUnrecorded(partition, machine, *type);
             continue;
         }
         if (!machine.lastReport) {
--- a/src/coordination/fleet.h
+++ b/src/coordination/fleet.h
@@ -1,5 +1,5 @@
-// The machines of the parts this process owns: assigning, renting, giving back, and telling which
-// are gone.
+// The machines of the partitions this process owns: assigning, renting, giving back, and telling
+// which are gone.
 #pragma once
 
 #include "coordination/placement.h"
@@ -9,29 +9,29 @@
 
 class Fleet {
   public:
-    Fleet(Context& context, Membership& membership, Committer& committer, Placement& placement,
-          Reports& reports)
+    Fleet(Context& context, Membership& membership, TransactionPipeline& pipeline,
+          Placement& placement, Reports& reports)
         : context_(context),
           membership_(membership),
-          committer_(committer),
+          pipeline_(pipeline),
           placement_(placement),
           reports_(reports) {}
 
     void start();
     // Before the cloud has answered, what was recorded of its machine types serves.
     void adoptCatalog();
-    // A worker reports that has no record yet, and whose default part is ours.
+    // A worker reports that has no record yet, and whose default partition is ours.
     void noteReported(const protocol::WorkerReport& report);
     std::function<void()> onAnswer = [] {};
-    void rentFor(std::uint32_t part, const std::vector<Unplaced>& unplaced);
+    void rentFor(std::uint32_t partition, const std::vector<Unplaced>& unplaced);
     [[nodiscard]] bool rentable(const Job& job, const std::string& zone) const;
     void onNoCapacity(const protocol::NoCapacity& message);
-    void noteClasses(Ledger& ledger);
-    // Whether it may be worth emptying this part's machines: nothing waits, and those that
+    void recordClasses(ClusterState& clusterState);
+    // Whether it may be worth emptying this partition's machines: nothing waits, and those that
     // would be given back need not stand ready.
-    [[nodiscard]] bool mayEmpty(std::uint32_t part);
+    [[nodiscard]] bool mayEmpty(std::uint32_t partition);
     // Idle, never-booting, faulty and silent machines.
-    void review(std::uint32_t part);
+    void review(std::uint32_t partition);
 
   private:
     struct Kind {
@@ -53,20 +53,20 @@
                   std::vector<protocol::CloudMachine> sofar, int pages);
     void takeInList(SteadyTime asked, const std::vector<protocol::CloudMachine>& machines);
     Machine* note(const std::string& id, const std::string& type, const std::string& zone,
-                  bool spot, std::uint32_t part);
+                  bool spot, std::uint32_t partition);
     // Machines' records of one kind of change, written many at a time.
     struct RecordWrites {
-        std::map<std::uint32_t, std::deque<std::string>> queues;  // by part
-        std::set<std::uint32_t> underWay;                         // parts
+        std::map<std::uint32_t, std::deque<std::string>> queues;  // by partition
+        std::set<std::uint32_t> underWay;                         // partitions
         std::set<std::string> pending;                            // queued or under way
         std::function<std::optional<protocol::Json>(const Machine&)> value;
         std::function<void(Machine&, CommitResult, std::uint64_t revision)> settled;
     };
     void setUpWrites();
-    void write(RecordWrites& writes, std::uint32_t part, const std::string& id);
-    void writeSome(RecordWrites& writes, std::uint32_t part);
-    void reviewUnrecorded(std::uint32_t part, Machine& machine, const MachineType& type);
-    [[nodiscard]] bool wantedByAny(const Ledger& ledger, const Machine& machine,
+    void write(RecordWrites& writes, std::uint32_t partition, const std::string& id);
+    void writeSome(RecordWrites& writes, std::uint32_t partition);
+    void reviewUnrecorded(std::uint32_t partition, Machine& machine, const MachineType& type);
+    [[nodiscard]] bool wantedByAny(const ClusterState& clusterState, const Machine& machine,
                                    const MachineType& type) const;
     // What one call asks for: machines, of which some are kept for gangs from the start.
     struct Order {
@@ -74,28 +74,29 @@
         std::vector<std::pair<std::string, int>> gangs;  // in the queue's order
     };
     void orderForGang(const Unplaced& entry, const Job& job, std::map<Kind, Order>& wanted) const;
-    void rent(std::uint32_t part, const Kind& kind, const Order& order);
-    void sendRental(std::uint32_t part, const Kind& kind, const Order& order,
+    void rent(std::uint32_t partition, const Kind& kind, const Order& order);
+    void sendRental(std::uint32_t partition, const Kind& kind, const Order& order,
                     const std::string& name, int tries);
-    void takeRented(std::uint32_t part, const Kind& kind, const Order& order,
+    void takeRented(std::uint32_t partition, const Kind& kind, const Order& order,
                     const std::vector<std::string>& machines);
     void noteRefusal(const Kind& kind);
     [[nodiscard]] bool asking(const Kind& kind) const;
     void retire(Machine& machine, const char* why);
     void release();
-    // Where most of the part's machines miss their reports at the same time.
-    [[nodiscard]] std::set<std::string> quietZones(const Ledger& ledger, std::uint32_t part) const;
-    // The part that a machine without a record that can be read belongs to.
-    [[nodiscard]] std::uint32_t partFor(const Ledger& ledger, const std::string& id,
-                                        const std::string& zone) const;
+    // Where most of the partition's machines miss their reports at the same time.
+    [[nodiscard]] std::set<std::string> quietZones(const ClusterState& clusterState,
+                                                   std::uint32_t partition) const;
+    // The partition that a machine without a record that can be read belongs to.
+    [[nodiscard]] std::uint32_t partitionFor(const ClusterState& clusterState,
+                                             const std::string& id, const std::string& zone) const;
     // Writes records anew that can't be read or are impossible.
-    void repairRecords(Ledger& ledger, std::uint32_t part);
-    void logUse(const Ledger& ledger, std::uint32_t part);
-    void noteGuaranteed(const Ledger& ledger);
+    void repairRecords(ClusterState& clusterState, std::uint32_t partition);
+    void logUse(const ClusterState& clusterState, std::uint32_t partition);
+    void noteGuaranteed(const ClusterState& clusterState);
     [[nodiscard]] bool withinGuarantee(const Machine& machine) const;
     [[nodiscard]] bool standsReady(const Machine& machine) const;
     [[nodiscard]] Duration idleLimit(const Machine& machine, const MachineType& type) const;
-    void forgetMachine(std::uint32_t part, const std::string& id);
+    void forgetMachine(std::uint32_t partition, const std::string& id);
     // Of all zones if none is named.
     [[nodiscard]] std::optional<Kind> cheapest(const Job& job, std::uint32_t tasks,
                                                const std::string& inZone) const;
@@ -104,7 +105,7 @@
 
     Context& context_;
     Membership& membership_;
-    Committer& committer_;
+    TransactionPipeline& pipeline_;
     Placement& placement_;
     Reports& reports_;
     struct Refusal {
--- a/src/coordination/gathering.cpp
+++ b/src/coordination/gathering.cpp
@@ -23,31 +23,31 @@
     machine.reservedUntil = context_.now() + length;
 }
 
-void Placement::dropReservations(Ledger& ledger, std::uint32_t part) {
+void Placement::dropReservations(ClusterState& clusterState, std::uint32_t partition) {
     const auto now = context_.now();
-    for (auto* machine : ledger.machinesOf(part)) {
+    for (auto* machine : clusterState.machinesOf(partition)) {
         if (now >= machine->reservedUntil) continue;
-        const Job* job = ledger.job(machine->reservedFor);
+        const Job* job = clusterState.job(machine->reservedFor);
         // What gangs gather is dealt out anew each time, in the queue's order: a later one never
         // holds what completes an earlier one.
         const bool gang = job != nullptr && job->spec.kind == JobKind::gang;
         // A peer's gang asks again and again for what is kept for it.
-        const bool peers = gang && job->part != part && !job->anyClaim();
-        if (job == nullptr || job->cancelled || (job->part != part && !peers) ||
+        const bool peers = gang && job->partition != partition && !job->anyClaim();
+        if (job == nullptr || job->cancelled || (job->partition != partition && !peers) ||
             (gang && !peers &&
              (job->anyClaim() || (machine->lastReport && now >= job->preemptedUntil))))
             machine->reservedUntil = now;
     }
 }
 
-void Placement::chooseZone(Ledger& ledger, std::uint32_t part, Job& job) {
+void Placement::chooseZone(ClusterState& clusterState, std::uint32_t partition, Job& job) {
     const auto now = context_.now();
     if (!job.spec.oneZone || (!job.gatherZone.empty() && now - job.gatherSince < gatherPatience))
         return;
-    // Where most of it could start now; else where the part has most machines for it. A zone that
-    // did not get it together for long gives way to the next best.
+    // Where most of it could start now; else where the partition has most machines for it. A zone
+    // that did not get it together for long gives way to the next best.
     std::map<std::string, std::pair<std::uint32_t, std::uint32_t>> zones;
-    for (const auto* machine : ledger.machinesOf(part)) {
+    for (const auto* machine : clusterState.machinesOf(partition)) {
         const auto* type = context_.type(machine->type);
         if (machine->retired || type == nullptr ||
             !typeAllowed(job.spec, *type, machine->zone, machine->spot))
@@ -82,25 +82,27 @@
     opening.open -= opening.machine->reservedRoom;
 }
 
-std::uint32_t Placement::heldFor(const Ledger& ledger, std::uint32_t part, const Job& job) const {
+std::uint32_t Placement::heldFor(const ClusterState& clusterState, std::uint32_t partition,
+                                 const Job& job) const {
     // Rented for it and booting, or others are being stopped there.
     const auto now = context_.now();
     std::uint32_t held = 0;
-    for (const auto* machine : ledger.machinesOf(part))
+    for (const auto* machine : clusterState.machinesOf(partition))
         if (now < machine->reservedUntil && machine->reservedFor == job.spec.id &&
             (job.gatherZone.empty() || machine->zone == job.gatherZone))
             held += machine->reservedTasks;
     return held;
 }
 
-std::uint32_t Placement::gather(Ledger& ledger, std::uint32_t part, Job& job, Openings& openings,
-                                std::set<std::string>& blockedZones, std::uint32_t& lacking) {
+std::uint32_t Placement::gather(ClusterState& clusterState, std::uint32_t partition, Job& job,
+                                Openings& openings, std::set<std::string>& blockedZones,
+                                std::uint32_t& lacking) {
     // A gang would wait for ever behind small work that takes each machine as it comes free. In
     // the queue's order, each keeps what is free until it has enough; one that lacks machines
     // keeps later ones from gathering in its zone, so that no two hold half of what both need.
     const auto& zone = job.gatherZone;
     const auto now = context_.now();
-    auto held = heldFor(ledger, part, job);
+    auto held = heldFor(clusterState, partition, job);
     lacking = 0;
     for (auto& kind : openings) {
         if ((!zone.empty() && kind.zone != zone) || !kindAllowed(job, kind, {})) continue;
--- a/src/coordination/job_lookup.cpp
+++ b/src/coordination/job_lookup.cpp
@@ -19,19 +19,19 @@
 
 }  // namespace
 
-void JobLookup::noteFinal(const std::string& id, bool cancelled) {
-    if (!finals_.emplace(id, cancelled).second) return;
-    finalOrder_.push_back(id);
-    if (finalOrder_.size() > maxFinals) {
-        finals_.erase(finalOrder_.front());
-        finalOrder_.pop_front();
+void JobLookup::recordTerminal(const std::string& id, bool cancelled) {
+    if (!terminals_.emplace(id, cancelled).second) return;
+    terminalOrder_.push_back(id);
+    if (terminalOrder_.size() > maxFinals) {
+        terminals_.erase(terminalOrder_.front());
+        terminalOrder_.pop_front();
     }
 }
 
-std::optional<JobStatus> JobLookup::knownFinal(const std::string& id) const {
-    const auto found = finals_.find(id);
-    if (found == finals_.end()) return std::nullopt;
-    return found->second ? JobStatus::finalCancelled : JobStatus::finalDone;
+std::optional<JobStatus> JobLookup::knownTerminal(const std::string& id) const {
+    const auto found = terminals_.find(id);
+    if (found == terminals_.end()) return std::nullopt;
+    return found->second ? JobStatus::terminalCancelled : JobStatus::terminalDone;
 }
 
 void JobLookup::askAgain(const Question& question) {
@@ -54,60 +54,60 @@
 }
 
 void JobLookup::flush() {
-    flushQueue(decisions_, protocol::Urgency::userRequest);
-    flushQueue(questions_, protocol::Urgency::read);
+    flushQueue(decisions_, protocol::RequestPriority::userRequest);
+    flushQueue(questions_, protocol::RequestPriority::read);
 }
 
-void JobLookup::flushQueue(std::deque<Question>& queue, protocol::Urgency urgency) {
+void JobLookup::flushQueue(std::deque<Question>& queue, protocol::RequestPriority priority) {
     const auto most = context_.settings.transactionConditions();
     while (!queue.empty()) {
-        protocol::Transaction compare;
+        protocol::CompareAndSwap compare;
         auto batch = std::make_shared<std::vector<Asked>>();
         {
-            auto ledger = context_.ledger.lock();
-            while (!queue.empty() && compare.conditions.size() + conditionsPerQuestion <= most) {
+            auto clusterState = context_.clusterState.lock();
+            while (!queue.empty() && compare.compares.size() + conditionsPerQuestion <= most) {
                 Question question = std::move(queue.front());
                 queue.pop_front();
-                const Job* job = ledger->job(question.id);
+                const Job* job = clusterState->job(question.id);
                 const auto key = bookkeeping::keys::job(question.id);
                 if (job != nullptr) {
-                    compare.conditions.push_back({key, job->version});
+                    compare.compares.push_back({key, job->version});
                 } else {
-                    compare.conditions.push_back({key, 0});
-                    compare.conditions.push_back({bookkeeping::keys::final(question.id), 0});
+                    compare.compares.push_back({key, 0});
+                    compare.compares.push_back({bookkeeping::keys::terminal(question.id), 0});
                 }
                 batch->push_back({std::move(question), job != nullptr});
             }
         }
-        context_.state.transact(std::move(compare), urgency,
-                                [this, batch](const protocol::TransactionAnswer& answer) {
+        context_.state.transact(std::move(compare), priority,
+                                [this, batch](const protocol::CompareAndSwapResponse& answer) {
                                     for (const auto& asked : *batch) settle(asked, answer);
                                 });
     }
 }
 
-bool JobLookup::failed(const protocol::TransactionAnswer& answer, const std::string& id) {
+bool JobLookup::failed(const protocol::CompareAndSwapResponse& answer, const std::string& id) {
     const auto has = [&answer](const std::string& key) {
         return std::find(answer.failed.begin(), answer.failed.end(), key) != answer.failed.end();
     };
-    return has(bookkeeping::keys::job(id)) || has(bookkeeping::keys::final(id));
+    return has(bookkeeping::keys::job(id)) || has(bookkeeping::keys::terminal(id));
 }
 
-void JobLookup::settle(const Asked& asked, const protocol::TransactionAnswer& answer) {
+void JobLookup::settle(const Asked& asked, const protocol::CompareAndSwapResponse& answer) {
     const auto& question = asked.question;
     if (answer.result != StateResult::ok && answer.result != StateResult::refused)
         return question.done(JobStatus::noAnswer);
-    if (failed(answer, question.id)) return readFinal(question);
+    if (failed(answer, question.id)) return readTerminal(question);
     // Others of the batch have failed; this one is asked again.
     if (answer.result == StateResult::refused) return askAgain(question);
     if (!asked.live) return question.done(JobStatus::unknownJob);
     JobStatus status = JobStatus::noAnswer;
     {
-        auto ledger = context_.ledger.lock();
-        const Job* job = ledger->job(question.id);
+        auto clusterState = context_.clusterState.lock();
+        const Job* job = clusterState->job(question.id);
         // Ended by ourselves while this was under way, or called off: its user may have been told
         // so by a peer before this answer came, which was given before that (mass_cancel).
-        if (job == nullptr || (!job->cancelled && ledger->knownCancelled(*job)))
+        if (job == nullptr || (!job->cancelled && clusterState->knownCancelled(*job)))
             return askAgain(question);
         status = statusOf(*job);
     }
@@ -128,32 +128,34 @@
     return job.doomed || !current ? JobStatus::noAnswer : JobStatus::active;
 }
 
-void JobLookup::readFinal(const Question& question) {
+void JobLookup::readTerminal(const Question& question) {
     context_.state.read(
-        bookkeeping::keys::final(question.id), [this, question](const protocol::ReadAnswer& end) {
+        bookkeeping::keys::terminal(question.id),
+        [this, question](const protocol::ReadResponse& end) {
             if (end.result != StateResult::ok) return question.done(JobStatus::noAnswer);
             if (end.items.empty()) return readLive(question);
-            const bool cancelled = bookkeeping::readFinal(end.items.front().value).cancelled;
-            noteFinal(question.id, cancelled);
-            question.done(cancelled ? JobStatus::finalCancelled : JobStatus::finalDone);
+            const bool cancelled = bookkeeping::readTerminal(end.items.front().value).cancelled;
+            recordTerminal(question.id, cancelled);
+            question.done(cancelled ? JobStatus::terminalCancelled : JobStatus::terminalDone);
         });
 }
 
 void JobLookup::readLive(const Question& question) {
-    context_.state.read(bookkeeping::keys::job(question.id), [this, question](
-                                                                 const protocol::ReadAnswer& live) {
-        if (live.result != StateResult::ok) return question.done(JobStatus::noAnswer);
-        // Ended between the two reads.
-        if (live.items.empty()) return askAgain(question);
-        const auto& item = live.items.front();
-        JobStatus status = JobStatus::noAnswer;
-        {
-            auto ledger = context_.ledger.lock();
-            bookkeeping::applyEvent(*ledger, {item.key, item.value, item.version}, context_.now());
-            if (const Job* job = ledger->job(question.id)) status = statusOf(*job);
-        }
-        question.done(status);
-    });
+    context_.state.read(
+        bookkeeping::keys::job(question.id), [this, question](const protocol::ReadResponse& live) {
+            if (live.result != StateResult::ok) return question.done(JobStatus::noAnswer);
+            // Ended between the two reads.
+            if (live.items.empty()) return askAgain(question);
+            const auto& item = live.items.front();
+            JobStatus status = JobStatus::noAnswer;
+            {
+                auto clusterState = context_.clusterState.lock();
+                bookkeeping::applyEvent(*clusterState, {item.key, item.value, item.version},
+                                        context_.now());
+                if (const Job* job = clusterState->job(question.id)) status = statusOf(*job);
+            }
+            question.done(status);
+        });
 }
 
 }  // namespace fawnwheel::coordination
--- a/src/coordination/job_lookup.h
+++ b/src/coordination/job_lookup.h
@@ -14,11 +14,11 @@
 namespace fawnwheel::coordination {
 
 enum class JobStatus {
-    unknownJob,  // neither a live nor a final record
+    unknownJob,  // neither a live nor a terminal record
     active,
     cancelled,  // its tasks may not all be gone
-    finalDone,
-    finalCancelled,
+    terminalDone,
+    terminalCancelled,
     noAnswer,  // can't be told now
 };
 
@@ -38,8 +38,8 @@
         ask({id, purpose, std::move(done), 0});
     }
     // Final states never change, so that the latest of them are kept. Older ones are read again.
-    void noteFinal(const std::string& id, bool cancelled);
-    [[nodiscard]] std::optional<JobStatus> knownFinal(const std::string& id) const;
+    void recordTerminal(const std::string& id, bool cancelled);
+    [[nodiscard]] std::optional<JobStatus> knownTerminal(const std::string& id) const;
 
     // The records known here hold all that was carried out before this.
     std::function<SteadyTime()> recordsCurrentAsOf = [] { return SteadyTime{}; };
@@ -53,27 +53,27 @@
     };
     struct Asked {
         Question question;
-        bool live = false;  // in the ledger
+        bool live = false;  // in the cluster state
     };
 
     void ask(Question question);
     void askAgain(const Question& question);
     void flush();
-    void flushQueue(std::deque<Question>& queue, protocol::Urgency urgency);
-    [[nodiscard]] static bool failed(const protocol::TransactionAnswer& answer,
+    void flushQueue(std::deque<Question>& queue, protocol::RequestPriority priority);
+    [[nodiscard]] static bool failed(const protocol::CompareAndSwapResponse& answer,
                                      const std::string& id);
-    void settle(const Asked& asked, const protocol::TransactionAnswer& answer);
-    void readFinal(const Question& question);
+    void settle(const Asked& asked, const protocol::CompareAndSwapResponse& answer);
+    void readTerminal(const Question& question);
     void readLive(const Question& question);
-    // Of a job whose live record is current.
+    // Of a job whose active record is current.
     [[nodiscard]] JobStatus statusOf(const Job& job) const;
 
     Context& context_;
     std::deque<Question> decisions_;
     std::deque<Question> questions_;
     bool flushing_ = false;
-    std::unordered_map<std::string, bool> finals_;  // cancelled?
-    std::deque<std::string> finalOrder_;
+    std::unordered_map<std::string, bool> terminals_;  // cancelled?
+    std::deque<std::string> terminalOrder_;
 };
 
 }  // namespace fawnwheel::coordination
--- a/src/coordination/loans.cpp
+++ b/src/coordination/loans.cpp
@@ -17,25 +17,27 @@
 
 }  // namespace
 
-void Loans::askFor(std::uint32_t part, const std::vector<Unplaced>& unplaced) {
-    auto ledger = context_.ledger.lock();
+void Loans::askFor(std::uint32_t partition, const std::vector<Unplaced>& unplaced) {
+    auto clusterState = context_.clusterState.lock();
     for (const auto& entry : unplaced) {
         // In the queue's order one gang of a zone is served before the next.
         if (!entry.gang || entry.waitsTurn || entry.lacking == 0) continue;
-        const Job* job = ledger->job(entry.job);
-        if (job == nullptr || job->part != part) continue;
+        const Job* job = clusterState->job(entry.job);
+        if (job == nullptr || job->partition != partition) continue;
         if (restUntil_.contains(entry.job) || !throttle_.due(entry.job, context_.now())) continue;
         struct Lender {
             std::uint32_t idle = 0;
             std::uint32_t busy = 0;  // of use to it once they are free
-            std::uint32_t part = 0;
+            std::uint32_t partition = 0;
             std::uint32_t asked = 0;
         };
         std::vector<Lender> lenders;
-        for (std::uint32_t other = 0; other < context_.partCount(); ++other) {
-            if (other == part || !ledger->nodes.contains(ledger->parts[other].owner)) continue;
+        for (std::uint32_t other = 0; other < context_.partitionCount(); ++other) {
+            if (other == partition ||
+                !clusterState->nodes.contains(clusterState->partitions[other].leader))
+                continue;
             Lender lender{0, 0, other, 0};
-            for (const auto* machine : ledger->machinesOf(other)) {
+            for (const auto* machine : clusterState->machinesOf(other)) {
                 const auto* type = context_.type(machine->type);
                 if (machine->retired || machine->version == 0 || type == nullptr ||
                     (!entry.zone.empty() && machine->zone != entry.zone) ||
@@ -45,10 +47,10 @@
             }
             lenders.push_back(lender);
         }
-        // Part of what it lacks is of no use to it unless the rest can come free or be rented, but
-        // asking costs little and unused loans go back.
-        // A busy machine kept here does not spare the question: two parts with an idle machine each
-        // once left gangs of two waiting for minutes (largest_first).
+        // Partition of what it lacks is of no use to it unless the rest can come free or be rented,
+        // but asking costs little and unused loans go back. A busy machine kept here does not spare
+        // the question: two partitions with an idle machine each once left gangs of two waiting for
+        // minutes (largest_first).
         auto missing = entry.lacking;
         std::sort(lenders.begin(), lenders.end(),
                   [](const Lender& a, const Lender& b) { return a.idle > b.idle; });
@@ -57,7 +59,7 @@
             missing -= lender.asked;
         }
         // Under a load that never leaves a machine idle, peers have to keep some as they come free:
-        // a gang larger than its part else never began (scenario largest_first).
+        // a gang larger than its partition else never began (scenario largest_first).
         missing = std::min(missing, entry.tasks);
         if (!placement_.rentable(*job, entry.zone)) {
             std::sort(lenders.begin(), lenders.end(),
@@ -70,24 +72,25 @@
         }
         for (const auto& lender : lenders) {
             if (lender.asked == 0) continue;
-            const protocol::LoanAsk ask{lender.part, part, entry.job, entry.zone, lender.asked};
-            const auto& owner = ledger->parts[lender.part].owner;
-            if (owner == context_.settings.name)
-                onAsk(owner, ask);
+            const protocol::LoanAsk ask{lender.partition, partition, entry.job, entry.zone,
+                                        lender.asked};
+            const auto& leader = clusterState->partitions[lender.partition].leader;
+            if (leader == context_.settings.name)
+                onAsk(leader, ask);
             else
-                context_.network.sendFrame(owner,
+                context_.network.sendFrame(leader,
                                            protocol::encodePeer({context_.settings.name, ask}));
         }
     }
 }
 
-bool Loans::neededHere(Ledger& ledger, const Machine& machine, const Job& gang) const {
+bool Loans::neededHere(ClusterState& clusterState, const Machine& machine, const Job& gang) const {
     // Work that comes later may be passed over, also a later gang that gathers: of two gangs that
     // each hold half of what both need, the earlier one gets all, so that neither waits for ever.
     const auto* type = context_.type(machine.type);
-    return std::any_of(ledger.jobs.begin(), ledger.jobs.end(), [&](const auto& entry) {
+    return std::any_of(clusterState.jobs.begin(), clusterState.jobs.end(), [&](const auto& entry) {
         const Job& job = entry.second;
-        if (&job == &gang || !ledger.schedulable(job) || job.part != machine.part ||
+        if (&job == &gang || !clusterState.schedulable(job) || job.partition != machine.partition ||
             job.claimedTasks() + job.doneTasks() >= job.spec.tasks)
             return false;
         return Placement::typeAllowed(job.spec, *type, machine.zone, machine.spot) &&
@@ -98,24 +101,24 @@
 void Loans::onAsk(const std::string& peer, const protocol::LoanAsk& ask) {
     std::vector<std::string> lent;
     {
-        auto ledger = context_.ledger.lock();
-        const Job* gang = ledger->job(ask.job);
-        if (gang == nullptr || gang->cancelled || gang->part != ask.borrower || gang->anyClaim() ||
-            ask.borrower >= context_.partCount() || ask.borrower == ask.lender ||
-            ledger->parts[ask.borrower].owner != peer || !membership_.active(ask.lender) ||
-            !membership_.leaseStands())
+        auto clusterState = context_.clusterState.lock();
+        const Job* gang = clusterState->job(ask.job);
+        if (gang == nullptr || gang->cancelled || gang->partition != ask.borrower ||
+            gang->anyClaim() || ask.borrower >= context_.partitionCount() ||
+            ask.borrower == ask.lender || clusterState->partitions[ask.borrower].leader != peer ||
+            !membership_.isLeader(ask.lender) || !membership_.leaseStands())
             return;
         std::vector<Machine*> busy;
         const auto now = context_.now();
-        for (auto* machine : ledger->machinesOf(ask.lender)) {
+        for (auto* machine : clusterState->machinesOf(ask.lender)) {
             const auto* type = context_.type(machine->type);
             if (!placement_.takesWork(*machine) ||
                 (!ask.zone.empty() && machine->zone != ask.zone) ||
                 !Placement::typeAllowed(gang->spec, *type, machine->zone, machine->spot) ||
-                neededHere(*ledger, *machine, *gang))
+                neededHere(*clusterState, *machine, *gang))
                 continue;
             if (!machine->claims.empty()) {
-                const Job* keeps = ledger->job(machine->reservedFor);
+                const Job* keeps = clusterState->job(machine->reservedFor);
                 if (now >= machine->reservedUntil || machine->reservedFor == ask.job ||
                     (keeps != nullptr && placement_.before(*gang, *keeps)))
                     busy.push_back(machine);
@@ -139,36 +142,36 @@
     transfers_.lend(ask.lender, ask.borrower, lent);
 }
 
-bool Loans::keepsOthersWaiting(Ledger& ledger, const Machine& machine) const {
+bool Loans::keepsOthersWaiting(ClusterState& clusterState, const Machine& machine) const {
     // A gang that can't get the rest of its machines once kept a borrowed one idle for minutes,
     // while work that goes before it waited and may not use a loan (slice_left_behind).
-    const Job* gang = ledger.job(machine.reservedFor);
+    const Job* gang = clusterState.job(machine.reservedFor);
     const auto* type = context_.type(machine.type);
     if (gang == nullptr || type == nullptr || context_.now() - machine.known < loanPatience)
         return false;
-    return std::any_of(ledger.jobs.begin(), ledger.jobs.end(), [&](const auto& entry) {
+    return std::any_of(clusterState.jobs.begin(), clusterState.jobs.end(), [&](const auto& entry) {
         const Job& job = entry.second;
-        return job.spec.kind != protocol::JobKind::gang && ledger.schedulable(job) &&
+        return job.spec.kind != protocol::JobKind::gang && clusterState.schedulable(job) &&
                std::any_of(job.slices.begin(), job.slices.end(),
                            [&](const Slice& slice) {
-                               return slice.part == machine.part && slice.waiting() > 0;
+                               return slice.partition == machine.partition && slice.waiting() > 0;
                            }) &&
                Placement::typeAllowed(job.spec, *type, machine.zone, machine.spot) &&
                placement_.before(job, *gang);
     });
 }
 
-void Loans::review(std::uint32_t part) {
+void Loans::review(std::uint32_t partition) {
     const auto now = context_.now();
     std::erase_if(restUntil_, [now](const auto& entry) { return entry.second <= now; });
     std::map<std::uint32_t, std::vector<std::string>> back;
     {
-        auto ledger = context_.ledger.lock();
-        for (auto* machine : ledger->machinesOf(part)) {
+        auto clusterState = context_.clusterState.lock();
+        for (auto* machine : clusterState->machinesOf(partition)) {
             if (!machine->lender || machine->transferring || machine->retired) continue;
             const bool kept = now < machine->reservedUntil;
             const bool inTheWay =
-                kept && machine->claims.empty() && keepsOthersWaiting(*ledger, *machine);
+                kept && machine->claims.empty() && keepsOthersWaiting(*clusterState, *machine);
             if (inTheWay) restUntil_[machine->reservedFor] = now + pauseAfterReturn;
             if (!machine->claims.empty() || (kept && !inTheWay)) {
                 machine->idleSince = now;
@@ -181,7 +184,7 @@
         }
     }
     for (const auto& [lender, names] : back)
-        if (!names.empty()) transfers_.lend(part, lender, names);
+        if (!names.empty()) transfers_.lend(partition, lender, names);
 }
 
 }  // namespace fawnwheel::coordination
--- a/src/coordination/loans.h
+++ b/src/coordination/loans.h
@@ -1,7 +1,7 @@
-// Lends machines between parts: a gang too large for what its own part has free starts on machines
-// that peers lend its owner for that start. A loan is one guarded change of the machine's record,
-// made by the lender while the machine is empty; from then on the borrower answers its worker,
-// holds its claims and their proofs, and gives it back when the gang has ended.
+// Lends machines between partitions: a gang too large for what its own partition has free starts on
+// machines that peers lend its leader for that start. A loan is one guarded change of the machine's
+// record, made by the lender while the machine is empty; from then on the borrower answers its
+// worker, holds its claims and their proofs, and gives it back when the gang has ended.
 #pragma once
 
 #include "coordination/machine_transfers.h"
@@ -19,17 +19,18 @@
           placement_(placement),
           transfers_(transfers) {}
 
-    // Asks peers, those with most idle machines first, for what the part's gangs lack.
-    void askFor(std::uint32_t part, const std::vector<Unplaced>& unplaced);
+    // Asks peers, those with most idle machines first, for what the partition's gangs lack.
+    void askFor(std::uint32_t partition, const std::vector<Unplaced>& unplaced);
     void onAsk(const std::string& peer, const protocol::LoanAsk& ask);
     // Gives back what is no longer needed.
-    void review(std::uint32_t part);
+    void review(std::uint32_t partition);
 
   private:
-    // Whether work of this part comes before the gang and could use the machine.
-    [[nodiscard]] bool neededHere(Ledger& ledger, const Machine& machine, const Job& gang) const;
+    // Whether work of this partition comes before the gang and could use the machine.
+    [[nodiscard]] bool neededHere(ClusterState& clusterState, const Machine& machine,
+                                  const Job& gang) const;
     // Whether an idle loan is kept for a gang while the borrower's work that goes before it waits.
-    [[nodiscard]] bool keepsOthersWaiting(Ledger& ledger, const Machine& machine) const;
+    [[nodiscard]] bool keepsOthersWaiting(ClusterState& clusterState, const Machine& machine) const;
 
     Context& context_;
     Membership& membership_;
--- a/src/coordination/machine_sharing.cpp
+++ b/src/coordination/machine_sharing.cpp
@@ -10,8 +10,9 @@
 
 using namespace std::chrono_literals;
 
-constexpr double heardRounds = 3.5;  // a part that has said nothing for so long is given nothing
-constexpr std::size_t mostDemands = 16;  // of one part, the most urgent
+constexpr double heardRounds =
+    3.5;  // a partition that has said nothing for so long is given nothing
+constexpr std::size_t mostDemands = 16;  // of one partition, the most urgent
 constexpr double thousandth = 0.001;
 constexpr auto retryPause = 100ms;  // while records that go first are written
 constexpr auto logPeriod = 60s;
@@ -64,19 +65,21 @@
 }
 
 bool MachineSharing::usable() const {
-    return membership_.leaseStands() && context_.transfersUnderstood(*context_.ledger.lock());
+    return membership_.leaseStands() &&
+           context_.machineTransfersEnabled(*context_.clusterState.lock());
 }
 
-void MachineSharing::noteUnplaced(std::uint32_t part, const std::vector<Unplaced>& unplaced) {
-    if (context_.tuning.sharing.enabled) unplaced_[part] = unplaced;
+void MachineSharing::recordUnplaced(std::uint32_t partition,
+                                    const std::vector<Unplaced>& unplaced) {
+    if (context_.tuning.sharing.enabled) unplaced_[partition] = unplaced;
 }
 
 std::vector<sharing::Demand> MachineSharing::demandsOf(
     const std::vector<Unplaced>& unplaced) const {
     std::vector<sharing::Demand> demands;
-    auto ledger = context_.ledger.lock();
+    auto clusterState = context_.clusterState.lock();
     for (const auto& entry : unplaced) {
-        const Job* job = ledger->job(entry.job);
+        const Job* job = clusterState->job(entry.job);
         const auto tasks = entry.gang ? entry.lacking : entry.tasks;
         if (job == nullptr || entry.overShare || entry.waitsTurn || tasks == 0) continue;
         // Work that can be divided, or is a single task, goes to the machines: a push takes one
@@ -84,7 +87,7 @@
         // work and the changes from its records (docs/results.md).
         if (!job->undivided() || job->spec.tasks < 2 || context_.isGuest(*job)) continue;
         const auto urgency =
-            sharing::urgencyOf(job->priority, placement_.withinGuarantee(*ledger, *job));
+            sharing::urgencyOf(job->priority, placement_.withinGuarantee(*clusterState, *job));
         const auto zone = entry.gang ? entry.zone : job->spec.zone.value_or(std::string());
         demands.push_back({shapeOf(job->spec, zone), static_cast<double>(tasks), entry.gang,
                            urgency, sharing::millisOf(job->submitted)});
@@ -92,10 +95,10 @@
     return demands;
 }
 
-void MachineSharing::subtractRoom(const Ledger& ledger, std::uint32_t part,
+void MachineSharing::subtractRoom(const ClusterState& clusterState, std::uint32_t partition,
                                   const std::function<bool(const Machine&)>& counts,
                                   std::vector<sharing::Demand>& demands) const {
-    for (const auto* machine : ledger.machinesOf(part)) {
+    for (const auto* machine : clusterState.machinesOf(partition)) {
         const auto* type = context_.type(machine->type);
         if (type == nullptr || machine->retired || !counts(*machine)) continue;
         auto free = type->capacity;
@@ -116,11 +119,11 @@
                           [this] { round(); });
     gifts_.clear();
     if (!usable()) return;
-    const auto own = membership_.activeParts();
+    const auto own = membership_.ledPartitions();
     std::erase_if(averages_, [&own](const auto& entry) {
         return std::find(own.begin(), own.end(), entry.first) == own.end();
     });
-    for (const auto part : own) report(part);
+    for (const auto partition : own) report(partition);
     const auto input = gatherInput();
     if (input.wants.empty()) return;
     const auto plan = sharing::makePlan(input, context_.tuning.sharing.solverSteps);
@@ -128,8 +131,9 @@
     for (const auto& move : plan.moves) {
         const auto& supply = input.supplies[move.supply];
         const auto& want = input.wants[move.want];
-        if (membership_.active(supply.part))
-            gifts_.push_back({supply.part, want.part, supply, want.demand, move.machines, {}});
+        if (membership_.isLeader(supply.partition))
+            gifts_.push_back(
+                {supply.partition, want.partition, supply, want.demand, move.machines, {}});
     }
     const auto& tuning = context_.tuning.sharing;
     budget_.fill(context_.now(),
@@ -137,48 +141,48 @@
     if (!carryingOut_) carryOut();
 }
 
-void MachineSharing::report(std::uint32_t part) {
+void MachineSharing::report(std::uint32_t partition) {
     const auto& tuning = context_.tuning.sharing;
     const sharing::DemandThresholds thresholds{tuning.low, tuning.high, tuning.weight};
-    auto& average = averages_.try_emplace(part, thresholds).first->second;
-    auto demands = demandsOf(unplaced_[part]);
+    auto& average = averages_.try_emplace(partition, thresholds).first->second;
+    auto demands = demandsOf(unplaced_[partition]);
     // What was rented for a gang has been counted as no longer lacking.
     const auto isComing = [now = context_.now()](const Machine& machine) {
         return (!machine.lastReport || !machine.acknowledged()) && now >= machine.reservedUntil;
     };
-    subtractRoom(*context_.ledger.lock(), part, isComing, demands);
+    subtractRoom(*context_.clusterState.lock(), partition, isComing, demands);
     average.sample(demands);
     auto asked = average.asked();
     std::stable_sort(asked.begin(), asked.end(), [](const auto& one, const auto& other) {
         return one.urgency > other.urgency;
     });
     if (asked.size() > mostDemands) asked.resize(mostDemands);
-    protocol::DemandReport message{part, {}};
+    protocol::DemandReport message{partition, {}};
     for (const auto& demand : asked) message.demands.push_back(encode(demand));
     for (const auto& peer : context_.settings.peers)
         context_.network.sendFrame(peer.name,
                                    protocol::encodePeer({context_.settings.name, message}));
-    demands_[part] = {std::move(asked), context_.now()};
+    demands_[partition] = {std::move(asked), context_.now()};
 }
 
 void MachineSharing::onDemand(const std::string& peer, const protocol::DemandReport& report) {
-    if (!context_.tuning.sharing.enabled || report.part >= context_.partCount()) return;
-    // Whoever is not the owner any more, or not yet, would ask for another's part.
-    if (context_.ledger.lock()->parts[report.part].owner != peer) return;
-    PartDemand demand{{}, context_.now()};
+    if (!context_.tuning.sharing.enabled || report.partition >= context_.partitionCount()) return;
+    // Whoever is not the leader any more, or not yet, would ask for another's partition.
+    if (context_.clusterState.lock()->partitions[report.partition].leader != peer) return;
+    PartitionDemand demand{{}, context_.now()};
     for (const auto& entry : report.demands) {
         if (demand.demands.size() >= mostDemands) break;
         demand.demands.push_back(decode(entry));
     }
-    demands_[report.part] = std::move(demand);
+    demands_[report.partition] = std::move(demand);
 }
 
-bool MachineSharing::spare(const Ledger& ledger, const Machine& machine,
+bool MachineSharing::spare(const ClusterState& clusterState, const Machine& machine,
                            const sharing::Taker& taker) const {
     return machine.version != 0 && !machine.retired && !machine.lender && !machine.transferring &&
            !machine.emptying && !machine.noticeEnds &&
-           !sharing::keptForOthers(ledger, machine, taker, context_.now()) &&
-           context_.now() - machine.known >= ticks(context_.tuning.sharing.hold) &&
+           !sharing::keptForOthers(clusterState, machine, taker, context_.now()) &&
+           context_.now() - machine.known >= ticks(context_.tuning.sharing.minTenure) &&
            (context_.tuning.sharing.busyMachines || machine.claims.empty());
 }
 
@@ -186,18 +190,19 @@
     return {gift.to, gift.demand.urgency, gift.demand.since};
 }
 
-void MachineSharing::addSupplies(const Ledger& ledger, std::uint32_t part,
+void MachineSharing::addSupplies(const ClusterState& clusterState, std::uint32_t partition,
                                  sharing::PlanInput& input) const {
     const auto first = input.supplies.size();
-    for (const auto* machine : ledger.machinesOf(part)) {
+    for (const auto* machine : clusterState.machinesOf(partition)) {
         const auto* type = context_.type(machine->type);
         if (type == nullptr || machine->retired) continue;
         const bool wanted =
             std::any_of(input.wants.begin(), input.wants.end(), [&](const sharing::Want& want) {
-                return spare(ledger, *machine, {want.part, want.demand.urgency, want.demand.since});
+                return spare(clusterState, *machine,
+                             {want.partition, want.demand.urgency, want.demand.since});
             });
         if (!wanted) continue;
-        sharing::Supply supply{part,
+        sharing::Supply supply{partition,
                                machine->type,
                                machine->zone,
                                machine->spot,
@@ -227,25 +232,25 @@
 
 sharing::PlanInput MachineSharing::gatherInput() const {
     sharing::PlanInput input;
-    auto ledger = context_.ledger.lock();
+    auto clusterState = context_.clusterState.lock();
     const auto fresh = ticks(context_.tuning.sharing.period * heardRounds);
-    for (const auto& [part, demand] : demands_) {
-        const auto record = ledger->parts.find(part);
-        if (record == ledger->parts.end() || context_.now() - demand.heard > fresh ||
-            !ledger->nodes.contains(record->second.owner))
+    for (const auto& [partition, demand] : demands_) {
+        const auto record = clusterState->partitions.find(partition);
+        if (record == clusterState->partitions.end() || context_.now() - demand.heard > fresh ||
+            !clusterState->nodes.contains(record->second.leader))
             continue;
-        input.zones[part] = context_.settings.zoneOf(record->second.owner);
-        // What the part has got since it said so: two givers once served the same lack.
+        input.zones[partition] = context_.settings.zoneOf(record->second.leader);
+        // What the partition has got since it said so: two givers once served the same lack.
         auto lacking = demand.demands;
         const auto isNew = [heard = demand.heard](const Machine& machine) {
             return machine.known > heard;
         };
-        subtractRoom(*ledger, part, isNew, lacking);
-        for (auto& entry : lacking) input.wants.push_back({part, std::move(entry)});
+        subtractRoom(*clusterState, partition, isNew, lacking);
+        for (auto& entry : lacking) input.wants.push_back({partition, std::move(entry)});
     }
     if (input.wants.empty()) return input;
-    // Also what is given comes only from parts that share.
-    for (const auto& [part, zone] : input.zones) addSupplies(*ledger, part, input);
+    // Also what is given comes only from partitions that share.
+    for (const auto& [partition, zone] : input.zones) addSupplies(*clusterState, partition, input);
     return input;
 }
 
@@ -255,12 +260,13 @@
     logged_ = now;
     std::map<std::uint32_t, std::int64_t> held;
     {
-        auto ledger = context_.ledger.lock();
-        for (std::uint32_t part = 0; part < context_.partCount(); ++part)
-            held[part] = static_cast<std::int64_t>(ledger->machinesOf(part).size());
+        auto clusterState = context_.clusterState.lock();
+        for (std::uint32_t partition = 0; partition < context_.partitionCount(); ++partition)
+            held[partition] = static_cast<std::int64_t>(clusterState->machinesOf(partition).size());
     }
-    for (const auto& [part, target] : sharing::targets(input, plan, held))
-        spdlog::info("sharing: part {} holds {} machines, target {}{}", part, held[part], target,
+    for (const auto& [partition, target] : sharing::targets(input, plan, held))
+        spdlog::info("sharing: part {} holds {} machines, target {}{}", partition, held[partition],
+                     target,
                      plan.method == sharing::PlanMethod::greedy ? ", planned greedily" : "");
 }
 
@@ -270,9 +276,10 @@
     bool waits = false;
     std::set<std::uint32_t> sent;
     for (auto& gift : gifts_) {
-        if (gift.machines == 0 || !membership_.active(gift.from) || !budget_.allows()) continue;
-        // Claims, ends and cancellations go first: the committer rests only when none is left.
-        if (committer_.busy(gift.from) || sent.contains(gift.from)) {
+        if (gift.machines == 0 || !membership_.isLeader(gift.from) || !budget_.allows()) continue;
+        // Claims, ends and cancellations go first: the transaction pipeline rests only when none is
+        // left.
+        if (pipeline_.busy(gift.from) || sent.contains(gift.from)) {
             waits = true;
             continue;
         }
@@ -286,13 +293,13 @@
 
 std::vector<std::string> MachineSharing::candidates(const Gift& gift) {
     std::vector<const Machine*> found;
-    auto ledger = context_.ledger.lock();
+    auto clusterState = context_.clusterState.lock();
     const auto wanted = gift.demand.shape.placesOn(gift.kind.type, gift.kind.zone, gift.kind.spot,
                                                    gift.kind.free, placesCounted);
-    for (const auto* machine : ledger->machinesOf(gift.from)) {
+    for (const auto* machine : clusterState->machinesOf(gift.from)) {
         const auto* type = context_.type(machine->type);
         if (type == nullptr || gift.refused.contains(machine->id) ||
-            !spare(*ledger, *machine, takerOf(gift)) ||
+            !spare(*clusterState, *machine, takerOf(gift)) ||
             std::tie(machine->type, machine->zone, machine->spot) !=
                 std::tie(gift.kind.type, gift.kind.zone, gift.kind.spot) ||
             machine->claims.empty() == gift.kind.busy)
@@ -315,13 +322,16 @@
 
 bool MachineSharing::giveSome(Gift& gift) {
     const auto& tuning = context_.tuning.sharing;
-    const sharing::HandoverRules rules{
-        gift.from,          takerOf(gift),      context_.settings.transactionChanges,
-        context_.now(),     ticks(tuning.hold), ticks(context_.settings.report * silentReports),
-        tuning.busyMachines};
+    const sharing::HandoverRules rules{gift.from,
+                                       takerOf(gift),
+                                       context_.settings.transactionChanges,
+                                       context_.now(),
+                                       ticks(tuning.minTenure),
+                                       ticks(context_.settings.report * silentReports),
+                                       tuning.busyMachines};
     for (const auto& machine : candidates(gift)) {
         gift.refused.insert(machine);
-        const auto plan = sharing::planHandover(*context_.ledger.lock(), machine, rules);
+        const auto plan = sharing::planHandover(*context_.clusterState.lock(), machine, rules);
         if (const auto* refusal = std::get_if<sharing::Refusal>(&plan)) {
             logRefusal(machine, *refusal);
             continue;
@@ -342,7 +352,7 @@
         }
         const auto moved = static_cast<std::uint32_t>(handover.machines.size());
         gift.machines -= std::min(gift.machines, moved);
-        budget_.take(moved, handover.changes);
+        budget_.take(moved, handover.writes);
         return true;
     }
     // Nothing of it can go in this round.
--- a/src/coordination/machine_sharing.h
+++ b/src/coordination/machine_sharing.h
@@ -1,6 +1,6 @@
-// Divides the machines among the parts while jobs run: each round every owner tells its peers what
-// it lacks machines for, works out a plan for all parts, and gives away what the plan takes from
-// its own.
+// Divides the machines among the partitions while jobs run: each round every leader tells its peers
+// what it lacks machines for, works out a plan for all partitions, and gives away what the plan
+// takes from its own.
 #pragma once
 
 #include "coordination/machine_transfers.h"
@@ -12,27 +12,27 @@
 
 class MachineSharing {
   public:
-    MachineSharing(Context& context, Membership& membership, Committer& committer,
+    MachineSharing(Context& context, Membership& membership, TransactionPipeline& pipeline,
                    Placement& placement, MachineTransfers& transfers)
         : context_(context),
           membership_(membership),
-          committer_(committer),
+          pipeline_(pipeline),
           placement_(placement),
           transfers_(transfers) {}
 
     void start();
-    // What a part of ours had no place for when it was last looked at.
-    void noteUnplaced(std::uint32_t part, const std::vector<Unplaced>& unplaced);
+    // What a partition of ours had no place for when it was last looked at.
+    void recordUnplaced(std::uint32_t partition, const std::vector<Unplaced>& unplaced);
     void onDemand(const std::string& peer, const protocol::DemandReport& report);
 
     std::function<void()> onChange = [] {};
 
   private:
-    struct PartDemand {
+    struct PartitionDemand {
         std::vector<sharing::Demand> demands;
         SteadyTime heard{};
     };
-    // Machines that a part of ours is to give away, until the next round.
+    // Machines that a partition of ours is to give away, until the next round.
     struct Gift {
         std::uint32_t from = 0;
         std::uint32_t to = 0;
@@ -44,17 +44,18 @@
 
     [[nodiscard]] bool usable() const;
     void round();
-    void report(std::uint32_t part);
+    void report(std::uint32_t partition);
     [[nodiscard]] sharing::PlanInput gatherInput() const;
-    void addSupplies(const Ledger& ledger, std::uint32_t part, sharing::PlanInput& input) const;
+    void addSupplies(const ClusterState& clusterState, std::uint32_t partition,
+                     sharing::PlanInput& input) const;
     [[nodiscard]] std::vector<sharing::Demand> demandsOf(
         const std::vector<Unplaced>& unplaced) const;
-    // Without what such machines of the part have room for.
-    void subtractRoom(const Ledger& ledger, std::uint32_t part,
+    // Without what such machines of the partition have room for.
+    void subtractRoom(const ClusterState& clusterState, std::uint32_t partition,
                       const std::function<bool(const Machine&)>& counts,
                       std::vector<sharing::Demand>& demands) const;
     // Whether the machine could serve the taker by what is known of it here.
-    [[nodiscard]] bool spare(const Ledger& ledger, const Machine& machine,
+    [[nodiscard]] bool spare(const ClusterState& clusterState, const Machine& machine,
                              const sharing::Taker& taker) const;
     [[nodiscard]] static sharing::Taker takerOf(const Gift& gift);
     void logPlan(const sharing::PlanInput& input, const sharing::SharePlan& plan);
@@ -67,12 +68,12 @@
 
     Context& context_;
     Membership& membership_;
-    Committer& committer_;
+    TransactionPipeline& pipeline_;
     Placement& placement_;
     MachineTransfers& transfers_;
-    std::map<std::uint32_t, std::vector<Unplaced>> unplaced_;   // by part of ours
+    std::map<std::uint32_t, std::vector<Unplaced>> unplaced_;   // by partition of ours
     std::map<std::uint32_t, sharing::DemandAverage> averages_;  // the same
-    std::map<std::uint32_t, PartDemand> demands_;               // of all parts
+    std::map<std::uint32_t, PartitionDemand> demands_;          // of all partitions
     std::vector<Gift> gifts_;
     sharing::MoveBudget budget_;
     bool carryingOut_ = false;
--- a/src/coordination/machine_transfers.cpp
+++ b/src/coordination/machine_transfers.cpp
@@ -7,8 +7,8 @@
 namespace {
 
 // A transfer that was given up may still be carried out late, and its giver's token grows
-// meanwhile: the next owner's begins well above it. With the very next one two owners once answered
-// a worker with the same token (sharing_troubles).
+// meanwhile: the next leader's begins well above it. With the very next one two leaders once
+// answered a worker with the same token (sharing_troubles).
 constexpr std::uint64_t tokenReserve = 256;
 
 }  // namespace
@@ -16,9 +16,9 @@
 Machine MachineTransfers::leaving(Machine& machine, std::uint32_t to) {
     machine.transferring = true;
     Machine next = machine;
-    next.part = to;
+    next.partition = to;
     // Above every token that its worker may see from us.
-    next.tokenFloor = machine.token + tokenReserve;
+    next.minFencingToken = machine.fencingToken + tokenReserve;
     return next;
 }
 
@@ -27,21 +27,21 @@
     const auto key = bookkeeping::keys::machine(machine.id);
     transfer.machines.push_back(machine.id);
     transfer.records.push_back({key, bookkeeping::machineValue(next), 0});
-    transfer.batch.transaction.conditions.push_back({key, machine.version});
-    transfer.batch.transaction.changes.push_back(transfer.records.back());
+    transfer.batch.transaction.compares.push_back({key, machine.version});
+    transfer.batch.transaction.writes.push_back(transfer.records.back());
 }
 
 void MachineTransfers::addJob(Transfer& transfer, const Job& job, std::uint32_t to) const {
     const auto key = bookkeeping::keys::job(job.spec.id);
     Job next = job;
-    next.part = to;
+    next.partition = to;
     transfer.records.push_back({key, bookkeeping::jobValue(next), 0});
     if (transfer.batch.jobs.insert(job.spec.id).second)
-        transfer.batch.transaction.conditions.push_back({key, job.version});
-    transfer.batch.transaction.changes.push_back(transfer.records.back());
+        transfer.batch.transaction.compares.push_back({key, job.version});
+    transfer.batch.transaction.writes.push_back(transfer.records.back());
 }
 
-bool MachineTransfers::addShares(Transfer& transfer, Ledger& ledger,
+bool MachineTransfers::addShares(Transfer& transfer, ClusterState& clusterState,
                                  const sharing::Handover& handover, std::uint32_t from,
                                  std::uint32_t to) {
     // The tasks count for the taker from now on. Without their share of the limit the giver would
@@ -52,25 +52,25 @@
         bookkeeping::TeamShare moved;
         if (team->cpusMax > 0) moved.cpus = used.cpus;
         if (team->gpusMax > 0) moved.gpus = used.gpus;
-        auto share = shares_.begin(ledger, *team, from, to, moved);
+        auto share = shares_.begin(clusterState, *team, from, to, moved);
         if (!share) return false;
-        transfer.batch.transaction.conditions.push_back(share->condition);
-        transfer.batch.transaction.changes.push_back(share->change);
+        transfer.batch.transaction.compares.push_back(share->compare);
+        transfer.batch.transaction.writes.push_back(share->change);
         transfer.shares.push_back(std::move(*share));
     }
-    return transfer.batch.transaction.changes.size() <= writer_.mostChanges();
+    return transfer.batch.transaction.writes.size() <= writer_.mostChanges();
 }
 
 void MachineTransfers::lend(std::uint32_t from, std::uint32_t to,
                             const std::vector<std::string>& machines) {
     Transfer transfer;
     {
-        auto ledger = context_.ledger.lock();
-        // The borrower's record is a condition: an owner that has changed since asks anew.
-        transfer.batch.transaction.conditions.push_back(
-            {bookkeeping::keys::part(to), ledger->parts[to].version});
+        auto clusterState = context_.clusterState.lock();
+        // The borrower's record is a condition: a leader that has changed since asks anew.
+        transfer.batch.transaction.compares.push_back(
+            {bookkeeping::keys::partition(to), clusterState->partitions[to].version});
         for (const auto& id : machines) {
-            Machine& machine = *ledger->machine(id);
+            Machine& machine = *clusterState->machine(id);
             Machine next = leaving(machine, to);
             next.lender = machine.lender.value_or(from);
             if (*next.lender == to) next.lender.reset();
@@ -79,10 +79,10 @@
         }
     }
     auto transaction = transfer.batch.transaction;
-    committer_.commit(from, std::move(transaction),
-                      [this, transfer](CommitResult result, std::uint64_t revision) {
-                          finish(transfer, result, revision);
-                      });
+    pipeline_.commit(from, std::move(transaction),
+                     [this, transfer](CommitResult result, std::uint64_t revision) {
+                         finish(transfer, result, revision);
+                     });
 }
 
 std::optional<sharing::Refusal> MachineTransfers::give(std::uint32_t from, std::uint32_t to,
@@ -90,35 +90,37 @@
                                                        std::function<void(bool given)> done) {
     Transfer transfer;
     {
-        auto ledger = context_.ledger.lock();
-        transfer.batch.generation = ledger->generation;
-        auto& conditions = transfer.batch.transaction.conditions;
-        conditions.push_back({bookkeeping::keys::part(to), ledger->parts[to].version});
+        auto clusterState = context_.clusterState.lock();
+        transfer.batch.generation = clusterState->generation;
+        auto& compares = transfer.batch.transaction.compares;
+        compares.push_back(
+            {bookkeeping::keys::partition(to), clusterState->partitions[to].version});
         bool fits = true;
         for (const auto& slice : handover.slices) {
-            Job& job = *ledger->job(slice.job);
+            Job& job = *clusterState->job(slice.job);
             fits = fits &&
                    writer_.add(transfer.batch, job, job.slices[slice.slice], {slice.ranges, to});
         }
-        for (const auto& id : handover.jobs) addJob(transfer, *ledger->job(id), to);
+        for (const auto& id : handover.jobs) addJob(transfer, *clusterState->job(id), to);
         for (const auto& id : handover.machines) {
-            Machine& machine = *ledger->machine(id);
+            Machine& machine = *clusterState->machine(id);
             Machine next = leaving(machine, to);
             next.movedBy = context_.settings.name;
             addMachine(transfer, machine, next);
         }
-        fits = fits && addShares(transfer, *ledger, handover, from, to) &&
-               transfer.batch.transaction.conditions.size() <
-                   context_.settings.transactionConditions();
+        fits =
+            fits && addShares(transfer, *clusterState, handover, from, to) &&
+            transfer.batch.transaction.compares.size() < context_.settings.transactionConditions();
         if (!fits) {
-            for (const auto& id : handover.machines) ledger->machine(id)->transferring = false;
+            for (const auto& id : handover.machines)
+                clusterState->machine(id)->transferring = false;
             for (const auto& share : transfer.shares)
-                shares_.settle(*ledger, share, CommitResult::conflict, 0);
+                shares_.settle(*clusterState, share, CommitResult::conflict, 0);
             return sharing::Refusal::tooLarge;
         }
     }
     auto transaction = transfer.batch.transaction;
-    committer_.commit(
+    pipeline_.commit(
         from, std::move(transaction),
         [this, transfer, done = std::move(done)](CommitResult result, std::uint64_t revision) {
             finish(transfer, result, revision);
@@ -131,14 +133,15 @@
                               std::uint64_t revision) {
     std::set<std::string> durable;
     {
-        auto ledger = context_.ledger.lock();
+        auto clusterState = context_.clusterState.lock();
         for (const auto& id : transfer.machines)
-            if (Machine* machine = ledger->machine(id)) machine->transferring = false;
-        durable = writer_.finish(*ledger, transfer.batch, result, revision);
-        for (const auto& share : transfer.shares) shares_.settle(*ledger, share, result, revision);
+            if (Machine* machine = clusterState->machine(id)) machine->transferring = false;
+        durable = writer_.finish(*clusterState, transfer.batch, result, revision);
+        for (const auto& share : transfer.shares)
+            shares_.settle(*clusterState, share, result, revision);
         if (result == CommitResult::done)
             for (const auto& record : transfer.records)
-                bookkeeping::applyEvent(*ledger, {record.key, record.value, revision},
+                bookkeeping::applyEvent(*clusterState, {record.key, record.value, revision},
                                         context_.now());
     }
     if (!durable.empty()) onDurable(durable);
--- a/src/coordination/machine_transfers.h
+++ b/src/coordination/machine_transfers.h
@@ -1,5 +1,6 @@
-// Carries out that machines change hands between parts, each in one guarded transaction of the part
-// that gives them: lent while they are empty, or given for good with all that runs on them.
+// Carries out that machines change hands between partitions, each in one guarded transaction of the
+// partition that gives them: lent while they are empty, or given for good with all that runs on
+// them.
 #pragma once
 
 #include "coordination/reports.h"
@@ -10,10 +11,10 @@
 
 class MachineTransfers {
   public:
-    MachineTransfers(Context& context, Committer& committer, SliceWriter& writer, Shares& shares,
-                     Reports& reports)
+    MachineTransfers(Context& context, TransactionPipeline& pipeline, SliceWriter& writer,
+                     Shares& shares, Reports& reports)
         : context_(context),
-          committer_(committer),
+          pipeline_(pipeline),
           writer_(writer),
           shares_(shares),
           reports_(reports) {}
@@ -33,21 +34,21 @@
     struct Transfer {
         std::vector<std::string> machines;
         SliceBatch batch;
-        std::vector<protocol::Change> records;  // of machines and jobs
-        std::vector<Shares::Change> shares;
+        std::vector<protocol::Write> records;  // of machines and jobs
+        std::vector<Shares::QuotaTransfer> shares;
     };
 
     // From now on the machine gets no new work and its token stands still.
     static Machine leaving(Machine& machine, std::uint32_t to);
     void addMachine(Transfer& transfer, const Machine& machine, const Machine& next) const;
     void addJob(Transfer& transfer, const Job& job, std::uint32_t to) const;
-    [[nodiscard]] bool addShares(Transfer& transfer, Ledger& ledger,
+    [[nodiscard]] bool addShares(Transfer& transfer, ClusterState& clusterState,
                                  const sharing::Handover& handover, std::uint32_t from,
                                  std::uint32_t to);
     void finish(const Transfer& transfer, CommitResult result, std::uint64_t revision);
 
     Context& context_;
-    Committer& committer_;
+    TransactionPipeline& pipeline_;
     SliceWriter& writer_;
     Shares& shares_;
     Reports& reports_;
