--- a/src/coordination/membership.cpp
+++ b/src/coordination/membership.cpp
@@ -19,8 +19,8 @@
 constexpr auto clockStep = 50ms;                // timers fire in steps
 constexpr auto spreadDelay = 10ms;              // gathers cancellations of the same moment
 constexpr std::size_t mostCancellations = 256;  // in one message
-// While the lease stands, the service is there, and the follow catches up within this.
-constexpr auto followPatience = 8s;
+// While the lease stands, the service is there, and the watch catches up within this.
+constexpr auto watchPatience = 8s;
 
 std::uint64_t micros(SteadyTime t) {
     return static_cast<std::uint64_t>(
@@ -34,7 +34,7 @@
 }  // namespace
 
 void Membership::start() {
-    createHold();
+    grantLease();
     beat();
 }
 
@@ -45,12 +45,12 @@
 bool Membership::knowsCancellations() const {
     // A worker that is answered now is gone a lease later. A cancellation confirmed after the
     // moment up to which we know all of them leaves its tasks `cancel_s`. Refused alone before an
-    // outage for all, an owner once renewed leases for as long as that lasted, and tasks ran on
+    // outage for all, a leader once renewed leases for as long as that lasted, and tasks ran on
     // whose cancellation a peer had confirmed (cancellation_gap).
-    // The room is never exceeded, also not by an owner whose lease stands while its follow lags.
-    // Only where `cancel_s` leaves no room beside a lease no owner could keep it by waiting.
-    auto patience = context_.cancellationRoom();
-    if (patience <= Duration::zero() && leaseStands()) patience = followPatience;
+    // The slack is never exceeded, also not by a leader whose lease stands while its follow lags.
+    // Only where `cancel_s` leaves no room beside a lease no leader could keep it by waiting.
+    auto patience = context_.cancellationSlack();
+    if (patience <= Duration::zero() && leaseStands()) patience = watchPatience;
     const auto now = context_.now();
     const auto current = recordsCurrentAsOf();
     if (now <= current + patience) return true;
@@ -61,25 +61,25 @@
         });
 }
 
-bool Membership::mayAnswerWorkers(std::uint32_t part) const {
+bool Membership::mayAnswerWorkers(std::uint32_t partition) const {
     if (!knowsCancellations()) return false;
     if (leaseStands()) return true;
     if (!joined_ || context_.state.reachable()) return false;
     // Every peer must have said so after `now - confirmationLasts`: one that reaches the state
     // service again stops saying it before it can take anything over, so a successor has to wait
     // this much longer for our workers' leases and no more.
-    // One may also have taken the part over before the outage, while we were cut off: back among
-    // our peers in the outage, we once renewed leases that the successor had counted down
+    // One may also have taken the partition over before the outage, while we were cut off: back
+    // among our peers in the outage, we once renewed leases that the successor had counted down
     // (back_in_outage).
     const auto now = context_.now();
-    const auto taken = taken_.find(part);
-    const auto term = taken == taken_.end() ? 0 : taken->second;
+    const auto acquiredTerm = acquiredTerms_.find(partition);
+    const auto term = acquiredTerm == acquiredTerms_.end() ? 0 : acquiredTerm->second;
     return std::all_of(context_.settings.peers.begin(), context_.settings.peers.end(),
                        [&](const auto& peer) {
                            const auto found = peers_.find(peer.name);
                            if (found == peers_.end()) return false;
                            const auto& state = found->second;
-                           const auto owned = state.owned.find(part);
+                           const auto owned = state.owned.find(partition);
                            return now - state.saidLost < confirmationLasts - clockStep &&
                                   (owned == state.owned.end() || owned->second <= term);
                        });
@@ -105,7 +105,7 @@
     });
 }
 
-void Membership::onStatus(const std::string& peer, const protocol::Status& status) {
+void Membership::onPeerHeartbeat(const std::string& peer, const protocol::PeerHeartbeat& status) {
     const bool known = std::any_of(context_.settings.peers.begin(), context_.settings.peers.end(),
                                    [&](const auto& p) { return p.name == peer; });
     if (!known) return;
@@ -119,47 +119,50 @@
     // An echo from the future is an earlier life's of ours.
     if (!status.stateReachable && status.echo != 0 && fromMicros(status.echo) <= now)
         state.saidLost = std::max(state.saidLost, fromMicros(status.echo));
-    takeCancellations(state, status);
+    applyCancellations(state, status);
 }
 
-void Membership::onOwnerStatus(const std::string& peer, const protocol::OwnerStatus& message) {
+void Membership::onLeaderHeartbeat(const std::string& peer,
+                                   const protocol::LeaderHeartbeat& message) {
     auto& owned = peers_[peer].owned;
     owned.clear();
-    for (std::size_t i = 0; i < std::min(message.parts.size(), message.terms.size()); ++i)
-        owned[message.parts[i]] = message.terms[i];
-    onStatus(peer, message.status);
+    for (std::size_t i = 0; i < std::min(message.partitions.size(), message.terms.size()); ++i)
+        owned[message.partitions[i]] = message.terms[i];
+    onPeerHeartbeat(peer, message.status);
 }
 
-void Membership::sendTo(const std::string& peer, const protocol::Status& status, bool withParts) {
-    if (!withParts) {
+void Membership::sendTo(const std::string& peer, const protocol::PeerHeartbeat& status,
+                        bool withPartitions) {
+    if (!withPartitions) {
         context_.network.sendFrame(peer, protocol::encodePeer({context_.settings.name, status}));
         return;
     }
-    protocol::OwnerStatus message{status, {}, {}};
-    for (const auto& [part, term] : taken_) {
-        if (!owned(part)) continue;
-        message.parts.push_back(part);
+    protocol::LeaderHeartbeat message{status, {}, {}};
+    for (const auto& [partition, term] : acquiredTerms_) {
+        if (!ledHere(partition)) continue;
+        message.partitions.push_back(partition);
         message.terms.push_back(term);
     }
     context_.network.sendFrame(peer, protocol::encodePeer({context_.settings.name, message}));
 }
 
-void Membership::takeCancellations(PeerState& peer, const protocol::Status& status) {
+void Membership::applyCancellations(PeerState& peer, const protocol::PeerHeartbeat& status) {
     if (peer.incarnation != status.incarnation) {
         peer.incarnation = status.incarnation;
-        peer.taken = 0;
+        peer.cancellationsReceived = 0;
     }
     peer.applied = status.applied;
     peer.acknowledged = status.acknowledgedLife == incarnation_ ? status.acknowledged : 0;
     bool fresh = false;
     {
-        auto ledger = context_.ledger.lock();
+        auto clusterState = context_.clusterState.lock();
         for (const auto& job : status.cancelled)
-            fresh |= ledger->noteCancellation(job, bookkeeping::CancellationLog::unknownRevision);
+            fresh |= clusterState->recordCancellation(
+                job, bookkeeping::CancellationLog::unknownRevision);
     }
     // A list that begins after what we have leaves a gap, and the peer sends it again.
-    const bool connects = status.position <= peer.taken;
-    if (connects) peer.taken = std::max(peer.taken, status.next);
+    const bool connects = status.position <= peer.cancellationsReceived;
+    if (connects) peer.cancellationsReceived = std::max(peer.cancellationsReceived, status.next);
     // Dated by our own clock: it was said after we had sent what it echoes. From an earlier life
     // of ours it holds as well, since we have read the records since.
     if (connects && status.vouches && status.complete && status.echo != 0 && everSynced() &&
@@ -168,133 +171,135 @@
     if (fresh) onCancellations();
 }
 
-void Membership::sendStatus() {
-    const bool withParts = context_.transfersUnderstood(*context_.ledger.lock());
+void Membership::broadcastHeartbeat() {
+    const bool withPartitions = context_.machineTransfersEnabled(*context_.clusterState.lock());
     for (const auto& peer : context_.settings.peers) {
         PeerState& state = peers_[peer.name];
-        protocol::Status status;
+        protocol::PeerHeartbeat status;
         status.sentAt = micros(context_.now());
         status.echo = state.sentAt;
         status.stateReachable = context_.state.reachable();
         status.ready = ready();
         status.incarnation = incarnation_;
         status.acknowledgedLife = state.incarnation;
-        status.acknowledged = state.taken;
+        status.acknowledged = state.cancellationsReceived;
         {
-            auto ledger = context_.ledger.lock();
-            const auto& log = ledger->cancellations;
-            status.applied = everSynced() ? ledger->applied : 0;
+            auto clusterState = context_.clusterState.lock();
+            const auto& log = clusterState->cancellations;
+            status.applied = everSynced() ? clusterState->applied : 0;
             // An earlier life of ours may have told users what only the records hold.
             status.vouches = everSynced() && log.covers(state.acknowledged, state.applied);
             status.next = state.acknowledged;
         }
         // In as many messages as it takes: users were once answered after the first one.
         do {
-            auto extract = context_.ledger.lock()->cancellations.since(status.next, state.applied,
-                                                                       mostCancellations);
+            auto extract = context_.clusterState.lock()->cancellations.since(
+                status.next, state.applied, mostCancellations);
             status.position = status.next;
             status.next = extract.next;
             status.complete = extract.complete;
             status.cancelled = std::move(extract.jobs);
-            sendTo(peer.name, status, withParts);
+            sendTo(peer.name, status, withPartitions);
         } while (!status.complete);
     }
-    spread_ = context_.ledger.lock()->cancellations.end();
+    spread_ = context_.clusterState.lock()->cancellations.end();
 }
 
 void Membership::spreadCancellations(std::function<void()> then) {
-    if (context_.ledger.lock()->cancellations.end() == spread_) return then();
+    if (context_.clusterState.lock()->cancellations.end() == spread_) return then();
     spreading_.push_back(std::move(then));
     if (spreading_.size() > 1) return;
     context_.timers.after(spreadDelay, [this] {
-        sendStatus();
+        broadcastHeartbeat();
         for (const auto& next : std::exchange(spreading_, {})) next();
     });
 }
 
 void Membership::beat() {
-    sendStatus();
-    review();
+    broadcastHeartbeat();
+    reconcile();
     context_.timers.after(beatPeriod, [this] { beat(); });
 }
 
 void Membership::rejoinLater() {
-    context_.timers.after(context_.jittered(joinPause), [this] { createHold(); });
+    context_.timers.after(context_.jittered(joinPause), [this] { grantLease(); });
 }
 
-void Membership::createHold() {
+void Membership::grantLease() {
     if (!synced()) return rejoinLater();
     const auto sent = context_.now();
-    context_.state.createHold(ticks(context_.tuning.nodeLease), [this, sent](std::uint64_t hold) {
-        if (hold == 0) return rejoinLater();
-        writeNode(hold, sent);
+    context_.state.grantLease(ticks(context_.tuning.nodeLease), [this, sent](std::uint64_t lease) {
+        if (lease == 0) return rejoinLater();
+        writeNode(lease, sent);
     });
 }
 
-void Membership::writeNode(std::uint64_t hold, SteadyTime sent) {
-    protocol::Transaction transaction;
+void Membership::writeNode(std::uint64_t lease, SteadyTime sent) {
+    protocol::CompareAndSwap transaction;
     {
-        auto ledger = context_.ledger.lock();
+        auto clusterState = context_.clusterState.lock();
         const auto& name = context_.settings.name;
-        const auto known = ledger->nodes.find(name);
+        const auto known = clusterState->nodes.find(name);
         // The version guards against a late write by an earlier life of this node, which would
         // hang the record on a lease that nobody renews.
-        transaction.conditions.push_back(
-            {bookkeeping::keys::node(name), known == ledger->nodes.end() ? 0 : known->second});
-        // While we were out, a peer may have taken our parts. Answering their workers once more
-        // would prolong leases that the successor counts down.
-        // Of very many parts those that don't fit are taken anew.
-        while (taken_.size() + 1 > context_.settings.transactionConditions())
-            taken_.erase(std::prev(taken_.end()));
-        for (const auto& [part, term] : taken_)
-            transaction.conditions.push_back(
-                {bookkeeping::keys::part(part), ledger->parts[part].version});
-        transaction.changes.push_back(
-            {bookkeeping::keys::node(name), protocol::Json{{"term", ledger->lastTerm}}, hold});
+        transaction.compares.push_back({bookkeeping::keys::node(name),
+                                        known == clusterState->nodes.end() ? 0 : known->second});
+        // While we were out, a peer may have taken our partitions. Answering their workers once
+        // more would prolong leases that the successor counts down. Of very many partitions those
+        // that don't fit are taken anew.
+        while (acquiredTerms_.size() + 1 > context_.settings.transactionConditions())
+            acquiredTerms_.erase(std::prev(acquiredTerms_.end()));
+        for (const auto& [partition, term] : acquiredTerms_)
+            transaction.compares.push_back({bookkeeping::keys::partition(partition),
+                                            clusterState->partitions[partition].version});
+        transaction.writes.push_back({bookkeeping::keys::node(name),
+                                      protocol::Json{{"term", clusterState->lastTerm}}, lease});
         // Tied to no lease and never lowered: however late this is carried out, it says the truth.
-        if (!ledger->upgradedNodes.contains(name))
-            transaction.changes.push_back(
-                {bookkeeping::keys::upgraded(name), bookkeeping::upgradedValue(), 0});
-        if (!ledger->transferNodes.contains(name))
-            transaction.changes.push_back(
-                {bookkeeping::keys::transfers(name), bookkeeping::upgradedValue(), 0});
+        if (!clusterState->nodesWithJobDependencies.contains(name))
+            transaction.writes.push_back(
+                {bookkeeping::keys::jobDependenciesGate(name), bookkeeping::featureGateValue(), 0});
+        if (!clusterState->nodesWithMachineTransfers.contains(name))
+            transaction.writes.push_back({bookkeeping::keys::machineTransfersGate(name),
+                                          bookkeeping::featureGateValue(), 0});
     }
     context_.state.transact(
-        std::move(transaction), protocol::Urgency::lease,
-        [this, hold, sent](const protocol::TransactionAnswer& answer) {
+        std::move(transaction), protocol::RequestPriority::lease,
+        [this, lease, sent](const protocol::CompareAndSwapResponse& answer) {
             if (answer.result == protocol::StateResult::refused) {
                 for (const auto& key : answer.failed)
-                    for (std::uint32_t part = 0; part < context_.partCount(); ++part)
-                        if (key == bookkeeping::keys::part(part)) taken_.erase(part);
-                return refreshNodeVersion(hold, sent);
+                    for (std::uint32_t partition = 0; partition < context_.partitionCount();
+                         ++partition)
+                        if (key == bookkeeping::keys::partition(partition))
+                            acquiredTerms_.erase(partition);
+                return refreshNodeVersion(lease, sent);
             }
             if (answer.result != protocol::StateResult::ok) return rejoinLater();
             {
-                auto ledger = context_.ledger.lock();
-                ledger->nodes[context_.settings.name] = answer.revision;
+                auto clusterState = context_.clusterState.lock();
+                clusterState->nodes[context_.settings.name] = answer.revision;
             }
-            hold_ = hold;
+            leaseId_ = lease;
             joined_ = true;
             leaseUntil_ = sent + ticks(context_.tuning.nodeLease * driftMargin) - clockStep;
             spdlog::info("membership: joined");
             context_.timers.after(ticks(context_.tuning.nodeLease / 4), [this] { renew(); });
-            review();
+            reconcile();
         });
 }
 
-void Membership::refreshNodeVersion(std::uint64_t hold, SteadyTime sent) {
+void Membership::refreshNodeVersion(std::uint64_t lease, SteadyTime sent) {
     const auto key = bookkeeping::keys::node(context_.settings.name);
-    context_.state.read(key, [this, hold, sent](const protocol::ReadAnswer& answer) {
+    context_.state.read(key, [this, lease, sent](const protocol::ReadResponse& answer) {
         if (answer.result != protocol::StateResult::ok) return rejoinLater();
         {
-            auto ledger = context_.ledger.lock();
+            auto clusterState = context_.clusterState.lock();
             if (answer.items.empty())
-                ledger->nodes.erase(context_.settings.name);
+                clusterState->nodes.erase(context_.settings.name);
             else
-                ledger->nodes[context_.settings.name] = answer.items.front().version;
+                clusterState->nodes[context_.settings.name] = answer.items.front().version;
         }
         if (context_.now() - sent < ticks(context_.tuning.nodeLease / 2))
-            writeNode(hold, sent);
+            writeNode(lease, sent);
         else
             rejoinLater();
     });
@@ -302,12 +307,12 @@
 
 void Membership::renew() {
     const auto sent = context_.now();
-    context_.state.extendHold(hold_, [this, sent](protocol::StateResult result) {
+    context_.state.renewLease(leaseId_, [this, sent](protocol::StateResult result) {
         if (result == protocol::StateResult::refused) {
             spdlog::info("membership: lease lost");
             joined_ = false;
             // What we held may have been taken; the rejoining transaction finds out.
-            return createHold();
+            return grantLease();
         }
         if (result == protocol::StateResult::ok)
             leaseUntil_ = std::max(
--- a/src/coordination/moves.cpp
+++ b/src/coordination/moves.cpp
@@ -18,7 +18,7 @@
 // What found no place here for so long counts as above high, however short the queue is: the
 // average of one waiting task stays below any threshold (slice_left_behind).
 constexpr auto longWait = 30s;
-// The thresholds' upper bounds come from the settings; a part that runs few tasks at a time is
+// The thresholds' upper bounds come from the settings; a partition that runs few tasks at a time is
 // congested by a shorter queue.
 constexpr double lowShareOfRunning = 0.1;
 
@@ -40,11 +40,11 @@
     sampleAll();
 }
 
-QueueWatch::Tuning Moves::tuningFor(std::uint32_t part) {
+QueueWatch::Tuning Moves::tuningFor(std::uint32_t partition) {
     double running = 0;
     {
-        auto ledger = context_.ledger.lock();
-        for (const auto* machine : ledger->machinesOf(part))
+        auto clusterState = context_.clusterState.lock();
+        for (const auto* machine : clusterState->machinesOf(partition))
             running += static_cast<double>(machine->claims.size());
     }
     QueueWatch::Tuning tuning;
@@ -55,11 +55,11 @@
     return tuning;
 }
 
-double Moves::freedom(const Job& job, std::uint32_t part) {
+double Moves::freedom(const Job& job, std::uint32_t partition) {
     const double most = job.spec.imageSize;
     if (most <= 0) return 1;
-    auto ledger = context_.ledger.lock();
-    const auto& machines = ledger->machinesOf(part);
+    auto clusterState = context_.clusterState.lock();
+    const auto& machines = clusterState->machinesOf(partition);
     const bool cached = std::any_of(machines.begin(), machines.end(), [&](const Machine* machine) {
         return placement_.takesWork(*machine) &&
                std::any_of(machine->images.begin(), machine->images.end(),
@@ -70,22 +70,22 @@
 }
 
 void Moves::sampleAll() {
-    for (const auto part : membership_.activeParts()) samplePart(part);
+    for (const auto partition : membership_.ledPartitions()) samplePartition(partition);
     context_.timers.after(ticks(context_.tuning.samplePeriod), [this] { sampleAll(); });
 }
 
-void Moves::samplePart(std::uint32_t part) {
-    auto& queue = queues_[part];
-    const auto tuning = tuningFor(part);
-    queue.sample(placement_.queueLength(part), tuning);
+void Moves::samplePartition(std::uint32_t partition) {
+    auto& queue = queues_[partition];
+    const auto tuning = tuningFor(partition);
+    queue.sample(placement_.queueLength(partition), tuning);
     if (!membership_.leaseStands()) return;
     std::vector<std::string> waiting;
     {
-        auto ledger = context_.ledger.lock();
-        for (const auto& [id, job] : ledger->jobs)
-            if (ledger->schedulable(job) && movable(job, part)) waiting.push_back(id);
+        auto clusterState = context_.clusterState.lock();
+        for (const auto& [id, job] : clusterState->jobs)
+            if (clusterState->schedulable(job) && movable(job, partition)) waiting.push_back(id);
     }
-    auto& since = waitingSince_[part];
+    auto& since = waitingSince_[partition];
     std::erase_if(since, [&waiting](const auto& entry) {
         return !std::binary_search(waiting.begin(), waiting.end(), entry.first);
     });
@@ -95,13 +95,13 @@
         bool atRisk = false;
         double free = 0;
         {
-            auto ledger = context_.ledger.lock();
-            const Job* job = ledger->job(id);
+            auto clusterState = context_.clusterState.lock();
+            const Job* job = clusterState->job(id);
             if (job == nullptr) continue;
             // Work that no machine here could ever run counts as above high, and so does what
             // will miss its aim unless it starts about now: the average lags behind it.
-            stranded = stranded || !placement_.everFits(*job, part);
-            free = freedom(*job, part);
+            stranded = stranded || !placement_.everFits(*job, partition);
+            free = freedom(*job, partition);
             // Elsewhere its image may have to be fetched: what has it here waits here for as long
             // as that would take.
             const Seconds waited = context_.timers.wallNow() - job->readySince;
@@ -110,7 +110,7 @@
         queue.considered();
         const double chance = queue.moveProbability(free, tuning);
         if (stranded || atRisk || std::uniform_real_distribution<>(0, 1)(context_.rng) < chance)
-            consider(part, id, stranded || atRisk || queue.aboveHigh(tuning));
+            consider(partition, id, stranded || atRisk || queue.aboveHigh(tuning));
     }
 }
 
@@ -118,60 +118,65 @@
     if (slice.leaving) return {};
     if (slice.untouched()) return slice.dirty ? bookkeeping::TaskRange{} : slice.range();
     // The rest of a slice that has begun becomes a slice of its own. It once never moved, and
-    // waited beside idle machines of other parts (slice_left_behind).
-    if (!context_.upgradeComplete(*context_.ledger.lock())) return {};
+    // waited beside idle machines of other partitions (slice_left_behind).
+    if (!context_.jobDependenciesEnabled(*context_.clusterState.lock())) return {};
     return slice.lastUnstarted();
 }
 
-bool Moves::movable(const Job& job, std::uint32_t part) {
+bool Moves::movable(const Job& job, std::uint32_t partition) {
     if (job.undivided())
-        return std::any_of(job.slices.begin(), job.slices.end(), [part](const Slice& slice) {
-            return slice.part == part && slice.untouched() && !slice.leaving;
+        return std::any_of(job.slices.begin(), job.slices.end(), [partition](const Slice& slice) {
+            return slice.partition == partition && slice.untouched() && !slice.leaving;
         });
     return std::any_of(job.slices.begin(), job.slices.end(), [&](const Slice& slice) {
-        return slice.part == part && movableRange(slice).count > 0;
+        return slice.partition == partition && movableRange(slice).count > 0;
     });
 }
 
-void Moves::consider(std::uint32_t part, const std::string& id, bool always) {
-    auto ledger = context_.ledger.lock();
-    Job* job = ledger->job(id);
+void Moves::consider(std::uint32_t partition, const std::string& id, bool always) {
+    auto clusterState = context_.clusterState.lock();
+    Job* job = clusterState->job(id);
     if (job == nullptr) return;
     const bool allHere = std::all_of(job->slices.begin(), job->slices.end(), [&](const Slice& s) {
-        return s.part == part && s.untouched() && s.version == 0 && !s.leaving;
+        return s.partition == partition && s.untouched() && s.version == 0 && !s.leaving;
     });
     if (job->undivided() || (job->slices.size() == 1 && allHere)) {
-        if (allHere && job->part == part) offer(part, *job, job->slices.front(), true);
+        if (allHere && job->partition == partition)
+            offer(partition, *job, job->slices.front(), true);
         return;
     }
     for (const auto& slice : job->slices) {
-        if (slice.part != part || movableRange(slice).count == 0) continue;
-        offer(part, *job, slice, false);
+        if (slice.partition != partition || movableRange(slice).count == 0) continue;
+        offer(partition, *job, slice, false);
         if (!always) return;
     }
 }
 
-void Moves::offer(std::uint32_t part, Job& job, const Slice& slice, bool wholeJob) {
+void Moves::offer(std::uint32_t partition, Job& job, const Slice& slice, bool wholeJob) {
     if (offers_.size() >= maxOffers) return;
     Offer next;
-    next.part = part;
+    next.partition = partition;
     next.job = job.spec.id;
     next.slice = slice.index;
     next.wholeJob = wholeJob;
     next.range = wholeJob ? slice.range() : movableRange(slice);
     next.tasks = wholeJob ? job.spec.tasks : next.range.count;
-    std::vector<std::pair<double, std::uint32_t>> order;  // part, by room, with the image first
+    std::vector<std::pair<double, std::uint32_t>>
+        order;  // partition, by room, with the image first
     std::uint32_t mostRoom = 0;
     {
-        auto ledger = context_.ledger.lock();
-        for (std::uint32_t other = 0; other < context_.partCount(); ++other) {
-            if (other == part || !ledger->nodes.contains(ledger->parts[other].owner)) continue;
+        auto clusterState = context_.clusterState.lock();
+        for (std::uint32_t other = 0; other < context_.partitionCount(); ++other) {
+            if (other == partition ||
+                !clusterState->nodes.contains(clusterState->partitions[other].leader))
+                continue;
             const auto room = placement_.roomFor(job, other, next.tasks);
             mostRoom = std::max(mostRoom, room);
             if (room > 0)
-                order.emplace_back(room * (1 + ledger->cachedShare(job.spec, other)), other);
+                order.emplace_back(room * (1 + clusterState->cachedShare(job.spec, other)), other);
         }
-        if (!job.undivided() && context_.upgradeComplete(*ledger) && mostRoom < next.tasks) {
+        if (!job.undivided() && context_.jobDependenciesEnabled(*clusterState) &&
+            mostRoom < next.tasks) {
             // The last tasks only, as many as a peer has room for.
             const auto count = std::min(mostRoom, next.range.count);
             next.wholeJob = false;
@@ -189,8 +194,8 @@
 }
 
 void Moves::setLeaving(const Offer& offer, bool leaving) {
-    auto ledger = context_.ledger.lock();
-    Job* job = ledger->job(offer.job);
+    auto clusterState = context_.clusterState.lock();
+    Job* job = clusterState->job(offer.job);
     if (job == nullptr) return;
     for (auto& slice : job->slices) {
         if (!offer.wholeJob && slice.index != offer.slice) continue;
@@ -209,45 +214,46 @@
     }
     offer.asked = offer.peersLeft.front();
     offer.peersLeft.erase(offer.peersLeft.begin());
-    const auto owner = context_.ledger.lock()->parts[offer.asked].owner;
+    const auto leader = context_.clusterState.lock()->partitions[offer.asked].leader;
     protocol::MoveAsk message{ask,         offer.asked,    offer.job,
                               offer.slice, offer.wholeJob, offer.tasks};
-    if (owner == context_.settings.name) {
-        // Both parts are ours for the time being.
-        onAsk(owner, message);
+    if (leader == context_.settings.name) {
+        // Both partitions are ours for the time being.
+        onAsk(leader, message);
         return;
     }
-    context_.network.sendFrame(owner, protocol::encodePeer({context_.settings.name, message}));
+    context_.network.sendFrame(leader, protocol::encodePeer({context_.settings.name, message}));
     context_.timers.after(answerTimeout, [this, ask, asked = offer.asked] {
         const auto found = offers_.find(ask);
         if (found != offers_.end() && found->second.asked == asked) askNext(ask);
     });
 }
 
-std::uint32_t Moves::promised(std::uint32_t part) {
+std::uint32_t Moves::promised(std::uint32_t partition) {
     const auto now = context_.now();
     std::erase_if(promises_, [now](const Promise& p) { return p.until < now; });
     std::uint32_t total = 0;
     for (const auto& promise : promises_)
-        if (promise.part == part) total += promise.tasks;
+        if (promise.partition == partition) total += promise.tasks;
     return total;
 }
 
 void Moves::onAsk(const std::string& peer, const protocol::MoveAsk& ask) {
     protocol::MoveAnswer answer{ask.ask, false};
     {
-        auto ledger = context_.ledger.lock();
-        const Job* job = ledger->job(ask.job);
-        if (job != nullptr && membership_.active(ask.part) && membership_.leaseStands()) {
+        auto clusterState = context_.clusterState.lock();
+        const Job* job = clusterState->job(ask.job);
+        if (job != nullptr && membership_.isLeader(ask.partition) && membership_.leaseStands()) {
             // Accept only while the queue stays below low: what has room now does not queue.
             // The queue that counts is the one for the machines this work could use: what waits
             // here although they have room waits for others.
-            const auto coming = ask.tasks + promised(ask.part);
-            const auto room = placement_.roomFor(*job, ask.part, coming);
-            answer.accepted = room > promised(ask.part) && coming - room < tuningFor(ask.part).low;
+            const auto coming = ask.tasks + promised(ask.partition);
+            const auto room = placement_.roomFor(*job, ask.partition, coming);
+            answer.accepted =
+                room > promised(ask.partition) && coming - room < tuningFor(ask.partition).low;
         }
         if (answer.accepted)
-            promises_.push_back({ask.part, ask.tasks, context_.now() + promiseLasts});
+            promises_.push_back({ask.partition, ask.tasks, context_.now() + promiseLasts});
     }
     if (peer == context_.settings.name) return onAnswer(answer);
     context_.network.sendFrame(peer, protocol::encodePeer({context_.settings.name, answer}));
@@ -256,7 +262,7 @@
 void Moves::onAnswer(const protocol::MoveAnswer& answer) {
     const auto found = offers_.find(answer.ask);
     // A late answer, when its peer was given up already.
-    if (found == offers_.end() || found->second.asked == context_.partCount()) return;
+    if (found == offers_.end() || found->second.asked == context_.partitionCount()) return;
     if (answer.accepted)
         push(answer.ask);
     else
@@ -266,9 +272,9 @@
 void Moves::push(std::uint64_t ask) {
     auto& found = offers_[ask];
     const auto target = found.asked;
-    found.asked = context_.partCount();  // no longer asking
+    found.asked = context_.partitionCount();  // no longer asking
     const Offer offer = found;
-    if (!membership_.active(offer.part)) return finishPush(ask, target, false);
+    if (!membership_.isLeader(offer.partition)) return finishPush(ask, target, false);
     if (offer.wholeJob)
         pushJob(ask, offer, target);
     else
@@ -276,33 +282,33 @@
 }
 
 void Moves::pushJob(std::uint64_t ask, const Offer& offer, std::uint32_t target) {
-    protocol::Transaction transaction;
+    protocol::CompareAndSwap transaction;
     const auto key = bookkeeping::keys::job(offer.job);
     protocol::Json value;
     {
-        auto ledger = context_.ledger.lock();
-        const Job* job = ledger->job(offer.job);
+        auto clusterState = context_.clusterState.lock();
+        const Job* job = clusterState->job(offer.job);
         if (job == nullptr || job->cancelled) return finishPush(ask, target, false);
         Job next = *job;
-        next.part = target;
+        next.partition = target;
         value = bookkeeping::jobValue(next);
         transaction = {{{key, job->version}}, {{key, value, 0}}};
     }
-    committer_.commit(offer.part, std::move(transaction),
-                      [this, ask, target, key, value](CommitResult result, std::uint64_t revision) {
-                          // As the record that it is: the job may have been pushed on, or be over,
-                          // by now.
-                          if (result == CommitResult::done)
-                              bookkeeping::applyEvent(*context_.ledger.lock(),
-                                                      {key, value, revision}, context_.now());
-                          finishPush(ask, target, result == CommitResult::done);
-                      });
+    pipeline_.commit(offer.partition, std::move(transaction),
+                     [this, ask, target, key, value](CommitResult result, std::uint64_t revision) {
+                         // As the record that it is: the job may have been pushed on, or be over,
+                         // by now.
+                         if (result == CommitResult::done)
+                             bookkeeping::applyEvent(*context_.clusterState.lock(),
+                                                     {key, value, revision}, context_.now());
+                         finishPush(ask, target, result == CommitResult::done);
+                     });
 }
 
 void Moves::pushTasks(std::uint64_t ask, const Offer& offer, std::uint32_t target) {
-    recorder_.push(offer.part,
-                   {offer.job, offer.slice, offer.range, target, context_.now() + promiseLasts,
-                    [this, ask, target](bool pushed) { finishPush(ask, target, pushed); }});
+    stateWriter_.push(offer.partition,
+                      {offer.job, offer.slice, offer.range, target, context_.now() + promiseLasts,
+                       [this, ask, target](bool pushed) { finishPush(ask, target, pushed); }});
 }
 
 void Moves::finishPush(std::uint64_t ask, std::uint32_t target, bool pushed) {
@@ -312,51 +318,53 @@
     offers_.erase(found);
     setLeaving(made, false);
     if (!pushed) return;
-    queues_[made.part].moved();
+    queues_[made.partition].moved();
     spdlog::info("move: {} of job {}, {} tasks, part {} to {}", made.wholeJob ? "all" : "a slice",
-                 made.job, made.tasks, made.part, target);
+                 made.job, made.tasks, made.partition, target);
 }
 
-std::optional<std::uint32_t> Moves::partOfPredecessors(const Job& job) {
+std::optional<std::uint32_t> Moves::partitionOfDependencies(const Job& job) {
     // Parents with children, as DESIGN maps them: its trigger comes from the same process.
-    auto ledger = context_.ledger.lock();
+    auto clusterState = context_.clusterState.lock();
     for (auto id = job.spec.predecessors.rbegin(); id != job.spec.predecessors.rend(); ++id) {
-        const Job* live = ledger->job(*id);
-        if (live != nullptr && ledger->nodes.contains(ledger->parts[live->part].owner) &&
-            placement_.everFits(job, live->part))
-            return live->part;
+        const Job* live = clusterState->job(*id);
+        if (live != nullptr &&
+            clusterState->nodes.contains(clusterState->partitions[live->partition].leader) &&
+            placement_.everFits(job, live->partition))
+            return live->partition;
     }
     return std::nullopt;
 }
 
 std::uint32_t Moves::mapJob(const Job& job) {
     // Greedy: where it would run first, by the queue there and by what its image takes to fetch.
-    // Jobs of one image so come together in few parts, whose machines have it.
-    if (const auto part = partOfPredecessors(job)) return *part;
-    std::uint32_t best = context_.naturalPart;
+    // Jobs of one image so come together in few partitions, whose machines have it.
+    if (const auto partition = partitionOfDependencies(job)) return *partition;
+    std::uint32_t best = context_.preferredPartition;
     std::tuple<int, double> bestScore{-1, 0};
     const auto fetch = placement_.fetchTime(job).count();
     const auto queues = placement_.queueLengths();
-    auto ledger = context_.ledger.lock();
-    for (std::uint32_t i = 0; i < context_.partCount(); ++i) {
-        // Equal parts: one's own first.
-        const auto part = (context_.naturalPart + i) % context_.partCount();
-        if (!ledger->nodes.contains(ledger->parts[part].owner)) continue;
-        const auto queue = queues[part];
-        const auto room = placement_.roomFor(job, part, job.spec.tasks + queue);
+    auto clusterState = context_.clusterState.lock();
+    for (std::uint32_t i = 0; i < context_.partitionCount(); ++i) {
+        // Equal partitions: one's own first.
+        const auto partition = (context_.preferredPartition + i) % context_.partitionCount();
+        if (!clusterState->nodes.contains(clusterState->partitions[partition].leader)) continue;
+        const auto queue = queues[partition];
+        const auto room = placement_.roomFor(job, partition, job.spec.tasks + queue);
         const auto startNow = std::min(room > queue ? room - queue : 0, job.spec.tasks);
         double running = 1;
-        for (const auto* machine : ledger->machinesOf(part))
+        for (const auto* machine : clusterState->machinesOf(partition))
             running += static_cast<double>(machine->claims.size());
         const double waiting = startNow >= job.spec.tasks
                                    ? 0
                                    : (queue + job.spec.tasks - startNow) / running *
                                          std::max(1.0, job.spec.estimate.count());
-        const std::tuple score{placement_.everFits(job, part) ? 1 : 0,
-                               -waiting - fetch * (1 - ledger->cachedShare(job.spec, part))};
+        const std::tuple score{
+            placement_.everFits(job, partition) ? 1 : 0,
+            -waiting - fetch * (1 - clusterState->cachedShare(job.spec, partition))};
         if (score > bestScore) {
             bestScore = score;
-            best = part;
+            best = partition;
         }
     }
     return best;
--- a/src/coordination/moves.h
+++ b/src/coordination/moves.h
@@ -35,12 +35,12 @@
 
 class Moves {
   public:
-    Moves(Context& context, Membership& membership, Committer& committer, Recorder& recorder,
-          Placement& placement)
+    Moves(Context& context, Membership& membership, TransactionPipeline& pipeline,
+          StateWriter& stateWriter, Placement& placement)
         : context_(context),
           membership_(membership),
-          committer_(committer),
-          recorder_(recorder),
+          pipeline_(pipeline),
+          stateWriter_(stateWriter),
           placement_(placement) {}
 
     void start();
@@ -51,47 +51,47 @@
 
   private:
     struct Offer {
-        std::uint32_t part = 0;  // ours
+        std::uint32_t partition = 0;  // ours
         std::string job;
         std::uint32_t slice = 0;
         bool wholeJob = false;
         bookkeeping::TaskRange range;  // of the slice
         std::uint32_t tasks = 0;
-        std::vector<std::uint32_t> peersLeft;  // parts to ask, in turn
-        std::uint32_t asked = 0;               // part
+        std::vector<std::uint32_t> peersLeft;  // partitions to ask, in turn
+        std::uint32_t asked = 0;               // partition
     };
     struct Promise {
-        std::uint32_t part = 0;
+        std::uint32_t partition = 0;
         std::uint32_t tasks = 0;
         SteadyTime until{};
     };
 
     void sampleAll();
-    void samplePart(std::uint32_t part);
-    void consider(std::uint32_t part, const std::string& id, bool always);
+    void samplePartition(std::uint32_t partition);
+    void consider(std::uint32_t partition, const std::string& id, bool always);
     // Whether some of the job's tasks here could be pushed.
-    [[nodiscard]] bool movable(const Job& job, std::uint32_t part);
+    [[nodiscard]] bool movable(const Job& job, std::uint32_t partition);
     // The tasks of a slice that may be pushed together; none: an empty range.
     [[nodiscard]] bookkeeping::TaskRange movableRange(const Slice& slice);
-    void offer(std::uint32_t part, Job& job, const Slice& slice, bool wholeJob);
+    void offer(std::uint32_t partition, Job& job, const Slice& slice, bool wholeJob);
     void askNext(std::uint64_t ask);
     void push(std::uint64_t ask);
     void pushJob(std::uint64_t ask, const Offer& offer, std::uint32_t target);
     void pushTasks(std::uint64_t ask, const Offer& offer, std::uint32_t target);
     void finishPush(std::uint64_t ask, std::uint32_t target, bool pushed);
     void setLeaving(const Offer& offer, bool leaving);
-    [[nodiscard]] QueueWatch::Tuning tuningFor(std::uint32_t part);
-    [[nodiscard]] std::optional<std::uint32_t> partOfPredecessors(const Job& job);
-    [[nodiscard]] double freedom(const Job& job, std::uint32_t part);
-    [[nodiscard]] std::uint32_t promised(std::uint32_t part);
+    [[nodiscard]] QueueWatch::Tuning tuningFor(std::uint32_t partition);
+    [[nodiscard]] std::optional<std::uint32_t> partitionOfDependencies(const Job& job);
+    [[nodiscard]] double freedom(const Job& job, std::uint32_t partition);
+    [[nodiscard]] std::uint32_t promised(std::uint32_t partition);
 
     Context& context_;
     Membership& membership_;
-    Committer& committer_;
-    Recorder& recorder_;
+    TransactionPipeline& pipeline_;
+    StateWriter& stateWriter_;
     Placement& placement_;
     std::map<std::uint32_t, QueueWatch> queues_;
-    // By part and job: since when some of its tasks have waited to be placed.
+    // By partition and job: since when some of its tasks have waited to be placed.
     std::map<std::uint32_t, std::map<std::string, SteadyTime>> waitingSince_;
     std::map<std::uint64_t, Offer> offers_;
     std::vector<Promise> promises_;
--- a/src/coordination/openings.cpp
+++ b/src/coordination/openings.cpp
@@ -1,4 +1,4 @@
-// Where a task could go: the room on a part's machines, by kind, and what each choice costs.
+// Where a task could go: the room on a partition's machines, by kind, and what each choice costs.
 #include <algorithm>
 #include <limits>
 
@@ -17,16 +17,17 @@
 // What a machine reports has to fit into 64 KiB, with those that have ended and are not recorded
 // yet.
 constexpr std::size_t mostTasks = 448;
-constexpr std::size_t guestTasks = 32;  // of a job on a part that may close places of hosts
+constexpr std::size_t guestTasks = 32;  // of a job on a partition that may close places of hosts
 constexpr auto guestPatience = std::chrono::seconds(60);  // until places of others may be closed
 constexpr double emptyMachineSeconds = 4;  // what breaking into an empty machine counts as
 
 }  // namespace
 
-Placement::Openings Placement::openingsOf(const Ledger& ledger, std::uint32_t part) const {
+Placement::Openings Placement::openingsOf(const ClusterState& clusterState,
+                                          std::uint32_t partition) const {
     Openings openings;
     const auto now = context_.now();
-    for (auto* machine : ledger.machinesOf(part)) {
+    for (auto* machine : clusterState.machinesOf(partition)) {
         if (!takesWork(*machine, now) || machine->claims.size() + machine->exited >= mostTasks)
             continue;
         auto kind = std::find_if(openings.begin(), openings.end(), [&](const OpenKind& k) {
@@ -93,7 +94,7 @@
     opening.open += each;
 }
 
-double Placement::cost(Ledger& ledger, const Job& job, const Machine& machine,
+double Placement::cost(ClusterState& clusterState, const Job& job, const Machine& machine,
                        const MachineType& type) const {
     double seconds = 0;
     const bool cached = std::any_of(machine.images.begin(), machine.images.end(),
@@ -103,7 +104,7 @@
         bool begun = false;
         std::set<std::string> others;
         for (const auto& ref : machine.claims) {
-            const auto [other, slice, claim] = ledger.held(ref);
+            const auto [other, slice, claim] = clusterState.held(ref);
             if (claim == nullptr || claim->state != TaskState::fetching) continue;
             begun = begun || other->spec.image == job.spec.image;
             others.insert(other->spec.image);
@@ -119,22 +120,22 @@
     return seconds;
 }
 
-bool Placement::hasImage(Ledger& ledger, const Machine& machine, const Job& job) {
+bool Placement::hasImage(ClusterState& clusterState, const Machine& machine, const Job& job) {
     const auto& image = job.spec.image;
     return std::any_of(machine.images.begin(), machine.images.end(),
                        [&](const auto& i) { return i.name == image; }) ||
            // Under way for another task.
            std::any_of(machine.claims.begin(), machine.claims.end(), [&](const auto& ref) {
-               const Job* other = ledger.job(ref.job);
+               const Job* other = clusterState.job(ref.job);
                return other != nullptr && other->spec.image == image;
            });
 }
 
-Placement::Rivals Placement::largestOfClasses(const Ledger& ledger) {
+Placement::Rivals Placement::largestOfClasses(const ClusterState& clusterState) {
     Rivals largest;
-    for (const auto& entry : ledger.jobs) {
+    for (const auto& entry : clusterState.jobs) {
         const Job& job = entry.second;
-        if (!ledger.schedulable(job)) continue;
+        if (!clusterState.schedulable(job)) continue;
         const auto same = std::find_if(largest.begin(), largest.end(), [&](const Rival& other) {
             return other.job->spec.jobClass == job.spec.jobClass;
         });
@@ -146,18 +147,18 @@
     return largest;
 }
 
-void Placement::countSpare(Rivals& rivals, const Openings& openings, const Ledger& ledger,
-                           std::uint32_t part) const {
+void Placement::countSpare(Rivals& rivals, const Openings& openings,
+                           const ClusterState& clusterState, std::uint32_t partition) const {
     for (auto& rival : rivals) {
         const auto& spec = rival.job->spec;
         std::uint32_t needed = 0;
         std::uint32_t largest = 0;
-        for (const auto& [id, job] : ledger.jobs) {
-            if (job.spec.jobClass != spec.jobClass || !ledger.schedulable(job)) continue;
-            // As much of a job as comes to one part together.
+        for (const auto& [id, job] : clusterState.jobs) {
+            if (job.spec.jobClass != spec.jobClass || !clusterState.schedulable(job)) continue;
+            // As much of a job as comes to one partition together.
             largest = std::max(largest, std::min(job.spec.tasks, job.sliceSize));
             for (const auto& slice : job.slices)
-                if (slice.part == part) needed += slice.waiting();
+                if (slice.partition == partition) needed += slice.waiting();
         }
         needed += largest;
         std::uint32_t places = 0;
@@ -201,16 +202,16 @@
     return closed;
 }
 
-std::uint32_t Placement::guestAllowance(const Job& job, std::uint32_t part) const {
+std::uint32_t Placement::guestAllowance(const Job& job, std::uint32_t partition) const {
     if (context_.timers.wallNow() - job.readySince < guestPatience) return 0;
     std::size_t claimed = 0;
     for (const auto& slice : job.slices)
-        if (slice.part == part) claimed += slice.claims.size();
+        if (slice.partition == partition) claimed += slice.claims.size();
     return static_cast<std::uint32_t>(guestTasks - std::min(guestTasks, claimed));
 }
 
-Placement::Opening* Placement::choose(Ledger& ledger, Openings& openings, const Job& job,
-                                      const Rivals& rivals, const ZoneUse& zoneUse,
+Placement::Opening* Placement::choose(ClusterState& clusterState, Openings& openings,
+                                      const Job& job, const Rivals& rivals, const ZoneUse& zoneUse,
                                       bool yields) const {
     Opening* best = nullptr;
     double bestCost = std::numeric_limits<double>::max();
@@ -222,8 +223,8 @@
             const auto closed =
                 placesClosed(rivals, *kind.type, kind.zone, kind.spot, opening.free, job);
             if (yields && closed.ofHosts > 0) continue;
-            const double value =
-                cost(ledger, job, *opening.machine, *kind.type) + closedPlaceSeconds * closed.all;
+            const double value = cost(clusterState, job, *opening.machine, *kind.type) +
+                                 closedPlaceSeconds * closed.all;
             if (value < bestCost) {
                 bestCost = value;
                 best = &opening;
--- a/src/coordination/placement.cpp
+++ b/src/coordination/placement.cpp
@@ -19,13 +19,13 @@
 
 }  // namespace
 
-std::map<std::string, std::uint32_t> zoneUseOf(const Ledger& ledger, const Job& job) {
+std::map<std::string, std::uint32_t> zoneUseOf(const ClusterState& clusterState, const Job& job) {
     std::map<std::string, std::uint32_t> use;
     for (const auto& slice : job.slices) {
         for (const auto& claim : slice.claims) {
             // A machine we have lost sight of still counts, wherever it is.
-            const auto found = ledger.machines.find(claim.machine);
-            ++use[found == ledger.machines.end() ? std::string() : found->second.zone];
+            const auto found = clusterState.machines.find(claim.machine);
+            ++use[found == clusterState.machines.end() ? std::string() : found->second.zone];
         }
     }
     return use;
@@ -52,25 +52,25 @@
            now >= machine.notBefore;
 }
 
-std::uint64_t Placement::nextAttempt(std::uint32_t part) {
-    // Terms grow over all owners, so attempts do too, without a record of their own.
-    return (membership_.term(part) << taskBits) | (++sequence_ & ((1U << taskBits) - 1));
+std::uint64_t Placement::nextAttempt(std::uint32_t partition) {
+    // Terms grow over all leaders, so attempts do too, without a record of their own.
+    return (membership_.term(partition) << taskBits) | (++sequence_ & ((1U << taskBits) - 1));
 }
 
-bookkeeping::TeamShare Placement::shareOf(const Ledger& ledger, const app::Team& team,
-                                          std::uint32_t part) const {
-    const auto parts = static_cast<double>(context_.partCount());
-    bookkeeping::TeamShare share{team.cpusMax / parts, team.gpusMax / parts};
-    const auto known = ledger.shares.find(team.name);
-    if (known == ledger.shares.end() || !known->second.contains(part)) return share;
+bookkeeping::TeamShare Placement::shareOf(const ClusterState& clusterState, const app::Team& team,
+                                          std::uint32_t partition) const {
+    const auto partitions = static_cast<double>(context_.partitionCount());
+    bookkeeping::TeamShare share{team.cpusMax / partitions, team.gpusMax / partitions};
+    const auto known = clusterState.shares.find(team.name);
+    if (known == clusterState.shares.end() || !known->second.contains(partition)) return share;
     bookkeeping::TeamShare total;
     for (const auto& [number, recorded] : known->second) {
         total.cpus += recorded.cpus;
         total.gpus += recorded.gpus;
     }
-    const auto& mine = known->second.at(part);
-    // Recorded for another limit or other parts: the lesser of both never exceeds the limit.
-    const bool fits = known->second.size() == context_.partCount() &&
+    const auto& mine = known->second.at(partition);
+    // Recorded for another limit or other partitions: the lesser of both never exceeds the limit.
+    const bool fits = known->second.size() == context_.partitionCount() &&
                       std::abs(total.cpus - team.cpusMax) < shareSlack &&
                       std::abs(total.gpus - team.gpusMax) < shareSlack;
     return fits ? mine
@@ -78,14 +78,15 @@
                                          std::min(share.gpus, mine.gpus)};
 }
 
-Resources Placement::teamLeft(Ledger& ledger, const std::string& name, std::uint32_t part) const {
+Resources Placement::teamLeft(ClusterState& clusterState, const std::string& name,
+                              std::uint32_t partition) const {
     Resources left{unlimited, unlimited, unlimited};
     const auto* team = context_.team(name);
     if (team == nullptr) return left;
-    const auto used = ledger.usedBy(name, part);
-    auto share = shareOf(ledger, *team, part);
-    if (const auto leaving = ledger.sharesLeaving.find(name);
-        leaving != ledger.sharesLeaving.end() && leaving->second.first == part) {
+    const auto used = clusterState.usedBy(name, partition);
+    auto share = shareOf(clusterState, *team, partition);
+    if (const auto leaving = clusterState.sharesLeaving.find(name);
+        leaving != clusterState.sharesLeaving.end() && leaving->second.first == partition) {
         share.cpus -= leaving->second.second.cpus;
         share.gpus -= leaving->second.second.gpus;
     }
@@ -113,20 +114,21 @@
             rival.spare, placesClosed(rival, *type, machine.zone, machine.spot, opening.free, job));
 }
 
-Placement::Placed Placement::placeArray(Ledger& ledger, std::uint32_t part, Job& job,
-                                        Openings& openings, Rivals& rivals, Resources& left,
-                                        bool& overShare, bool cachedOnly, std::uint32_t most) {
+Placement::Placed Placement::placeArray(ClusterState& clusterState, std::uint32_t partition,
+                                        Job& job, Openings& openings, Rivals& rivals,
+                                        Resources& left, bool& overShare, bool cachedOnly,
+                                        std::uint32_t most) {
     // Counted in each round, the places of thousands of tasks took half of a round's time.
     ZoneUse zoneUse;
-    if (job.spec.oneZone || job.spec.spread) zoneUse = zoneUseOf(ledger, job);
+    if (job.spec.oneZone || job.spec.spread) zoneUse = zoneUseOf(clusterState, job);
     // The hosts' places stay open for what comes next. What finds no other place takes a few of
     // them, so that a guest never waits for good.
     const bool guest = context_.isGuest(job);
-    auto allowance = guest ? guestAllowance(job, part) : 0;
+    auto allowance = guest ? guestAllowance(job, partition) : 0;
     Placed placed;
     std::optional<std::uint32_t> mayWait;  // worked out when the first would have to fetch
     for (auto& slice : job.slices) {
-        if (slice.part != part || slice.waiting() == 0) continue;
+        if (slice.partition != partition || slice.waiting() == 0) continue;
         for (std::uint32_t i = 0; i < slice.done.size(); ++i) {
             const auto task = slice.first + i;
             if (!slice.unstarted(task) || slice.isLeaving(task)) continue;
@@ -135,14 +137,14 @@
                 overShare = true;
                 return placed;
             }
-            Opening* opening = choose(ledger, openings, job, rivals, zoneUse, guest);
+            Opening* opening = choose(clusterState, openings, job, rivals, zoneUse, guest);
             if (opening == nullptr && allowance > 0) {
                 --allowance;
-                opening = choose(ledger, openings, job, rivals, zoneUse, false);
+                opening = choose(clusterState, openings, job, rivals, zoneUse, false);
             }
             if (opening == nullptr) return placed;
             const Machine* machine = opening->machine;
-            if (!hasImage(ledger, *machine, job)) {
+            if (!hasImage(clusterState, *machine, job)) {
                 if (cachedOnly) return placed;
                 if (!mayWait) mayWait = worthWaiting(openings, job);
                 if (*mayWait > 0) {
@@ -154,14 +156,14 @@
             Claim claim;
             claim.task = task;
             claim.machine = machine->id;
-            claim.attempt = nextAttempt(part);
+            claim.attempt = nextAttempt(partition);
             claim.made = context_.now();
             ++zoneUse[machine->zone];
             left -= job.spec.each;
             spdlog::debug("task {}/{}: to {} ({}), class {}, {:.1f} s after submission",
                           job.spec.id, task, machine->id, machine->type, job.spec.jobClass,
                           Seconds(context_.timers.wallNow() - job.submitted).count());
-            ledger.addClaim(job, slice, std::move(claim));
+            clusterState.addClaim(job, slice, std::move(claim));
             if (guest) useSpare(rivals, *opening, job);
             take(*opening, job.spec.each);
             ++placed.tasks;
@@ -170,8 +172,8 @@
     return placed;
 }
 
-bool Placement::placeGang(Ledger& ledger, std::uint32_t part, Job& job, Openings& openings,
-                          Resources& left, bool& overShare) {
+bool Placement::placeGang(ClusterState& clusterState, std::uint32_t partition, Job& job,
+                          Openings& openings, Resources& left, bool& overShare) {
     Resources all;
     for (std::uint32_t i = 0; i < job.spec.tasks; ++i) all += job.spec.each;
     if (!all.fits(left)) {
@@ -190,13 +192,13 @@
         ZoneUse use;
         if (!zone.empty()) use[zone] = 1;  // holds the choice to this zone
         if (placesFor(openings, job, use) < job.spec.tasks) continue;
-        const auto attempt = nextAttempt(part);
+        const auto attempt = nextAttempt(partition);
         std::vector<Opening*> taken;
         std::vector<bool> dirty;
         for (auto& slice : job.slices) {
             dirty.push_back(slice.dirty);
             for (std::uint32_t i = 0; i < slice.done.size(); ++i) {
-                Opening* opening = choose(ledger, openings, job, {}, use, false);
+                Opening* opening = choose(clusterState, openings, job, {}, use, false);
                 if (opening == nullptr) break;
                 Claim claim;
                 claim.task = slice.first + i;
@@ -204,7 +206,7 @@
                 claim.attempt = attempt;
                 claim.made = context_.now();
                 ++use[opening->machine->zone];
-                ledger.addClaim(job, slice, std::move(claim));
+                clusterState.addClaim(job, slice, std::move(claim));
                 take(*opening, job.spec.each);
                 taken.push_back(opening);
             }
@@ -218,7 +220,8 @@
         }
         for (auto* opening : taken) giveBack(*opening, job.spec.each);
         for (auto& slice : job.slices) {
-            while (!slice.claims.empty()) ledger.removeClaim(job, slice, slice.claims.front().task);
+            while (!slice.claims.empty())
+                clusterState.removeClaim(job, slice, slice.claims.front().task);
             // As it was: the ends of the attempt before may still wait to be recorded. Once they
             // never were, and peers took the gang for running (scenario gang_lending).
             slice.dirty = dirty[slice.index];
@@ -227,23 +230,23 @@
     return false;
 }
 
-std::vector<Unplaced> Placement::run(std::uint32_t part) {
+std::vector<Unplaced> Placement::run(std::uint32_t partition) {
     std::vector<Unplaced> unplaced;
-    auto ledger = context_.ledger.lock();
+    auto clusterState = context_.clusterState.lock();
     std::map<std::string, Resources> left;
     std::set<std::string> blockedZones;
-    dropReservations(*ledger, part);
-    auto openings = openingsOf(*ledger, part);
-    auto rivals = largestOfClasses(*ledger);
-    auto queue = readyJobs(*ledger, part);
+    dropReservations(*clusterState, partition);
+    auto openings = openingsOf(*clusterState, partition);
+    auto rivals = largestOfClasses(*clusterState);
+    auto queue = readyJobs(*clusterState, partition);
     const auto leftFor = [&](const Job& job) -> Resources& {
         const auto [entry, fresh] = left.try_emplace(job.spec.team);
-        if (fresh) entry->second = teamLeft(*ledger, job.spec.team, part);
+        if (fresh) entry->second = teamLeft(*clusterState, job.spec.team, partition);
         return entry->second;
     };
     std::vector<Ready> toFetch;
     bool spareCounted = false;
-    const bool recordsLag = claimsWait(*ledger, part);
+    const bool recordsLag = claimsWait(*clusterState, partition);
     for (auto& ready : queue) {
         Job& job = *ready.job;
         bool overShare = false;
@@ -252,10 +255,10 @@
             if (guest && recordsLag) continue;
             // Guests come last, so that what the hosts have just taken counts.
             if (guest && !std::exchange(spareCounted, true))
-                countSpare(rivals, openings, *ledger, part);
+                countSpare(rivals, openings, *clusterState, partition);
             const bool cachedOnly = !ready.probe && letsCachedGoFirst(job);
-            const auto placed = placeArray(*ledger, part, job, openings, rivals, leftFor(job),
-                                           overShare, cachedOnly, mostToPlace(ready));
+            const auto placed = placeArray(*clusterState, partition, job, openings, rivals,
+                                           leftFor(job), overShare, cachedOnly, mostToPlace(ready));
             ready.tasks -= placed.tasks + placed.waiting;
             if (ready.tasks == 0) continue;
             if (ready.probe) continue;
@@ -265,28 +268,30 @@
                 unplaced.push_back({job.spec.id, ready.tasks, overShare, false, {}, false, 0});
             continue;
         }
-        if (placeGang(*ledger, part, job, openings, leftFor(job), overShare) || ready.probe)
+        if (placeGang(*clusterState, partition, job, openings, leftFor(job), overShare) ||
+            ready.probe)
             continue;
         // One task alone gathers nothing and lies in one zone anyway.
         if (job.spec.tasks == 1 || overShare) {
             unplaced.push_back({job.spec.id, ready.tasks, overShare, false, {}, false, 0});
             continue;
         }
-        chooseZone(*ledger, part, job);
+        chooseZone(*clusterState, partition, job);
         const bool waitsTurn = blockedZones.contains(job.gatherZone);
         // What waits for its turn has machines rented for it, but only once: each round it once
         // asked for all of them again.
         auto lacking = job.spec.tasks;
         const auto missing =
-            waitsTurn ? job.spec.tasks - std::min(job.spec.tasks, heldFor(*ledger, part, job))
-                      : gather(*ledger, part, job, openings, blockedZones, lacking);
+            waitsTurn
+                ? job.spec.tasks - std::min(job.spec.tasks, heldFor(*clusterState, partition, job))
+                : gather(*clusterState, partition, job, openings, blockedZones, lacking);
         unplaced.push_back({job.spec.id, missing, false, true, job.gatherZone, waitsTurn, lacking});
     }
     for (auto& ready : toFetch) {
         Job& job = *ready.job;
         bool overShare = false;
-        const auto placed = placeArray(*ledger, part, job, openings, rivals, leftFor(job),
-                                       overShare, false, mostToPlace(ready));
+        const auto placed = placeArray(*clusterState, partition, job, openings, rivals,
+                                       leftFor(job), overShare, false, mostToPlace(ready));
         ready.tasks -= placed.tasks + placed.waiting;
         if (ready.tasks > 0)
             unplaced.push_back({job.spec.id, ready.tasks, overShare, false, {}, false, 0});
--- a/src/coordination/placement.h
+++ b/src/coordination/placement.h
@@ -1,11 +1,11 @@
-// Which waiting task goes to which machine of a part.
+// Which waiting task goes to which machine of a partition.
 #pragma once
 
 #include "coordination/membership.h"
 
 namespace fawnwheel::coordination {
 
-// Work of a part that found no machine now.
+// Work of a partition that found no machine now.
 struct Unplaced {
     std::string job;
     std::uint32_t tasks = 0;
@@ -24,21 +24,23 @@
         : context_(context), membership_(membership) {}
 
     // Claims machines for what can start; the claims become durable before anything is sent.
-    std::vector<Unplaced> run(std::uint32_t part);
+    std::vector<Unplaced> run(std::uint32_t partition);
 
     // Stops work of lower priority for a job that would miss its aim; the machines concerned.
-    std::set<std::string> preemptFor(std::uint32_t part, const std::vector<Unplaced>& unplaced);
+    std::set<std::string> preemptFor(std::uint32_t partition,
+                                     const std::vector<Unplaced>& unplaced);
 
     // Picks a thinly used machine whose tasks fit on others and stops them to move there.
-    std::optional<std::string> emptyOne(std::uint32_t part);
+    std::optional<std::string> emptyOne(std::uint32_t partition);
 
-    // Ready tasks of the part: to start, without a place (the paper's readyQ).
-    [[nodiscard]] std::uint32_t queueLength(std::uint32_t part);
-    [[nodiscard]] std::vector<std::uint32_t> queueLengths();  // by part
-    // How many more tasks like the job's the part's machines could start right now.
-    [[nodiscard]] std::uint32_t roomFor(const Job& job, std::uint32_t part, std::uint32_t most);
-    // Whether any machine of the part, were it empty, could run one task of the job.
-    [[nodiscard]] bool everFits(const Job& job, std::uint32_t part);
+    // Ready tasks of the partition: to start, without a place (the paper's readyQ).
+    [[nodiscard]] std::uint32_t queueLength(std::uint32_t partition);
+    [[nodiscard]] std::vector<std::uint32_t> queueLengths();  // by partition
+    // How many more tasks like the job's the partition's machines could start right now.
+    [[nodiscard]] std::uint32_t roomFor(const Job& job, std::uint32_t partition,
+                                        std::uint32_t most);
+    // Whether any machine of the partition, were it empty, could run one task of the job.
+    [[nodiscard]] bool everFits(const Job& job, std::uint32_t partition);
 
     // Keeps room on a machine for a job.
     void reserve(Machine& machine, const Job& job, std::uint32_t tasks, Duration length) const;
@@ -49,13 +51,14 @@
                                           const std::string& zone, bool spot);
     [[nodiscard]] bool takesWork(const Machine& machine) const;
     [[nodiscard]] bool takesWork(const Machine& machine, SteadyTime now) const;
-    // What a part may still use of a team's limit, and its share of it.
-    [[nodiscard]] Resources teamLeft(Ledger& ledger, const std::string& team,
-                                     std::uint32_t part) const;
-    [[nodiscard]] bookkeeping::TeamShare shareOf(const Ledger& ledger, const app::Team& team,
-                                                 std::uint32_t part) const;
+    // What a partition may still use of a team's limit, and its share of it.
+    [[nodiscard]] Resources teamLeft(ClusterState& clusterState, const std::string& team,
+                                     std::uint32_t partition) const;
+    [[nodiscard]] bookkeeping::TeamShare shareOf(const ClusterState& clusterState,
+                                                 const app::Team& team,
+                                                 std::uint32_t partition) const;
     // Whether what the job's team uses, with one more task of it, lies within its guarantee.
-    [[nodiscard]] bool withinGuarantee(const Ledger& ledger, const Job& job) const;
+    [[nodiscard]] bool withinGuarantee(const ClusterState& clusterState, const Job& job) const;
     // The queue's order.
     [[nodiscard]] bool before(const Job& one, const Job& other) const;
     // When a job should have started at the latest to meet what is expected of it.
@@ -82,8 +85,9 @@
         bool probe = false;  // a try of a job that fails everywhere: after all others
     };
 
-    // A part's machines that take work, by kind, with the room on them. Made once for a run: with
-    // each job asking every machine anew, runs took half of a controller's time on a large part.
+    // A partition's machines that take work, by kind, with the room on them. Made once for a run:
+    // with each job asking every machine anew, runs took half of a controller's time on a large
+    // partition.
     struct Opening {
         Machine* machine = nullptr;
         Resources free;
@@ -104,7 +108,8 @@
     using Rivals = std::vector<Rival>;
     using ZoneUse = std::map<std::string, std::uint32_t>;
 
-    [[nodiscard]] Openings openingsOf(const Ledger& ledger, std::uint32_t part) const;
+    [[nodiscard]] Openings openingsOf(const ClusterState& clusterState,
+                                      std::uint32_t partition) const;
     static bool kindAllowed(const Job& job, const OpenKind& kind, const ZoneUse& zoneUse);
     [[nodiscard]] Resources roomOn(const Opening& opening, const Job& job) const;
     // How many of the job's tasks would find a place, up to all of them.
@@ -113,11 +118,11 @@
 
     // Of the gangs of its class seen so far.
     [[nodiscard]] bool isLargest(const Job& job) const;
-    std::vector<Ready> readyJobs(Ledger& ledger, std::uint32_t part);
+    std::vector<Ready> readyJobs(ClusterState& clusterState, std::uint32_t partition);
     // Whether claims wait for their records already: more of them would only hold machines.
-    [[nodiscard]] bool claimsWait(const Ledger& ledger, std::uint32_t part) const;
-    // Whether a failing job may be tried once more, by this part.
-    [[nodiscard]] static bool mayProbe(const Job& job, std::uint32_t part);
+    [[nodiscard]] bool claimsWait(const ClusterState& clusterState, std::uint32_t partition) const;
+    // Whether a failing job may be tried once more, by this partition.
+    [[nodiscard]] static bool mayProbe(const Job& job, std::uint32_t partition);
     // How many tasks of an array may get places in one run.
     [[nodiscard]] std::uint32_t mostToPlace(const Ready& ready) const;
     // How many of a job's tasks do better to wait for machines that have its image.
@@ -126,35 +131,38 @@
         std::uint32_t tasks = 0;
         std::uint32_t waiting = 0;  // for a machine with the image, rather than elsewhere
     };
-    Placed placeArray(Ledger& ledger, std::uint32_t part, Job& job, Openings& openings,
-                      Rivals& rivals, Resources& left, bool& overShare, bool cachedOnly,
-                      std::uint32_t most);
+    Placed placeArray(ClusterState& clusterState, std::uint32_t partition, Job& job,
+                      Openings& openings, Rivals& rivals, Resources& left, bool& overShare,
+                      bool cachedOnly, std::uint32_t most);
     // Whether others that need no fetch may go first where this job would have to fetch.
     [[nodiscard]] bool letsCachedGoFirst(const Job& job) const;
-    bool placeGang(Ledger& ledger, std::uint32_t part, Job& job, Openings& openings,
-                   Resources& left, bool& overShare);
+    bool placeGang(ClusterState& clusterState, std::uint32_t partition, Job& job,
+                   Openings& openings, Resources& left, bool& overShare);
     // For how many of a gang's tasks machines are kept.
-    [[nodiscard]] std::uint32_t heldFor(const Ledger& ledger, std::uint32_t part,
+    [[nodiscard]] std::uint32_t heldFor(const ClusterState& clusterState, std::uint32_t partition,
                                         const Job& job) const;
     // Keeps machines for a gang that can't start yet; how many are missing.
-    std::uint32_t gather(Ledger& ledger, std::uint32_t part, Job& job, Openings& openings,
-                         std::set<std::string>& blockedZones, std::uint32_t& lacking);
+    std::uint32_t gather(ClusterState& clusterState, std::uint32_t partition, Job& job,
+                         Openings& openings, std::set<std::string>& blockedZones,
+                         std::uint32_t& lacking);
     // Takes no more other work on busy machines, so that they come free for the gang.
     std::uint32_t drainFor(Openings& openings, const Job& job, std::uint32_t missing);
     void keep(Opening& opening, const Job& job, std::uint32_t tasks) const;
-    void chooseZone(Ledger& ledger, std::uint32_t part, Job& job);
-    void dropReservations(Ledger& ledger, std::uint32_t part);
-    [[nodiscard]] std::uint32_t gangRoom(Ledger& ledger, std::uint32_t part, const Job& job);
+    void chooseZone(ClusterState& clusterState, std::uint32_t partition, Job& job);
+    void dropReservations(ClusterState& clusterState, std::uint32_t partition);
+    [[nodiscard]] std::uint32_t gangRoom(ClusterState& clusterState, std::uint32_t partition,
+                                         const Job& job);
     void stopBrokenGang(Job& job);
-    bool canEmpty(Ledger& ledger, const Machine& machine, std::vector<Claim*>& claims);
-    // Of what runs on the part and could be stopped for others.
-    [[nodiscard]] static protocol::Priority lowestRunning(const Ledger& ledger, std::uint32_t part);
-    bool makeRoom(Ledger& ledger, const Openings& openings, const Job& job,
+    bool canEmpty(ClusterState& clusterState, const Machine& machine, std::vector<Claim*>& claims);
+    // Of what runs on the partition and could be stopped for others.
+    [[nodiscard]] static protocol::Priority lowestRunning(const ClusterState& clusterState,
+                                                          std::uint32_t partition);
+    bool makeRoom(ClusterState& clusterState, const Openings& openings, const Job& job,
                   std::set<std::string>& machines);
     // `yields`: it closes no places of other teams' larger tasks that go before it.
-    [[nodiscard]] Opening* choose(Ledger& ledger, Openings& openings, const Job& job,
+    [[nodiscard]] Opening* choose(ClusterState& clusterState, Openings& openings, const Job& job,
                                   const Rivals& rivals, const ZoneUse& zoneUse, bool yields) const;
-    [[nodiscard]] static Rivals largestOfClasses(const Ledger& ledger);
+    [[nodiscard]] static Rivals largestOfClasses(const ClusterState& clusterState);
     // How many places for others' larger tasks a task of the job would close.
     struct ClosedPlaces {
         std::uint32_t all = 0;
@@ -168,11 +176,11 @@
                                                     const Resources& free, const Job& job);
     // Whether the job's tasks are smaller ones that go after the rival's.
     [[nodiscard]] static bool mayLosePlaces(const Rival& rival, const Job& job);
-    void countSpare(Rivals& rivals, const Openings& openings, const Ledger& ledger,
-                    std::uint32_t part) const;
+    void countSpare(Rivals& rivals, const Openings& openings, const ClusterState& clusterState,
+                    std::uint32_t partition) const;
     void useSpare(Rivals& rivals, const Opening& opening, const Job& job) const;
     // How many more tasks of a guest that has waited for long may close places of hosts.
-    [[nodiscard]] std::uint32_t guestAllowance(const Job& job, std::uint32_t part) const;
+    [[nodiscard]] std::uint32_t guestAllowance(const Job& job, std::uint32_t partition) const;
     // What a claim takes of an opening, and gives back.
     static void take(Opening& opening, const Resources& each);
     static void giveBack(Opening& opening, const Resources& each);
@@ -180,10 +188,11 @@
     // Whether the job may have a place on the machine although a peer may have lent it.
     [[nodiscard]] bool mayUseLoan(const Job& job, const Machine& machine) const;
     // Or is fetching it.
-    [[nodiscard]] static bool hasImage(Ledger& ledger, const Machine& machine, const Job& job);
-    [[nodiscard]] double cost(Ledger& ledger, const Job& job, const Machine& machine,
+    [[nodiscard]] static bool hasImage(ClusterState& clusterState, const Machine& machine,
+                                       const Job& job);
+    [[nodiscard]] double cost(ClusterState& clusterState, const Job& job, const Machine& machine,
                               const MachineType& type) const;
-    std::uint64_t nextAttempt(std::uint32_t part);
+    std::uint64_t nextAttempt(std::uint32_t partition);
 
     Context& context_;
     Membership& membership_;
@@ -191,6 +200,6 @@
     std::map<std::string, std::uint32_t> largestGang_;  // tasks, by class
 };
 
-std::map<std::string, std::uint32_t> zoneUseOf(const Ledger& ledger, const Job& job);
+std::map<std::string, std::uint32_t> zoneUseOf(const ClusterState& clusterState, const Job& job);
 
 }  // namespace fawnwheel::coordination
--- a/src/coordination/preemption.cpp
+++ b/src/coordination/preemption.cpp
@@ -21,7 +21,7 @@
 
 }  // namespace
 
-bool Placement::makeRoom(Ledger& ledger, const Openings& openings, const Job& job,
+bool Placement::makeRoom(ClusterState& clusterState, const Openings& openings, const Job& job,
                          std::set<std::string>& machines) {
     struct Victim {
         Claim* claim = nullptr;
@@ -29,7 +29,7 @@
         double loss = 0;
     };
     const auto now = context_.now();
-    auto use = zoneUseOf(ledger, job);
+    auto use = zoneUseOf(clusterState, job);
     if (!job.gatherZone.empty()) use[job.gatherZone] = 1;
     Machine* best = nullptr;
     std::vector<Victim> bestVictims;
@@ -42,7 +42,7 @@
         std::vector<Victim> candidates;
         Resources room = opening.free;
         for (const auto& ref : machine.claims) {
-            const auto [other, slice, claim] = ledger.held(ref);
+            const auto [other, slice, claim] = clusterState.held(ref);
             if (claim == nullptr || !claim->durable) continue;
             if (claim->stopGrace) {
                 room += other->spec.each;  // on its way out already
@@ -86,47 +86,49 @@
     return true;
 }
 
-protocol::Priority Placement::lowestRunning(const Ledger& ledger, std::uint32_t part) {
+protocol::Priority Placement::lowestRunning(const ClusterState& clusterState,
+                                            std::uint32_t partition) {
     auto lowest = protocol::Priority::production;
-    for (const auto& [id, job] : ledger.jobs)
+    for (const auto& [id, job] : clusterState.jobs)
         if (job.priority > lowest && job.spec.kind != JobKind::gang &&
-            std::any_of(job.slices.begin(), job.slices.end(), [part](const Slice& slice) {
-                return slice.part == part && !slice.claims.empty();
+            std::any_of(job.slices.begin(), job.slices.end(), [partition](const Slice& slice) {
+                return slice.partition == partition && !slice.claims.empty();
             }))
             lowest = job.priority;
     return lowest;
 }
 
-std::set<std::string> Placement::preemptFor(std::uint32_t part,
+std::set<std::string> Placement::preemptFor(std::uint32_t partition,
                                             const std::vector<Unplaced>& unplaced) {
     std::set<std::string> machines;
-    auto ledger = context_.ledger.lock();
+    auto clusterState = context_.clusterState.lock();
     std::optional<protocol::Priority> lowest;  // that could give way
     std::optional<Openings> openings;
     for (const auto& entry : unplaced) {
-        Job* job = ledger->job(entry.job);
+        Job* job = clusterState->job(entry.job);
         if (job == nullptr || entry.overShare || entry.waitsTurn || !atRisk(*job) ||
             context_.now() < job->preemptedUntil)
             continue;
-        if (!lowest) lowest = lowestRunning(*ledger, part);
+        if (!lowest) lowest = lowestRunning(*clusterState, partition);
         if (*lowest <= job->priority) continue;
-        if (!openings) openings = openingsOf(*ledger, part);
-        // A gang gets nothing from a part of the room it needs.
+        if (!openings) openings = openingsOf(*clusterState, partition);
+        // A gang gets nothing from a partition of the room it needs.
         const auto most = entry.gang ? entry.tasks : std::min(entry.tasks, mostPreempted);
         for (std::uint32_t i = 0; i < most; ++i) {
-            if (!makeRoom(*ledger, *openings, *job, machines)) break;
+            if (!makeRoom(*clusterState, *openings, *job, machines)) break;
             job->preemptedUntil = context_.now() + reservation;
         }
     }
     return machines;
 }
 
-bool Placement::canEmpty(Ledger& ledger, const Machine& machine, std::vector<Claim*>& claims) {
+bool Placement::canEmpty(ClusterState& clusterState, const Machine& machine,
+                         std::vector<Claim*>& claims) {
     const auto now = context_.now();
     std::map<std::string, Resources> taken;
     double longestLeft = 0;
     for (const auto& ref : machine.claims) {
-        const auto [job, slice, claim] = ledger.held(ref);
+        const auto [job, slice, claim] = clusterState.held(ref);
         // Only what saves its progress, runs long enough to have counted as started, and is not
         // tied to other tasks.
         if (claim == nullptr || !claim->durable || claim->stopGrace || !claim->ran ||
@@ -136,7 +138,7 @@
         longestLeft =
             std::max(longestLeft, Seconds(job->spec.estimate - Seconds(now - *claim->ran)).count());
         bool fits = false;
-        for (const auto* other : ledger.machinesOf(machine.part)) {
+        for (const auto* other : clusterState.machinesOf(machine.partition)) {
             // Into machines in use only: an empty one might be the next to go.
             if (other == &machine || other->claims.empty() || !takesWork(*other)) continue;
             Machine after = *other;
@@ -152,12 +154,12 @@
     return longestLeft > leastLeftToMove;
 }
 
-std::optional<std::string> Placement::emptyOne(std::uint32_t part) {
-    auto ledger = context_.ledger.lock();
+std::optional<std::string> Placement::emptyOne(std::uint32_t partition) {
+    auto clusterState = context_.clusterState.lock();
     Machine* best = nullptr;
     std::vector<Claim*> bestClaims;
     double bestWaste = 0;
-    for (auto* entry : ledger->machinesOf(part)) {
+    for (auto* entry : clusterState->machinesOf(partition)) {
         Machine& machine = *entry;
         if (machine.emptying && !machine.claims.empty()) return std::nullopt;  // one at a time
         const auto* type = context_.type(machine.type);
@@ -167,7 +169,7 @@
         if (share > thinUse) continue;
         const double waste = (machine.spot ? type->spotPrice : type->price) * (1 - share);
         std::vector<Claim*> claims;
-        if (waste <= bestWaste || !canEmpty(*ledger, machine, claims)) continue;
+        if (waste <= bestWaste || !canEmpty(*clusterState, machine, claims)) continue;
         best = &machine;
         bestClaims = std::move(claims);
         bestWaste = waste;
@@ -176,7 +178,7 @@
     spdlog::debug("machine {}: emptying, {} tasks", best->id, bestClaims.size());
     best->emptying = true;
     for (std::size_t i = 0; i < bestClaims.size(); ++i)
-        bestClaims[i]->stopGrace = ledger->job(best->claims[i].job)->spec.save;
+        bestClaims[i]->stopGrace = clusterState->job(best->claims[i].job)->spec.save;
     return best->id;
 }
 
--- a/src/coordination/queue_order.cpp
+++ b/src/coordination/queue_order.cpp
@@ -1,4 +1,5 @@
-// The ready queue of a part: which jobs wait, in what order, and how much of each may be placed.
+// The ready queue of a partition: which jobs wait, in what order, and how much of each may be
+// placed.
 #include <algorithm>
 
 #include "coordination/placement.h"
@@ -78,27 +79,28 @@
            std::tuple(other.priority, latestStart(other), other.spec.id);
 }
 
-std::vector<Placement::Ready> Placement::readyJobs(Ledger& ledger, std::uint32_t part) {
+std::vector<Placement::Ready> Placement::readyJobs(ClusterState& clusterState,
+                                                   std::uint32_t partition) {
     std::vector<Ready> ready;
     const auto now = context_.now();
-    for (const auto& [id, job] : ledger.jobs)
-        if (job.spec.kind == JobKind::gang && ledger.schedulable(job)) {
+    for (const auto& [id, job] : clusterState.jobs)
+        if (job.spec.kind == JobKind::gang && clusterState.schedulable(job)) {
             auto& largest = largestGang_[job.spec.jobClass];
             largest = std::max(largest, job.spec.tasks);
         }
-    for (auto& [id, job] : ledger.jobs) {
-        if (!ledger.startable(job) || now < job.notBefore) continue;
+    for (auto& [id, job] : clusterState.jobs) {
+        if (!clusterState.startable(job) || now < job.notBefore) continue;
         if (job.spec.kind == JobKind::gang && job.anyClaim()) {
-            if (job.part == part) stopBrokenGang(job);
+            if (job.partition == partition) stopBrokenGang(job);
             continue;
         }
         if (job.failing()) {
-            if (mayProbe(job, part)) ready.push_back({&job, 1, latestStart(job), true});
+            if (mayProbe(job, partition)) ready.push_back({&job, 1, latestStart(job), true});
             continue;
         }
         std::uint32_t tasks = 0;
         for (const auto& slice : job.slices)
-            if (slice.part == part) tasks += slice.waiting();
+            if (slice.partition == partition) tasks += slice.waiting();
         if (tasks > 0) ready.push_back({&job, tasks, latestStart(job)});
     }
     std::sort(ready.begin(), ready.end(), [](const Ready& a, const Ready& b) {
@@ -108,12 +110,12 @@
     return ready;
 }
 
-bool Placement::mayProbe(const Job& job, std::uint32_t part) {
+bool Placement::mayProbe(const Job& job, std::uint32_t partition) {
     // One task at a time for the whole job, wherever its slices lie: by the first that waits.
     if (job.anyClaim()) return false;
     const auto first = std::find_if(job.slices.begin(), job.slices.end(),
                                     [](const Slice& slice) { return slice.waiting() > 0; });
-    return first != job.slices.end() && first->part == part;
+    return first != job.slices.end() && first->partition == partition;
 }
 
 std::uint32_t Placement::mostToPlace(const Ready& ready) const {
@@ -143,15 +145,15 @@
     }
 }
 
-bool Placement::claimsWait(const Ledger& ledger, std::uint32_t part) const {
+bool Placement::claimsWait(const ClusterState& clusterState, std::uint32_t partition) const {
     // Beyond what the state service writes, the claims of a guest's thousands of short tasks once
     // waited for 150 s for their records and held their machines, and those of the hosts behind
     // them (day fresh-5728 of vatback).
     const auto oldest = context_.now() - longestRecording;
-    return std::any_of(ledger.jobs.begin(), ledger.jobs.end(), [&](const auto& entry) {
+    return std::any_of(clusterState.jobs.begin(), clusterState.jobs.end(), [&](const auto& entry) {
         const auto& slices = entry.second.slices;
         return std::any_of(slices.begin(), slices.end(), [&](const Slice& slice) {
-            return slice.part == part && slice.dirty &&
+            return slice.partition == partition && slice.dirty &&
                    std::any_of(slice.claims.begin(), slice.claims.end(), [&](const Claim& claim) {
                        return !claim.durable && claim.made < oldest;
                    });
@@ -160,21 +162,21 @@
 }
 
 std::vector<std::uint32_t> Placement::queueLengths() {
-    std::vector<std::uint32_t> lengths(context_.partCount(), 0);
+    std::vector<std::uint32_t> lengths(context_.partitionCount(), 0);
     const auto now = context_.now();
-    auto ledger = context_.ledger.lock();
-    for (const auto& [id, job] : ledger->jobs) {
-        if (!ledger->schedulable(job) || now < job.notBefore ||
+    auto clusterState = context_.clusterState.lock();
+    for (const auto& [id, job] : clusterState->jobs) {
+        if (!clusterState->schedulable(job) || now < job.notBefore ||
             (job.spec.kind == JobKind::gang && job.anyClaim()))
             continue;
         for (const auto& slice : job.slices)
-            if (slice.part < lengths.size()) lengths[slice.part] += slice.waiting();
+            if (slice.partition < lengths.size()) lengths[slice.partition] += slice.waiting();
     }
     return lengths;
 }
 
-std::uint32_t Placement::queueLength(std::uint32_t part) {
-    return queueLengths()[part];
+std::uint32_t Placement::queueLength(std::uint32_t partition) {
+    return queueLengths()[partition];
 }
 
 }  // namespace fawnwheel::coordination
--- a/src/coordination/recorder.cpp
+++ b/src/coordination/recorder.cpp
@@ -31,101 +31,104 @@
     return range.count > 0;
 }
 
-// The parts in which something of the job is known here and not recorded.
-std::set<std::uint32_t> partsWithUnrecorded(const Job& job) {
-    std::set<std::uint32_t> parts;
+// The partitions in which something of the job is known here and not recorded.
+std::set<std::uint32_t> partitionsWithUnrecorded(const Job& job) {
+    std::set<std::uint32_t> partitions;
     for (const auto& slice : job.slices)
-        if (slice.dirty) parts.insert(slice.part);
-    return parts;
+        if (slice.dirty) partitions.insert(slice.partition);
+    return partitions;
 }
 
 }  // namespace
 
-void Recorder::push(std::uint32_t part, SlicePush push) {
-    pushes_[part].push_back(std::move(push));
-    flush(part);
+void StateWriter::push(std::uint32_t partition, SlicePush push) {
+    pushes_[partition].push_back(std::move(push));
+    flush(partition);
 }
 
-bool Recorder::sliceUnderWay(const Job& job) const {
+bool StateWriter::sliceUnderWay(const Job& job) const {
     return std::any_of(job.slices.begin(), job.slices.end(), [&](const Slice& slice) {
-        return committer_.inFlight(bookkeeping::keys::slice(job.spec.id, slice.index));
+        return pipeline_.inFlight(bookkeeping::keys::slice(job.spec.id, slice.index));
     });
 }
 
-bool Recorder::over(Ledger& ledger, const Job& job) const {
+bool StateWriter::over(ClusterState& clusterState, const Job& job) const {
     if (!job.cancelled) return job.complete();
-    // A cancelled job ends when the last of its tasks is proved gone. Claims by other parts are
-    // known up to `applied`, but for slices that are under way here; later ones fail on the job's
-    // version.
-    if (job.anyClaim() || ledger.applied < job.version || sliceUnderWay(job)) return false;
-    // Its live record stays until no live job that names it could be taken to wait for a job that
+    // A cancelled job ends when the last of its tasks is proved gone. Claims by other partitions
+    // are known up to `applied`, but for slices that are under way here; later ones fail on the
+    // job's version.
+    if (job.anyClaim() || clusterState.applied < job.version || sliceUnderWay(job)) return false;
+    // Its active record stays until no live job that names it could be taken to wait for a job that
     // is done. Later ones can't be created as if it were not cancelled: they fail on its version.
-    const auto& successors = ledger.dependencies.successors(job.spec.id);
-    return std::all_of(successors.begin(), successors.end(), [&ledger](const std::string& id) {
-        const Job* successor = ledger.job(id);
-        return successor == nullptr || successor->cancelled;
-    });
+    const auto& successors = clusterState.dependencies.successors(job.spec.id);
+    return std::all_of(successors.begin(), successors.end(),
+                       [&clusterState](const std::string& id) {
+                           const Job* successor = clusterState.job(id);
+                           return successor == nullptr || successor->cancelled;
+                       });
 }
 
-void Recorder::addCancellations(Batch& batch, Ledger& ledger, std::uint32_t part) {
-    // Whoever owns the part finishes it: what is left to do shows in the records.
-    for (const auto& [id, job] : ledger.jobs) {
+void StateWriter::addCancellations(Batch& batch, ClusterState& clusterState,
+                                   std::uint32_t partition) {
+    // Whoever owns the partition finishes it: what is left to do shows in the records.
+    for (const auto& [id, job] : clusterState.jobs) {
         if (writer_.full(batch)) return;
-        if (!job.doomed || job.cancelled || job.finishing || job.part != part) continue;
+        if (!job.doomed || job.cancelled || job.finishing || job.partition != partition) continue;
         const auto key = bookkeeping::keys::job(id);
         Job next = job;
         next.cancelled = true;
-        batch.transaction.conditions.push_back({key, job.version});
+        batch.transaction.compares.push_back({key, job.version});
         batch.cancellations.push_back({key, bookkeeping::jobValue(next), 0});
-        batch.transaction.changes.push_back(batch.cancellations.back());
+        batch.transaction.writes.push_back(batch.cancellations.back());
         batch.bytes += SliceWriter::bytesPerJob;
         batch.jobs.insert(id);
     }
 }
 
-void Recorder::addFinal(Batch& batch, const Ledger& ledger, Job& job) {
-    auto& changes = batch.transaction.changes;
-    if (changes.size() + 2 > writer_.mostChanges()) return;
-    batch.transaction.conditions.push_back({bookkeeping::keys::job(job.spec.id), job.version});
-    // Ends that are not recorded hold for the term in which they were proved: another owner of that
-    // part would know nothing of them, and may have started the tasks once more.
-    for (const auto other : partsWithUnrecorded(job))
-        if (other != job.part)
-            batch.transaction.conditions.push_back(
-                {bookkeeping::keys::part(other), ledger.parts.at(other).version});
-    changes.push_back({bookkeeping::keys::job(job.spec.id), std::nullopt, 0});
-    bookkeeping::FinalState state{job.cancelled, std::nullopt};
-    // Those that wait for it count their time from now on, also with a successor of this owner.
-    if (context_.upgradeComplete(ledger)) state.at = context_.timers.wallNow();
-    changes.push_back({bookkeeping::keys::final(job.spec.id), bookkeeping::finalValue(state), 0});
+void StateWriter::addTerminal(Batch& batch, const ClusterState& clusterState, Job& job) {
+    auto& writes = batch.transaction.writes;
+    if (writes.size() + 2 > writer_.mostChanges()) return;
+    batch.transaction.compares.push_back({bookkeeping::keys::job(job.spec.id), job.version});
+    // Ends that are not recorded hold for the term in which they were proved: another leader of
+    // that partition would know nothing of them, and may have started the tasks once more.
+    for (const auto other : partitionsWithUnrecorded(job))
+        if (other != job.partition)
+            batch.transaction.compares.push_back(
+                {bookkeeping::keys::partition(other), clusterState.partitions.at(other).version});
+    writes.push_back({bookkeeping::keys::job(job.spec.id), std::nullopt, 0});
+    bookkeeping::TerminalState state{job.cancelled, std::nullopt};
+    // Those that wait for it count their time from now on, also with a successor of this leader.
+    if (context_.jobDependenciesEnabled(clusterState)) state.at = context_.timers.wallNow();
+    writes.push_back(
+        {bookkeeping::keys::terminal(job.spec.id), bookkeeping::terminalValue(state), 0});
     for (const auto& slice : job.slices) {
         // The others become strays once the job has ended, and not before: deleted on a hope, the
         // records of a job that lived on were missing, and its running tasks known to nobody
         // (ARefusedEndLeavesTheSlicesOfTheJob).
-        if (slice.version == 0 || changes.size() >= writer_.mostChanges()) continue;
+        if (slice.version == 0 || writes.size() >= writer_.mostChanges()) continue;
         const auto key = bookkeeping::keys::slice(job.spec.id, slice.index);
-        changes.push_back({key, std::nullopt, 0});
+        writes.push_back({key, std::nullopt, 0});
     }
     batch.bytes += SliceWriter::bytesPerChange * 2;
-    batch.finals.push_back({job.spec.id, state});
+    batch.terminals.push_back({job.spec.id, state});
     job.finishing = true;
 }
 
-bool Recorder::addPush(Batch& batch, Job& job, const SlicePush& push) {
+bool StateWriter::addPush(Batch& batch, Job& job, const SlicePush& push) {
     if (!writer_.add(batch, job, job.slices[push.slice], {{push.range}, push.target})) return false;
     batch.pushed.push_back(push.done);
     return true;
 }
 
-void Recorder::addPushes(Batch& batch, Ledger& ledger, std::uint32_t part) {
-    auto& waiting = pushes_[part];
+void StateWriter::addPushes(Batch& batch, ClusterState& clusterState, std::uint32_t partition) {
+    auto& waiting = pushes_[partition];
     while (!waiting.empty() && !writer_.full(batch)) {
         const auto& next = waiting.front();
-        Job* job = ledger.job(next.job);
+        Job* job = clusterState.job(next.job);
         const bool possible = context_.now() < next.until && job != nullptr &&
-                              !ledger.knownCancelled(*job) && !job->finishing &&
+                              !clusterState.knownCancelled(*job) && !job->finishing &&
                               next.slice < job->slices.size() &&
-                              job->slices[next.slice].part == part &&
+                              job->slices[next.slice].partition == partition &&
                               allUnstarted(job->slices[next.slice], next.range) &&
                               // Two divisions of one job would claim the same new indexes.
                               !batch.jobs.contains(next.job);
@@ -138,28 +141,30 @@
     }
 }
 
-void Recorder::addFinals(Batch& batch, Ledger& ledger, std::uint32_t part, bool guests,
-                         std::size_t mostChanges) {
-    for (auto& [id, job] : ledger.jobs) {
-        if (writer_.full(batch) || batch.transaction.changes.size() >= mostChanges) return;
-        if (job.part == part && !job.finishing && context_.isGuest(job) == guests &&
-            !batch.jobs.contains(id) && over(ledger, job))
-            addFinal(batch, ledger, job);
+void StateWriter::addTerminals(Batch& batch, ClusterState& clusterState, std::uint32_t partition,
+                               bool guests, std::size_t mostChanges) {
+    for (auto& [id, job] : clusterState.jobs) {
+        if (writer_.full(batch) || batch.transaction.writes.size() >= mostChanges) return;
+        if (job.partition == partition && !job.finishing && context_.isGuest(job) == guests &&
+            !batch.jobs.contains(id) && over(clusterState, job))
+            addTerminal(batch, clusterState, job);
     }
 }
 
-std::vector<Recorder::Dirty> Recorder::dirtySlices(Ledger& ledger, std::uint32_t part,
-                                                   const Batch& batch) const {
+std::vector<StateWriter::Dirty> StateWriter::dirtySlices(ClusterState& clusterState,
+                                                         std::uint32_t partition,
+                                                         const Batch& batch) const {
     const auto now = context_.now();
     std::vector<Dirty> hosts;
     std::vector<Dirty> guests;
-    for (auto& [id, job] : ledger.jobs) {
+    for (auto& [id, job] : clusterState.jobs) {
         // What a job's end will say needs no record of its own.
-        if (job.finishing || batch.jobs.contains(id) || (job.part == part && over(ledger, job)))
+        if (job.finishing || batch.jobs.contains(id) ||
+            (job.partition == partition && over(clusterState, job)))
             continue;
         auto& same = context_.isGuest(job) ? guests : hosts;
         for (auto& slice : job.slices) {
-            if (!slice.dirty || slice.part != part) continue;
+            if (!slice.dirty || slice.partition != partition) continue;
             if (!slice.dirtySince) slice.dirtySince = now;
             const Duration patience = patiencePerRank * static_cast<int>(job.priority) +
                                       (somebodyWaitsFor(slice) ? Duration::zero() : endsPatience);
@@ -177,8 +182,8 @@
     return interleaved(hosts, guests);
 }
 
-std::vector<Recorder::Dirty> Recorder::interleaved(const std::vector<Dirty>& hosts,
-                                                   const std::vector<Dirty>& guests) {
+std::vector<StateWriter::Dirty> StateWriter::interleaved(const std::vector<Dirty>& hosts,
+                                                         const std::vector<Dirty>& guests) {
     // A guest's thousands of slices, each older than a host's latest, would keep that waiting.
     std::vector<Dirty> all;
     auto guest = guests.begin();
@@ -190,9 +195,9 @@
     return all;
 }
 
-void Recorder::addSlices(Batch& batch, Ledger& ledger, std::uint32_t part) {
+void StateWriter::addSlices(Batch& batch, ClusterState& clusterState, std::uint32_t partition) {
     std::set<const Job*> divided;
-    for (const auto& [due, job, slice] : dirtySlices(ledger, part, batch)) {
+    for (const auto& [due, job, slice] : dirtySlices(clusterState, partition, batch)) {
         if (writer_.full(batch)) return;
         // What a division adds has to be known before another slice of the job is divided.
         if (divided.contains(job)) continue;
@@ -201,86 +206,88 @@
     }
 }
 
-void Recorder::flush(std::uint32_t part) {
-    if (committer_.busy(part) || context_.now() < pausedUntil_[part]) return;
+void StateWriter::flush(std::uint32_t partition) {
+    if (pipeline_.busy(partition) || context_.now() < pausedUntil_[partition]) return;
     Batch batch;
     {
-        auto ledger = context_.ledger.lock();
-        batch.generation = ledger->generation;
-        addCancellations(batch, *ledger, part);
-        addFinals(batch, *ledger, part, false, writer_.mostChanges());
-        addFinals(batch, *ledger, part, true, writer_.mostChanges() / 2);
-        addPushes(batch, *ledger, part);
-        addSlices(batch, *ledger, part);
-        addFinals(batch, *ledger, part, true, writer_.mostChanges());
+        auto clusterState = context_.clusterState.lock();
+        batch.generation = clusterState->generation;
+        addCancellations(batch, *clusterState, partition);
+        addTerminals(batch, *clusterState, partition, false, writer_.mostChanges());
+        addTerminals(batch, *clusterState, partition, true, writer_.mostChanges() / 2);
+        addPushes(batch, *clusterState, partition);
+        addSlices(batch, *clusterState, partition);
+        addTerminals(batch, *clusterState, partition, true, writer_.mostChanges());
     }
-    if (batch.transaction.changes.empty()) return deleteStrays(part);
+    if (batch.transaction.writes.empty()) return deleteOrphans(partition);
     auto transaction = batch.transaction;
-    committer_.commit(
-        part, std::move(transaction),
-        [this, part, batch = std::move(batch)](CommitResult result, std::uint64_t revision) {
-            finish(part, batch, result, revision);
+    pipeline_.commit(
+        partition, std::move(transaction),
+        [this, partition, batch = std::move(batch)](CommitResult result, std::uint64_t revision) {
+            finish(partition, batch, result, revision);
         });
 }
 
-void Recorder::finish(std::uint32_t part, const Batch& batch, CommitResult result,
-                      std::uint64_t revision) {
+void StateWriter::finish(std::uint32_t partition, const Batch& batch, CommitResult result,
+                         std::uint64_t revision) {
     std::set<std::string> machines;
     if (result == CommitResult::rejected) {
-        pausedUntil_[part] = context_.now() + pauseAfterRejection;
-        writer_.noteRejected(part, batch.transaction.changes.size());
+        pausedUntil_[partition] = context_.now() + pauseAfterRejection;
+        writer_.onRejected(partition, batch.transaction.writes.size());
     }
     {
-        auto ledger = context_.ledger.lock();
+        auto clusterState = context_.clusterState.lock();
         if (result == CommitResult::done)
-            for (const auto& change : batch.cancellations)
-                bookkeeping::applyEvent(*ledger, {change.key, change.value, revision},
+            for (const auto& write : batch.cancellations)
+                bookkeeping::applyEvent(*clusterState, {write.key, write.value, revision},
                                         context_.now());
-        for (const auto& [id, state] : batch.finals) {
-            if (Job* job = ledger->job(id)) job->finishing = false;
+        for (const auto& [id, state] : batch.terminals) {
+            if (Job* job = clusterState->job(id)) job->finishing = false;
             if (result != CommitResult::done) continue;
             spdlog::debug("job {}: {}", id, state.cancelled ? "cancelled" : "done");
-            ledger->dependencies.noteFinal(id, state);
-            ledger->dropJob(id);
-            onFinal(id, state.cancelled);
+            clusterState->dependencies.recordTerminal(id, state);
+            clusterState->dropJob(id);
+            onTerminal(id, state.cancelled);
         }
-        machines = writer_.finish(*ledger, batch, result, revision);
+        machines = writer_.finish(*clusterState, batch, result, revision);
     }
     for (const auto& done : batch.pushed) done(result == CommitResult::done);
     if (result == CommitResult::done && !batch.cancellations.empty()) onCancelled();
     if (!machines.empty()) onDurable(machines);
-    // Not before what the follow has brought of these keys meanwhile is taken in.
+    // Not before what the watch has brought of these keys meanwhile is taken in.
     if (result == CommitResult::done)
-        context_.timers.after(Duration::zero(), [this, part] { flush(part); });
+        context_.timers.after(Duration::zero(), [this, partition] { flush(partition); });
 }
 
-void Recorder::deleteStrays(std::uint32_t part) {
-    protocol::Transaction transaction;
+void StateWriter::deleteOrphans(std::uint32_t partition) {
+    protocol::CompareAndSwap transaction;
     std::set<std::string> jobs;
     {
-        auto ledger = context_.ledger.lock();
+        auto clusterState = context_.clusterState.lock();
         // Read before its job's record was, which may have been created in between.
-        std::erase_if(ledger->strayRecords, [&ledger](const auto& entry) {
-            return ledger->job(entry.second.job) != nullptr;
+        std::erase_if(clusterState->orphanedRecords, [&clusterState](const auto& entry) {
+            return clusterState->job(entry.second.job) != nullptr;
         });
-        for (const auto& [key, stray] : ledger->strayRecords) {
-            if (transaction.changes.size() >= writer_.mostChanges()) break;
-            if (stray.part != part) continue;
-            transaction.changes.push_back({key, std::nullopt, 0});
-            jobs.insert(stray.job);
+        for (const auto& [key, orphan] : clusterState->orphanedRecords) {
+            if (transaction.writes.size() >= writer_.mostChanges()) break;
+            if (orphan.partition != partition) continue;
+            transaction.writes.push_back({key, std::nullopt, 0});
+            jobs.insert(orphan.job);
         }
     }
-    if (transaction.changes.empty()) return;
-    // A job that has had slices and has no live record has ended, and is never created again.
-    for (const auto& id : jobs) transaction.conditions.push_back({bookkeeping::keys::job(id), 0});
-    const auto changes = transaction.changes;
-    committer_.commit(part, std::move(transaction),
-                      [this, part, changes](CommitResult result, std::uint64_t) {
-                          if (result != CommitResult::done) return;
-                          auto ledger = context_.ledger.lock();
-                          for (const auto& change : changes) ledger->strayRecords.erase(change.key);
-                          context_.timers.after(Duration::zero(), [this, part] { flush(part); });
-                      });
+    if (transaction.writes.empty()) return;
+    // A job that has had slices and has no active record has ended, and is never created again.
+    for (const auto& id : jobs) transaction.compares.push_back({bookkeeping::keys::job(id), 0});
+    const auto writes = transaction.writes;
+    pipeline_.commit(partition, std::move(transaction),
+                     [this, partition, writes](CommitResult result, std::uint64_t) {
+                         if (result != CommitResult::done) return;
+                         auto clusterState = context_.clusterState.lock();
+                         for (const auto& write : writes)
+                             clusterState->orphanedRecords.erase(write.key);
+                         context_.timers.after(Duration::zero(),
+                                               [this, partition] { flush(partition); });
+                     });
 }
 
 }  // namespace fawnwheel::coordination
--- a/src/coordination/recorder.h
+++ b/src/coordination/recorder.h
@@ -1,36 +1,36 @@
-// Makes an owner's changes of slices and jobs durable, many in one transaction.
+// Makes a leader's changes of slices and jobs durable, many in one transaction.
 #pragma once
 
 #include "coordination/slice_writer.h"
 
 namespace fawnwheel::coordination {
 
-// Tasks of a part's slice, none of them started, that another part shall own.
+// Tasks of a partition's slice, none of them started, that another partition shall own.
 struct SlicePush {
     std::string job;
     std::uint32_t slice = 0;
     bookkeeping::TaskRange range;
-    std::uint32_t target = 0;  // part
-    SteadyTime until{};        // the other part's word holds no longer
+    std::uint32_t target = 0;  // partition
+    SteadyTime until{};        // the other partition's word holds no longer
     std::function<void(bool pushed)> done;
 };
 
-class Recorder {
+class StateWriter {
   public:
-    Recorder(Context& context, Committer& committer)
-        : context_(context), committer_(committer), writer_(context) {}
+    StateWriter(Context& context, TransactionPipeline& pipeline)
+        : context_(context), pipeline_(pipeline), writer_(context) {}
 
-    // Writes what has changed in this part, if nothing of it is under way already.
-    void flush(std::uint32_t part);
+    // Writes what has changed in this partition, if nothing of it is under way already.
+    void flush(std::uint32_t partition);
     // What other changes of slices are written with.
     [[nodiscard]] SliceWriter& writer() { return writer_; }
-    // Gives the tasks to the other part with the next flush, in a slice of their own if they are
-    // not the whole slice. Refused if one of them has started by then.
-    void push(std::uint32_t part, SlicePush push);
+    // Gives the tasks to the other partition with the next flush, in a slice of their own if they
+    // are not the whole slice. Refused if one of them has started by then.
+    void push(std::uint32_t partition, SlicePush push);
 
     // A job has reached its end, durably.
-    std::function<void(const std::string& job, bool cancelled)> onFinal = [](const std::string&,
-                                                                             bool) {};
+    std::function<void(const std::string& job, bool cancelled)> onTerminal = [](const std::string&,
+                                                                                bool) {};
     // Jobs that needed a cancelled one are cancelled now, durably.
     std::function<void()> onCancelled = [] {};
     // Claims on these machines have become durable: their starts may be sent.
@@ -38,20 +38,20 @@
         [](const std::set<std::string>&) {};
 
   private:
-    struct WrittenFinal {
+    struct WrittenTerminal {
         std::string job;
-        bookkeeping::FinalState state;
+        bookkeeping::TerminalState state;
     };
     struct Batch : SliceBatch {
-        std::vector<WrittenFinal> finals;
-        std::vector<protocol::Change> cancellations;  // of jobs that need a cancelled one
+        std::vector<WrittenTerminal> terminals;
+        std::vector<protocol::Write> cancellations;  // of jobs that need a cancelled one
         std::vector<std::function<void(bool pushed)>> pushed;
     };
 
-    void addCancellations(Batch& batch, Ledger& ledger, std::uint32_t part);
+    void addCancellations(Batch& batch, ClusterState& clusterState, std::uint32_t partition);
     // Whether there was room for it.
     bool addPush(Batch& batch, Job& job, const SlicePush& push);
-    void addPushes(Batch& batch, Ledger& ledger, std::uint32_t part);
+    void addPushes(Batch& batch, ClusterState& clusterState, std::uint32_t partition);
     // A slice that has changed since its record.
     struct Dirty {
         SteadyTime due{};
@@ -59,29 +59,29 @@
         const Slice* slice = nullptr;
     };
     // Those of guests or of all others, while the batch has fewer changes than this.
-    void addFinals(Batch& batch, Ledger& ledger, std::uint32_t part, bool guests,
-                   std::size_t mostChanges);
+    void addTerminals(Batch& batch, ClusterState& clusterState, std::uint32_t partition,
+                      bool guests, std::size_t mostChanges);
     // In the order in which they are to be written.
-    [[nodiscard]] std::vector<Dirty> dirtySlices(Ledger& ledger, std::uint32_t part,
-                                                 const Batch& batch) const;
+    [[nodiscard]] std::vector<Dirty> dirtySlices(ClusterState& clusterState,
+                                                 std::uint32_t partition, const Batch& batch) const;
     [[nodiscard]] static std::vector<Dirty> interleaved(const std::vector<Dirty>& hosts,
                                                         const std::vector<Dirty>& guests);
-    void addSlices(Batch& batch, Ledger& ledger, std::uint32_t part);
-    void addFinal(Batch& batch, const Ledger& ledger, Job& job);
-    // Whether the job has ended and its live record may go.
-    [[nodiscard]] bool over(Ledger& ledger, const Job& job) const;
+    void addSlices(Batch& batch, ClusterState& clusterState, std::uint32_t partition);
+    void addTerminal(Batch& batch, const ClusterState& clusterState, Job& job);
+    // Whether the job has ended and its active record may go.
+    [[nodiscard]] bool over(ClusterState& clusterState, const Job& job) const;
     // Whether a transaction of ours on one of its slices has no outcome yet.
     [[nodiscard]] bool sliceUnderWay(const Job& job) const;
-    void finish(std::uint32_t part, const Batch& batch, CommitResult result,
+    void finish(std::uint32_t partition, const Batch& batch, CommitResult result,
                 std::uint64_t revision);
     // Deletes slice records that have outlived their jobs, when there is nothing else to write.
-    void deleteStrays(std::uint32_t part);
+    void deleteOrphans(std::uint32_t partition);
 
     Context& context_;
-    Committer& committer_;
+    TransactionPipeline& pipeline_;
     SliceWriter writer_;
-    std::map<std::uint32_t, std::deque<SlicePush>> pushes_;  // by part
-    std::map<std::uint32_t, SteadyTime> pausedUntil_;        // by part, after a rejection
+    std::map<std::uint32_t, std::deque<SlicePush>> pushes_;  // by partition
+    std::map<std::uint32_t, SteadyTime> pausedUntil_;        // by partition, after a rejection
 };
 
 }  // namespace fawnwheel::coordination
--- a/src/coordination/renting.cpp
+++ b/src/coordination/renting.cpp
@@ -37,7 +37,8 @@
                 if (refused != refused_.end() && now < refused->second.until) continue;
                 const double fit = Placement::fitsIn(job, type.capacity, tasks);
                 double price = (spot ? type.spotPrice : type.price) / std::max(1.0, fit);
-                // Near the part's own node, so that a cut between zones parts fewer of them.
+                // Near the partition's own node, so that a cut between zones separates fewer of
+                // them.
                 if (zone != context_.settings.zone) price *= 1.02;
                 if (!best || price < bestPrice) {
                     best = kind;
@@ -49,7 +50,7 @@
     return best;
 }
 
-void Fleet::rentFor(std::uint32_t part, const std::vector<Unplaced>& unplaced) {
+void Fleet::rentFor(std::uint32_t partition, const std::vector<Unplaced>& unplaced) {
     // Calls are few: none is queued behind others, and each rests on the answers before it.
     if (unplaced.empty() || !membership_.leaseStands() || context_.cloud.waiting() > 0) return;
     const auto now = context_.now();
@@ -59,8 +60,8 @@
     };
     std::vector<Coming> coming;
     std::map<Kind, Order> wanted;
-    auto ledger = context_.ledger.lock();
-    for (const auto* machine : ledger->machinesOf(part)) {
+    auto clusterState = context_.clusterState.lock();
+    for (const auto* machine : clusterState->machinesOf(partition)) {
         const auto* type = context_.type(machine->type);
         // Those that are up and not yet recorded or proved are as good as booting.
         const bool inUse = machine->lastReport && machine->version != 0 && machine->acknowledged();
@@ -69,12 +70,12 @@
             continue;
         coming.push_back({{machine->type, machine->zone, machine->spot}, type->capacity});
     }
-    for (const auto& [kind, count] : asked_[part])
+    for (const auto& [kind, count] : asked_[partition])
         for (int i = 0; i < count; ++i)
             if (const auto* type = context_.type(kind.type))
                 coming.push_back({kind, type->capacity});
     for (const auto& entry : unplaced) {
-        const Job* job = ledger->job(entry.job);
+        const Job* job = clusterState->job(entry.job);
         if (job == nullptr || entry.overShare) continue;
         if (entry.gang) {
             orderForGang(entry, *job, wanted);
@@ -99,7 +100,7 @@
         }
     }
     for (const auto& [kind, order] : wanted)
-        if (order.count > 0) rent(part, kind, order);
+        if (order.count > 0) rent(partition, kind, order);
 }
 
 void Fleet::orderForGang(const Unplaced& entry, const Job& job,
@@ -122,49 +123,50 @@
     order.gangs.emplace_back(entry.job, machines);
 }
 
-void Fleet::rent(std::uint32_t part, const Kind& kind, const Order& order) {
+void Fleet::rent(std::uint32_t partition, const Kind& kind, const Order& order) {
     for (const auto& [gang, machines] : order.gangs) rentingFor_.insert(gang);
-    asked_[part][kind] += order.count;
+    asked_[partition][kind] += order.count;
     // Terms are given out once and the number grows, so no name is ever used again.
-    const auto name = "r-" + context_.settings.name + "-" + std::to_string(membership_.term(part)) +
-                      "-" + std::to_string(++rentals_);
+    const auto name = "r-" + context_.settings.name + "-" +
+                      std::to_string(membership_.term(partition)) + "-" +
+                      std::to_string(++rentals_);
     spdlog::debug("rental {}: {} {} in {}{}, {} gangs", name, order.count, kind.type, kind.zone,
                   kind.spot ? ", spot" : "", order.gangs.size());
-    sendRental(part, kind, order, name, rentalTries);
+    sendRental(partition, kind, order, name, rentalTries);
 }
 
-void Fleet::sendRental(std::uint32_t part, const Kind& kind, const Order& order,
+void Fleet::sendRental(std::uint32_t partition, const Kind& kind, const Order& order,
                        const std::string& name, int tries) {
     context_.cloud.rent(name, kind.type, kind.zone, kind.spot, order.count,
-                        [this, part, kind, order, name, tries](
+                        [this, partition, kind, order, name, tries](
                             protocol::RentResult result, const std::vector<std::string>& machines) {
                             if (result == protocol::RentResult::unknown && tries > 1)
-                                return sendRental(part, kind, order, name, tries - 1);
-                            takeRented(part, kind, order, machines);
+                                return sendRental(partition, kind, order, name, tries - 1);
+                            takeRented(partition, kind, order, machines);
                         });
 }
 
-void Fleet::takeRented(std::uint32_t part, const Kind& kind, const Order& order,
+void Fleet::takeRented(std::uint32_t partition, const Kind& kind, const Order& order,
                        const std::vector<std::string>& machines) {
-    asked_[part][kind] -= order.count;
+    asked_[partition][kind] -= order.count;
     onAnswer();
-    auto ledger = context_.ledger.lock();
+    auto clusterState = context_.clusterState.lock();
     const auto* type = context_.type(kind.type);
     auto next = machines.begin();
     for (const auto& [gang, count] : order.gangs) {
         rentingFor_.erase(gang);
-        const Job* job = ledger->job(gang);
+        const Job* job = clusterState->job(gang);
         for (int i = 0; i < count && next != machines.end(); ++i, ++next) {
-            Machine* machine = note(*next, kind.type, kind.zone, kind.spot, part);
+            Machine* machine = note(*next, kind.type, kind.zone, kind.spot, partition);
             if (machine == nullptr || job == nullptr || type == nullptr) continue;
             placement_.reserve(*machine, *job,
                                Placement::fitsIn(*job, type->capacity, job->spec.tasks),
                                ticks(type->bootTime * lateBoot) + bootGrace);
         }
     }
-    for (; next != machines.end(); ++next) note(*next, kind.type, kind.zone, kind.spot, part);
+    for (; next != machines.end(); ++next) note(*next, kind.type, kind.zone, kind.spot, partition);
     for (const auto& id : machines)
-        if (ledger->machine(id) != nullptr) write(recording_, part, id);
+        if (clusterState->machine(id) != nullptr) write(recording_, partition, id);
     if (static_cast<int>(machines.size()) < order.count)
         noteRefusal(kind);
     else
--- a/src/coordination/replica.h
+++ b/src/coordination/replica.h
@@ -1,4 +1,5 @@
-// Keeps the ledger a mirror of the live records: reads them all once, then follows the changes.
+// Keeps the cluster state a replica of the active records: reads them all once, then follows the
+// changes.
 #pragma once
 
 #include <functional>
@@ -13,19 +14,19 @@
     explicit Replica(Context& context) : context_(context) {}
 
     void start() { readAll(); }
-    // Everything anew: after a doubt about what the ledger holds.
+    // Everything anew: after a doubt about what the cluster state holds.
     void resync();
     [[nodiscard]] bool synced() const { return synced_; }
     // Read in whole at least once by this process.
     [[nodiscard]] bool everSynced() const { return everSynced_; }
-    // The ledger holds, or has noted, everything that was carried out before this.
+    // The cluster state holds, or has noted, everything that was carried out before this.
     [[nodiscard]] SteadyTime currentAsOf() const { return currentAsOf_; }
 
-    // These keys' transactions have been settled: what the follow brought of them meanwhile, and
+    // These keys' transactions have been settled: what the watch brought of them meanwhile, and
     // what they are not under way for any more, is taken in now.
     void settle(const std::vector<std::string>& keys);
 
-    // Whether the follow has brought changes that wait for transactions of ours to be settled.
+    // Whether the watch has brought changes that wait for transactions of ours to be settled.
     [[nodiscard]] bool anyDeferred() const { return !deferred_.empty(); }
 
     // Whether one of our own transactions on this key is under way: its answer settles the key.
@@ -35,7 +36,7 @@
   private:
     void readAll();
     void readPage(const std::string& after, std::uint64_t generation);
-    void follow(std::uint64_t generation);
+    void watch(std::uint64_t generation);
     void finishRead();
     void catchUp();
 
@@ -48,7 +49,7 @@
     std::uint64_t firstRevision_ = 0;
     std::uint64_t lastRevision_ = 0;
     std::vector<protocol::Item> items_;
-    // The latest change of each key that was under way when the follow brought it. It may be newer
+    // The latest change of each key that was under way when the watch brought it. It may be newer
     // than our own transaction's, whose answer can come later.
     std::map<std::string, protocol::Event> deferred_;
 };
--- a/src/coordination/reports.h
+++ b/src/coordination/reports.h
@@ -14,16 +14,20 @@
 
 class Reports {
   public:
-    Reports(Context& context, Membership& membership, Recorder& recorder)
-        : context_(context), membership_(membership), recorder_(recorder), failures_(context) {}
+    Reports(Context& context, Membership& membership, StateWriter& stateWriter)
+        : context_(context),
+          membership_(membership),
+          stateWriter_(stateWriter),
+          failures_(context) {}
 
     ReportAnswer handle(const protocol::WorkerReport& report);
-    // A part has come to this process: whatever was known of its machines must be proved anew.
-    void onPartActive(std::uint32_t part);
+    // A partition has come to this process: whatever was known of its machines must be proved anew.
+    void onPartitionAcquired(std::uint32_t partition);
     // Makes the workers of these machines report soon: starts wait for them. Starts themselves go
     // out in answers to reports only, which are never executed late.
     void requestReports(const std::set<std::string>& machines);
-    // A machine that has gone to another part: its worker is made to report, and is sent there.
+    // A machine that has gone to another partition: its worker is made to report, and is sent
+    // there.
     void sendOn(const std::string& machine);
     // Sends stops straight to the machines of this job; the reports repeat them.
     void stopNow(const std::string& job);
@@ -31,39 +35,40 @@
     // All that was on the machine is surely gone.
     void releaseClaims(Machine& machine, const char* why);
     // Machines silent for so long that their leases have surely run out.
-    void expireSilent(std::uint32_t part);
+    void expireSilent(std::uint32_t partition);
 
-    // A machine nobody has assigned to a part yet.
+    // A machine nobody has assigned to a partition yet.
     std::function<void(const protocol::WorkerReport&)> onUnassigned =
         [](const protocol::WorkerReport&) {};
     std::function<void()> onChange = [] {};
 
   private:
-    // Brings the machine's token up to what its part's term, or a loan, demands.
+    // Brings the machine's token up to what its partition's term, or a loan, demands.
     void refreshToken(Machine& machine);
     // Nothing shows any more that the worker hears us: it has to prove it.
     void doubt(Machine& machine, std::uint64_t expected);
-    void takeIn(Ledger& ledger, Machine& machine, const protocol::WorkerReport& report);
-    void takeTask(Ledger& ledger, Machine& machine, const protocol::TaskReport& task,
+    void takeIn(ClusterState& clusterState, Machine& machine, const protocol::WorkerReport& report);
+    void takeTask(ClusterState& clusterState, Machine& machine, const protocol::TaskReport& task,
                   std::vector<protocol::Command>& commands);
-    void takeExit(Ledger& ledger, Machine& machine, Job& job, Slice& slice, Claim& claim,
-                  const protocol::TaskReport& task);
+    void takeExit(ClusterState& clusterState, Machine& machine, Job& job, Slice& slice,
+                  Claim& claim, const protocol::TaskReport& task);
     // Whether nobody but us can renew the lease of a machine that was given to us with its tasks.
-    [[nodiscard]] bool giverKnows(const Ledger& ledger, const Machine& machine) const;
+    [[nodiscard]] bool giverKnows(const ClusterState& clusterState, const Machine& machine) const;
     [[nodiscard]] bool mayStartOn(const Machine& machine) const;
     // A gang's task that waited for the others in vain, while all have their places.
-    [[nodiscard]] bool mayWaitOn(const Ledger& ledger, const Machine& machine, const Job& job,
-                                 const Claim& claim) const;
+    [[nodiscard]] bool mayWaitOn(const ClusterState& clusterState, const Machine& machine,
+                                 const Job& job, const Claim& claim) const;
     void order(const Machine& machine, const std::vector<protocol::Command>& commands);
     void order(const std::string& id, std::uint64_t session,
                const std::vector<protocol::Command>& commands, bool mayRepeat);
-    void addStarts(Ledger& ledger, Machine& machine, const protocol::WorkerReport& report,
-                   std::vector<protocol::Command>& commands);
-    [[nodiscard]] static bool startable(const Ledger& ledger, const Job& job, const Claim& claim);
+    void addStarts(ClusterState& clusterState, Machine& machine,
+                   const protocol::WorkerReport& report, std::vector<protocol::Command>& commands);
+    [[nodiscard]] static bool startable(const ClusterState& clusterState, const Job& job,
+                                        const Claim& claim);
 
     Context& context_;
     Membership& membership_;
-    Recorder& recorder_;
+    StateWriter& stateWriter_;
     FailureReview failures_;
 };
 
--- a/src/coordination/room.cpp
+++ b/src/coordination/room.cpp
@@ -1,4 +1,4 @@
-// How much of a job a part's machines have room for.
+// How much of a job a partition's machines have room for.
 #include <algorithm>
 
 #include "coordination/placement.h"
@@ -39,14 +39,14 @@
     return count;
 }
 
-std::uint32_t Placement::roomFor(const Job& job, std::uint32_t part, std::uint32_t most) {
-    auto ledger = context_.ledger.lock();
-    if (job.spec.kind == JobKind::gang) return gangRoom(*ledger, part, job);
+std::uint32_t Placement::roomFor(const Job& job, std::uint32_t partition, std::uint32_t most) {
+    auto clusterState = context_.clusterState.lock();
+    if (job.spec.kind == JobKind::gang) return gangRoom(*clusterState, partition, job);
     std::uint32_t room = 0;
     // Of a peer's machines only the records are known, not whether they report.
-    const bool own = membership_.active(part);
-    const auto rivals = context_.isGuest(job) ? largestOfClasses(*ledger) : Rivals();
-    for (const auto* machine : ledger->machinesOf(part)) {
+    const bool own = membership_.isLeader(partition);
+    const auto rivals = context_.isGuest(job) ? largestOfClasses(*clusterState) : Rivals();
+    for (const auto* machine : clusterState->machinesOf(partition)) {
         if (machine->retired || (own && !takesWork(*machine)) || !mayUseLoan(job, *machine))
             continue;
         const auto* type = context_.type(machine->type);
@@ -64,11 +64,12 @@
     return room;
 }
 
-std::uint32_t Placement::gangRoom(Ledger& ledger, std::uint32_t part, const Job& job) {
-    // All of it or nothing: a part with room for some of its tasks is of no use to it.
-    const bool own = membership_.active(part);
+std::uint32_t Placement::gangRoom(ClusterState& clusterState, std::uint32_t partition,
+                                  const Job& job) {
+    // All of it or nothing: a partition with room for some of its tasks is of no use to it.
+    const bool own = membership_.isLeader(partition);
     std::map<std::string, std::uint32_t> zones;
-    for (const auto* machine : ledger.machinesOf(part)) {
+    for (const auto* machine : clusterState.machinesOf(partition)) {
         const auto* type = context_.type(machine->type);
         if (machine->retired || (own && !takesWork(*machine)) || type == nullptr ||
             !typeAllowed(job.spec, *type, machine->zone, machine->spot))
@@ -86,9 +87,9 @@
     return fits ? job.spec.tasks : 0;
 }
 
-bool Placement::everFits(const Job& job, std::uint32_t part) {
-    auto ledger = context_.ledger.lock();
-    const auto& machines = ledger->machinesOf(part);
+bool Placement::everFits(const Job& job, std::uint32_t partition) {
+    auto clusterState = context_.clusterState.lock();
+    const auto& machines = clusterState->machinesOf(partition);
     return std::any_of(machines.begin(), machines.end(), [&](const Machine* machine) {
         const auto* type = context_.type(machine->type);
         return !machine->retired && type != nullptr &&
@@ -96,12 +97,12 @@
     });
 }
 
-bool Placement::withinGuarantee(const Ledger& ledger, const Job& job) const {
+bool Placement::withinGuarantee(const ClusterState& clusterState, const Job& job) const {
     const auto* team = context_.team(job.spec.team);
     if (team == nullptr || (team->cpus <= 0 && team->gpus <= 0)) return false;
     Resources used = job.spec.each;
-    for (std::uint32_t part = 0; part < context_.partCount(); ++part)
-        used += ledger.usedBy(job.spec.team, part);
+    for (std::uint32_t partition = 0; partition < context_.partitionCount(); ++partition)
+        used += clusterState.usedBy(job.spec.team, partition);
     return (team->cpus <= 0 || used.cpus <= team->cpus) &&
            (team->gpus <= 0 || used.gpus <= team->gpus);
 }
--- a/src/coordination/shares.cpp
+++ b/src/coordination/shares.cpp
@@ -8,22 +8,22 @@
 
 namespace fawnwheel::coordination {
 
-void Shares::askFor(std::uint32_t part, const std::vector<Unplaced>& unplaced) {
-    auto ledger = context_.ledger.lock();
+void Shares::askFor(std::uint32_t partition, const std::vector<Unplaced>& unplaced) {
+    auto clusterState = context_.clusterState.lock();
     for (const auto& entry : unplaced) {
         if (!entry.overShare) continue;
-        const Job* job = ledger->job(entry.job);
+        const Job* job = clusterState->job(entry.job);
         if (job == nullptr || !throttle_.due(entry.job, context_.now())) continue;
-        for (std::uint32_t other = 0; other < context_.partCount(); ++other) {
-            const auto& owner = ledger->parts[other].owner;
-            if (other == part || !ledger->nodes.contains(owner)) continue;
-            const auto left = placement_.teamLeft(*ledger, job->spec.team, other);
+        for (std::uint32_t other = 0; other < context_.partitionCount(); ++other) {
+            const auto& leader = clusterState->partitions[other].leader;
+            if (other == partition || !clusterState->nodes.contains(leader)) continue;
+            const auto left = placement_.teamLeft(*clusterState, job->spec.team, other);
             if (left.cpus <= 0 && left.gpus <= 0) continue;
-            const protocol::ShareAsk ask{other, part, entry.job};
-            if (owner == context_.settings.name)
-                onAsk(owner, ask);
+            const protocol::ShareAsk ask{other, partition, entry.job};
+            if (leader == context_.settings.name)
+                onAsk(leader, ask);
             else
-                context_.network.sendFrame(owner,
+                context_.network.sendFrame(leader,
                                            protocol::encodePeer({context_.settings.name, ask}));
         }
         // The first in the queue's order gets what there is; the next ones ask in their turn.
@@ -32,73 +32,75 @@
 }
 
 void Shares::onAsk(const std::string& peer, const protocol::ShareAsk& ask) {
-    auto ledger = context_.ledger.lock();
-    const Job* job = ledger->job(ask.job);
-    const auto parts = context_.partCount();
-    if (job == nullptr || job->cancelled || ask.lender == ask.borrower || ask.lender >= parts ||
-        ask.borrower >= parts || ledger->parts[ask.borrower].owner != peer ||
-        !membership_.active(ask.lender) || !membership_.leaseStands())
+    auto clusterState = context_.clusterState.lock();
+    const Job* job = clusterState->job(ask.job);
+    const auto partitions = context_.partitionCount();
+    if (job == nullptr || job->cancelled || ask.lender == ask.borrower ||
+        ask.lender >= partitions || ask.borrower >= partitions ||
+        clusterState->partitions[ask.borrower].leader != peer ||
+        !membership_.isLeader(ask.lender) || !membership_.leaseStands())
         return;
     const auto* team = context_.team(job->spec.team);
-    if (team == nullptr || ledger->sharesLeaving.contains(team->name)) return;
+    if (team == nullptr || clusterState->sharesLeaving.contains(team->name)) return;
     const std::uint32_t tasks =
         job->spec.tasks - std::min(job->spec.tasks, job->doneTasks() + job->claimedTasks());
-    const auto theirs = placement_.teamLeft(*ledger, team->name, ask.borrower);
-    const auto ours = placement_.teamLeft(*ledger, team->name, ask.lender);
+    const auto theirs = placement_.teamLeft(*clusterState, team->name, ask.borrower);
+    const auto ours = placement_.teamLeft(*clusterState, team->name, ask.lender);
     const auto given = [tasks](double each, double has, double left) {
         return std::clamp(each * tasks - std::max(0.0, has), 0.0, std::max(0.0, left));
     };
     bookkeeping::TeamShare moved;
     if (team->cpusMax > 0) moved.cpus = given(job->spec.each.cpus, theirs.cpus, ours.cpus);
     if (team->gpusMax > 0) moved.gpus = given(job->spec.each.gpus, theirs.gpus, ours.gpus);
-    // Work of this part that comes earlier keeps its share.
+    // Work of this partition that comes earlier keeps its share.
     const bool needed =
-        std::any_of(ledger->jobs.begin(), ledger->jobs.end(), [&](const auto& entry) {
+        std::any_of(clusterState->jobs.begin(), clusterState->jobs.end(), [&](const auto& entry) {
             const Job& other = entry.second;
-            return &other != job && other.part == ask.lender && other.spec.team == team->name &&
-                   ledger->schedulable(other) &&
+            return &other != job && other.partition == ask.lender &&
+                   other.spec.team == team->name && clusterState->schedulable(other) &&
                    other.claimedTasks() + other.doneTasks() < other.spec.tasks &&
                    placement_.before(other, *job);
         });
     if (needed || (moved.cpus <= 0 && moved.gpus <= 0)) return;
 
-    const auto share = begin(*ledger, *team, ask.lender, ask.borrower, moved);
+    const auto share = begin(*clusterState, *team, ask.lender, ask.borrower, moved);
     if (!share) return;
     spdlog::debug("share: of {} for job {}, {} CPUs, {} GPUs, part {} to {}", team->name, ask.job,
                   moved.cpus, moved.gpus, ask.lender, ask.borrower);
-    committer_.commit(
-        ask.lender,
-        {{share->condition,
-          {bookkeeping::keys::part(ask.borrower), ledger->parts[ask.borrower].version}},
-         {share->change}},
-        [this, share = *share](CommitResult result, std::uint64_t revision) {
-            settle(*context_.ledger.lock(), share, result, revision);
-        });
+    pipeline_.commit(ask.lender,
+                     {{share->compare,
+                       {bookkeeping::keys::partition(ask.borrower),
+                        clusterState->partitions[ask.borrower].version}},
+                      {share->change}},
+                     [this, share = *share](CommitResult result, std::uint64_t revision) {
+                         settle(*context_.clusterState.lock(), share, result, revision);
+                     });
 }
 
-std::optional<Shares::Change> Shares::begin(Ledger& ledger, const app::Team& team,
-                                            std::uint32_t from, std::uint32_t to,
-                                            bookkeeping::TeamShare moved) {
-    if (ledger.sharesLeaving.contains(team.name)) return std::nullopt;
+std::optional<Shares::QuotaTransfer> Shares::begin(ClusterState& clusterState,
+                                                   const app::Team& team, std::uint32_t from,
+                                                   std::uint32_t to, bookkeeping::TeamShare moved) {
+    if (clusterState.sharesLeaving.contains(team.name)) return std::nullopt;
     std::map<std::uint32_t, bookkeeping::TeamShare> next;
-    for (std::uint32_t part = 0; part < context_.partCount(); ++part)
-        next[part] = placement_.shareOf(ledger, team, part);
+    for (std::uint32_t partition = 0; partition < context_.partitionCount(); ++partition)
+        next[partition] = placement_.shareOf(clusterState, team, partition);
     next[from].cpus -= moved.cpus;
     next[from].gpus -= moved.gpus;
     next[to].cpus += moved.cpus;
     next[to].gpus += moved.gpus;
-    ledger.sharesLeaving[team.name] = {from, moved};
-    const auto key = bookkeeping::keys::share(team.name);
-    return Change{
-        team.name, {key, ledger.shareVersions[team.name]}, {key, bookkeeping::shareValue(next), 0}};
+    clusterState.sharesLeaving[team.name] = {from, moved};
+    const auto key = bookkeeping::keys::quota(team.name);
+    return QuotaTransfer{team.name,
+                         {key, clusterState.shareVersions[team.name]},
+                         {key, bookkeeping::shareValue(next), 0}};
 }
 
-void Shares::settle(Ledger& ledger, const Change& change, CommitResult result,
+void Shares::settle(ClusterState& clusterState, const QuotaTransfer& change, CommitResult result,
                     std::uint64_t revision) {
     if (result == CommitResult::done)
-        bookkeeping::applyEvent(ledger, {change.change.key, change.change.value, revision},
+        bookkeeping::applyEvent(clusterState, {change.change.key, change.change.value, revision},
                                 context_.now());
-    ledger.sharesLeaving.erase(change.team);
+    clusterState.sharesLeaving.erase(change.team);
 }
 
 }  // namespace fawnwheel::coordination
--- a/src/coordination/shares.h
+++ b/src/coordination/shares.h
@@ -1,6 +1,6 @@
-// Moves shares of a team's limit between parts. The shares always add up to the limit: the part
-// that gives reduces its own before the change is sent, the one that gets uses it once it is
-// recorded.
+// Moves shares of a team's limit between partitions. The shares always add up to the limit: the
+// partition that gives reduces its own before the change is sent, the one that gets uses it once it
+// is recorded.
 #pragma once
 
 #include "coordination/committer.h"
@@ -11,34 +11,34 @@
 
 class Shares {
   public:
-    Shares(Context& context, Membership& membership, Committer& committer, Placement& placement)
-        : context_(context),
-          membership_(membership),
-          committer_(committer),
-          placement_(placement) {}
+    Shares(Context& context, Membership& membership, TransactionPipeline& pipeline,
+           Placement& placement)
+        : context_(context), membership_(membership), pipeline_(pipeline), placement_(placement) {}
 
-    // Asks peers for what only the part's share keeps from starting.
-    void askFor(std::uint32_t part, const std::vector<Unplaced>& unplaced);
+    // Asks peers for what only the partition's share keeps from starting.
+    void askFor(std::uint32_t partition, const std::vector<Unplaced>& unplaced);
     void onAsk(const std::string& peer, const protocol::ShareAsk& ask);
 
-    // A change of a team's shares, to be carried out in some transaction of the giving part.
-    struct Change {
+    // A change of a team's shares, to be carried out in some transaction of the giving partition.
+    struct QuotaTransfer {
         std::string team;
-        protocol::Condition condition;
-        protocol::Change change;
+        protocol::Compare compare;
+        protocol::Write change;
     };
-    // From now on the giving part does not use what is moved, whatever becomes of the change; none:
-    // another change of the team's shares has no outcome yet.
-    [[nodiscard]] std::optional<Change> begin(Ledger& ledger, const app::Team& team,
-                                              std::uint32_t from, std::uint32_t to,
-                                              bookkeeping::TeamShare moved);
+    // From now on the giving partition does not use what is moved, whatever becomes of the change;
+    // none: another change of the team's shares has no outcome yet.
+    [[nodiscard]] std::optional<QuotaTransfer> begin(ClusterState& clusterState,
+                                                     const app::Team& team, std::uint32_t from,
+                                                     std::uint32_t to,
+                                                     bookkeeping::TeamShare moved);
     // The transaction has its outcome.
-    void settle(Ledger& ledger, const Change& change, CommitResult result, std::uint64_t revision);
+    void settle(ClusterState& clusterState, const QuotaTransfer& change, CommitResult result,
+                std::uint64_t revision);
 
   private:
     Context& context_;
     Membership& membership_;
-    Committer& committer_;
+    TransactionPipeline& pipeline_;
     Placement& placement_;
     RequestThrottle throttle_;  // by job
 };
--- a/src/coordination/slice_writer.cpp
+++ b/src/coordination/slice_writer.cpp
@@ -37,7 +37,7 @@
 }  // namespace
 
 bool SliceWriter::full(const SliceBatch& batch) const {
-    return batch.transaction.changes.size() >= mostChanges_ || batch.bytes >= maxBytes;
+    return batch.transaction.writes.size() >= mostChanges_ || batch.bytes >= maxBytes;
 }
 
 std::vector<std::uint32_t> SliceWriter::cutsToFit(const Slice& slice) const {
@@ -62,12 +62,12 @@
 }
 
 bool SliceWriter::add(SliceBatch& batch, Job& job, const Slice& slice, LeavingTasks leaving) {
-    auto& [conditions, changes] = batch.transaction;
+    auto& [compares, writes] = batch.transaction;
     WrittenSlice written{job.spec.id, slice.index, slice.version,      slice.range(),
                          {},          0,           std::move(leaving), {}};
     if (!written.leaving.ranges.empty())
         written.cuts = cutsAround(slice, written.leaving.ranges);
-    else if (context_.upgradeComplete(*context_.ledger.lock()))
+    else if (context_.jobDependenciesEnabled(*context_.clusterState.lock()))
         // Recorded while values could be larger, by the version before (limits_lowered).
         written.cuts = cutsToFit(slice);
     // Two slices of one job that were divided in one transaction once added pieces under the same
@@ -75,43 +75,45 @@
     auto& added = batch.addedSlices[job.spec.id];
     written.nextIndex = static_cast<std::uint32_t>(job.slices.size()) + added;
     const auto pieces = bookkeeping::cutSlice(slice, written.cuts, written.nextIndex);
-    if (changes.size() + pieces.size() > mostChanges_ && !changes.empty()) return false;
+    if (writes.size() + pieces.size() > mostChanges_ && !writes.empty()) return false;
     added += static_cast<std::uint32_t>(pieces.size() - 1);
     // The job's version fails a claim made while a user cancels the job.
     if (batch.jobs.insert(job.spec.id).second)
-        conditions.push_back({bookkeeping::keys::job(job.spec.id), job.version});
+        compares.push_back({bookkeeping::keys::job(job.spec.id), job.version});
     for (auto piece : pieces) {
-        if (written.leaving.contains(piece.range())) piece.part = written.leaving.target;
+        if (written.leaving.contains(piece.range())) piece.partition = written.leaving.target;
         const auto key = bookkeeping::keys::slice(job.spec.id, piece.index);
-        conditions.push_back({key, piece.version});
-        written.changes.push_back({key, bookkeeping::sliceValue(piece), 0});
-        changes.push_back(written.changes.back());
+        compares.push_back({key, piece.version});
+        written.writes.push_back({key, bookkeeping::sliceValue(piece), 0});
+        writes.push_back(written.writes.back());
     }
     batch.bytes += bytesPerChange * pieces.size() + bytesPerClaim * slice.claims.size();
     batch.slices.push_back(std::move(written));
     return true;
 }
 
-void SliceWriter::finishSlice(Ledger& ledger, const SliceBatch& batch, const WrittenSlice& written,
-                              std::uint64_t revision, std::set<std::string>& machines) const {
-    Job& job = *ledger.job(written.job);
+void SliceWriter::finishSlice(ClusterState& clusterState, const SliceBatch& batch,
+                              const WrittenSlice& written, std::uint64_t revision,
+                              std::set<std::string>& machines) const {
+    Job& job = *clusterState.job(written.job);
     const Slice& slice = job.sliceAt(written.index);
-    if (batch.generation != ledger.generation || slice.version != written.version ||
+    if (batch.generation != clusterState.generation || slice.version != written.version ||
         slice.range() != written.range) {
-        // Read anew while this was under way, perhaps as it stood before, or in part. Cut once
+        // Read anew while this was under way, perhaps as it stood before, or in partition. Cut once
         // more, a slice that was shorter by then had a piece without tasks recorded over the tasks
         // of the piece that had been divided off (TwoDivisionsOfOneJobLeaveEveryTaskInOneSlice,
         // ADivisionBetweenTwoPagesLeavesEveryTaskInOneSlice).
-        for (const auto& change : written.changes)
-            bookkeeping::applyEvent(ledger, {change.key, change.value, revision}, context_.now());
+        for (const auto& write : written.writes)
+            bookkeeping::applyEvent(clusterState, {write.key, write.value, revision},
+                                    context_.now());
         return;
     }
     auto pieces = bookkeeping::cutSlice(slice, written.cuts, written.nextIndex);
     for (std::size_t i = 0; i < pieces.size(); ++i) {
         Slice& piece = pieces[i];
-        const auto& value = *written.changes[i].value;
+        const auto& value = *written.writes[i].value;
         if (written.leaving.contains(piece.range()))
-            piece.part = written.leaving.target;
+            piece.partition = written.leaving.target;
         else if (i == 0 && slice.leaving)
             piece.leaving = slice.leaving;
         piece.version = revision;
@@ -127,45 +129,45 @@
         piece.recorded = {};
         if (piece.dirty && recorded) piece.recorded = std::move(*recorded);
     }
-    ledger.divideSlice(job, written.index, pieces);
-    // What was seen meanwhile of tasks that have left is for their new owner to see.
+    clusterState.divideSlice(job, written.index, pieces);
+    // What was seen meanwhile of tasks that have left is for their new leader to see.
     for (const auto& piece : pieces) {
         Slice& held = job.sliceAt(piece.index);
         if (!written.leaving.contains(piece.range()) || !held.dirty) continue;
         auto recorded = held.recorded;
-        ledger.replaceSlice(job, held, std::move(recorded));
+        clusterState.replaceSlice(job, held, std::move(recorded));
     }
 }
 
-void SliceWriter::undoClaims(Ledger& ledger, const WrittenSlice& written) {
+void SliceWriter::undoClaims(ClusterState& clusterState, const WrittenSlice& written) {
     // What did not become durable was never sent: forget it and decide anew.
-    Job& job = *ledger.job(written.job);
+    Job& job = *clusterState.job(written.job);
     Slice& slice = job.sliceAt(written.index);
     std::vector<std::uint32_t> undone;
     for (const auto& claim : slice.claims)
         // But one that was found running: a second place for its task would let it run twice.
         if (!claim.durable && !claim.seen) undone.push_back(claim.task);
-    for (const auto task : undone) ledger.removeClaim(job, slice, task);
+    for (const auto task : undone) clusterState.removeClaim(job, slice, task);
 }
 
-void SliceWriter::noteRejected(std::uint32_t part, std::size_t changes) {
-    if (changes > leastChanges)
-        mostChanges_ = std::max(leastChanges, changes / 2);
+void SliceWriter::onRejected(std::uint32_t partition, std::size_t writes) {
+    if (writes > leastChanges)
+        mostChanges_ = std::max(leastChanges, writes / 2);
     else
         mostValueBytes_ = std::max(leastValueBytes, mostValueBytes_ / 2);
     spdlog::warn("records: the state service rejects part {}'s changes, now at most {} of {} bytes",
-                 part, mostChanges_, mostValueBytes_);
+                 partition, mostChanges_, mostValueBytes_);
 }
 
-std::set<std::string> SliceWriter::finish(Ledger& ledger, const SliceBatch& batch,
+std::set<std::string> SliceWriter::finish(ClusterState& clusterState, const SliceBatch& batch,
                                           CommitResult result, std::uint64_t revision) const {
     std::set<std::string> machines;
     for (const auto& written : batch.slices) {
-        if (ledger.job(written.job) == nullptr) continue;
+        if (clusterState.job(written.job) == nullptr) continue;
         if (result == CommitResult::done)
-            finishSlice(ledger, batch, written, revision, machines);
-        else if (batch.generation == ledger.generation)
-            undoClaims(ledger, written);
+            finishSlice(clusterState, batch, written, revision, machines);
+        else if (batch.generation == clusterState.generation)
+            undoClaims(clusterState, written);
     }
     return machines;
 }
--- a/src/coordination/slice_writer.h
+++ b/src/coordination/slice_writer.h
@@ -1,15 +1,16 @@
-// Writes slices into a transaction, whole or divided, some of their tasks for another part, and
-// takes its outcome in.
+// Writes slices into a transaction, whole or divided, some of their tasks for another partition,
+// and takes its outcome in.
 #pragma once
 
 #include "coordination/committer.h"
 
 namespace fawnwheel::coordination {
 
-// Tasks of a slice that another part shall own: ascending, and in slices of their own afterwards.
+// Tasks of a slice that another partition shall own: ascending, and in slices of their own
+// afterwards.
 struct LeavingTasks {
     std::vector<bookkeeping::TaskRange> ranges;
-    std::uint32_t target = 0;  // part
+    std::uint32_t target = 0;  // partition
 
     [[nodiscard]] bool contains(const bookkeeping::TaskRange& range) const {
         return std::find(ranges.begin(), ranges.end(), range) != ranges.end();
@@ -25,16 +26,16 @@
     std::vector<std::uint32_t> cuts;  // tasks that begin a new piece
     std::uint32_t nextIndex = 0;      // of the pieces that are added
     LeavingTasks leaving;
-    std::vector<protocol::Change> changes;  // by piece
+    std::vector<protocol::Write> writes;  // by piece
 };
 
 struct SliceBatch {
-    protocol::Transaction transaction;
+    protocol::CompareAndSwap transaction;
     std::vector<WrittenSlice> slices;
     std::size_t bytes = 0;
     std::set<std::string> jobs;                        // with a condition already
     std::map<std::string, std::uint32_t> addedSlices;  // by job, through divisions
-    std::uint64_t generation = 0;                      // of the ledger's records that it rests on
+    std::uint64_t generation = 0;  // of the cluster state's records that it rests on
 };
 
 class SliceWriter {
@@ -47,11 +48,11 @@
     // Whether there was room for it.
     bool add(SliceBatch& batch, Job& job, const Slice& slice, LeavingTasks leaving = {});
     // The machines on which claims have become durable.
-    std::set<std::string> finish(Ledger& ledger, const SliceBatch& batch, CommitResult result,
-                                 std::uint64_t revision) const;
+    std::set<std::string> finish(ClusterState& clusterState, const SliceBatch& batch,
+                                 CommitResult result, std::uint64_t revision) const;
     // The state service has rejected so many changes: its limits are lower than announced. Divided
     // further, what was refused is sent again.
-    void noteRejected(std::uint32_t part, std::size_t changes);
+    void onRejected(std::uint32_t partition, std::size_t writes);
     [[nodiscard]] bool full(const SliceBatch& batch) const;
     // What the state service is known to accept in one transaction.
     [[nodiscard]] std::size_t mostChanges() const { return mostChanges_; }
@@ -61,9 +62,10 @@
 
   private:
     [[nodiscard]] std::vector<std::uint32_t> cutsToFit(const Slice& slice) const;
-    void finishSlice(Ledger& ledger, const SliceBatch& batch, const WrittenSlice& written,
-                     std::uint64_t revision, std::set<std::string>& machines) const;
-    static void undoClaims(Ledger& ledger, const WrittenSlice& written);
+    void finishSlice(ClusterState& clusterState, const SliceBatch& batch,
+                     const WrittenSlice& written, std::uint64_t revision,
+                     std::set<std::string>& machines) const;
+    static void undoClaims(ClusterState& clusterState, const WrittenSlice& written);
 
     Context& context_;
     std::size_t mostChanges_;
--- a/src/coordination/standby.cpp
+++ b/src/coordination/standby.cpp
@@ -15,10 +15,10 @@
 
 }  // namespace
 
-void Fleet::noteClasses(Ledger& ledger) {
+void Fleet::recordClasses(ClusterState& clusterState) {
     // A class most of whose jobs have aims that leave no time to boot a machine and fetch the
     // image needs machines that stand ready between its jobs.
-    for (auto& [id, job] : ledger.jobs) {
+    for (auto& [id, job] : clusterState.jobs) {
         const auto& spec = job.spec;
         auto& seen = classDemand_[spec.jobClass];
         seen.lastSeen = context_.now();
@@ -44,7 +44,7 @@
     }
 }
 
-void Fleet::noteGuaranteed(const Ledger& ledger) {
+void Fleet::noteGuaranteed(const ClusterState& clusterState) {
     guaranteed_ = {};
     for (const auto& team : context_.settings.teams) {
         guaranteed_.cpus += team.cpus;
@@ -52,7 +52,7 @@
     }
     upGpus_ = upCpus_ = 0;
     if (guaranteed_.cpus <= 0 && guaranteed_.gpus <= 0) return;
-    for (const auto& [id, machine] : ledger.machines) {
+    for (const auto& [id, machine] : clusterState.machines) {
         const auto* type = context_.type(machine.type);
         if (machine.retired || machine.version == 0 || type == nullptr) continue;
         upGpus_ += type->capacity.gpus;
@@ -76,10 +76,10 @@
     });
 }
 
-bool Fleet::mayEmpty(std::uint32_t part) {
-    if (placement_.queueLength(part) > 0) return false;
-    auto ledger = context_.ledger.lock();
-    const auto& machines = ledger->machinesOf(part);
+bool Fleet::mayEmpty(std::uint32_t partition) {
+    if (placement_.queueLength(partition) > 0) return false;
+    auto clusterState = context_.clusterState.lock();
+    const auto& machines = clusterState->machinesOf(partition);
     return std::none_of(machines.begin(), machines.end(), [&](const Machine* machine) {
         return standsReady(*machine) || withinGuarantee(*machine);
     });
--- a/src/coordination/triggers.cpp
+++ b/src/coordination/triggers.cpp
@@ -17,32 +17,36 @@
 
 }  // namespace
 
-bool Triggers::concerns(Ledger& ledger, const std::string& predecessor, const Parts& parts) {
-    const auto& successors = ledger.dependencies.successors(predecessor);
+bool Triggers::concerns(ClusterState& clusterState, const std::string& predecessor,
+                        const Partitions& partitions) {
+    const auto& successors = clusterState.dependencies.successors(predecessor);
     return std::any_of(successors.begin(), successors.end(), [&](const std::string& id) {
-        const Job* job = ledger.job(id);
+        const Job* job = clusterState.job(id);
         if (job == nullptr || job->cancelled) return false;
-        return parts.contains(job->part) ||
+        return partitions.contains(job->partition) ||
                std::any_of(job->slices.begin(), job->slices.end(),
-                           [&parts](const Slice& slice) { return parts.contains(slice.part); });
+                           [&partitions](const Slice& slice) {
+                               return partitions.contains(slice.partition);
+                           });
     });
 }
 
-Triggers::Parts Triggers::ownParts() {
-    const auto parts = membership_.activeParts();
-    return {parts.begin(), parts.end()};
+Triggers::Partitions Triggers::ledPartitions() {
+    const auto partitions = membership_.ledPartitions();
+    return {partitions.begin(), partitions.end()};
 }
 
 void Triggers::review() {
     const auto now = context_.now();
     std::erase_if(notBefore_, [now](const auto& entry) { return entry.second <= now; });
     std::vector<std::string> wanted;
-    const auto parts = ownParts();
+    const auto partitions = ledPartitions();
     {
-        auto ledger = context_.ledger.lock();
-        for (const auto& id : ledger->dependencies.unresolved()) {
+        auto clusterState = context_.clusterState.lock();
+        for (const auto& id : clusterState->dependencies.unresolved()) {
             if (reading_.size() + wanted.size() >= mostReads) break;
-            if (!reading_.contains(id) && !notBefore_.contains(id) && concerns(*ledger, id, parts))
+            if (!reading_.contains(id) && !notBefore_.contains(id) &&
+                concerns(*clusterState, id, partitions))
                 wanted.push_back(id);
         }
     }
@@ -52,42 +56,44 @@
 void Triggers::read(const std::string& predecessor) {
     reading_.insert(predecessor);
     context_.state.read(
-        bookkeeping::keys::final(predecessor),
-        [this, predecessor](const protocol::ReadAnswer& answer) {
+        bookkeeping::keys::terminal(predecessor),
+        [this, predecessor](const protocol::ReadResponse& answer) {
             reading_.erase(predecessor);
             if (answer.result != protocol::StateResult::ok || answer.items.empty()) {
-                // Without a record the message was early, or the ledger lags; it is asked again.
+                // Without a record the message was early, or the cluster state lags; it is asked
+                // again.
                 notBefore_[predecessor] = context_.now() + context_.jittered(pauseAfterFailure);
                 return;
             }
-            const auto state = bookkeeping::readFinal(answer.items.front().value);
+            const auto state = bookkeeping::readTerminal(answer.items.front().value);
             spdlog::debug("job {}: read to be {}", predecessor,
                           state.cancelled ? "cancelled" : "done");
-            context_.ledger.lock()->dependencies.noteFinal(predecessor, state);
+            context_.clusterState.lock()->dependencies.recordTerminal(predecessor, state);
             onRead();
         },
-        protocol::Urgency::userRequest);
+        protocol::RequestPriority::userRequest);
 }
 
 void Triggers::announce(const std::string& job) {
-    std::set<std::string> owners;
+    std::set<std::string> leaders;
     {
-        auto ledger = context_.ledger.lock();
-        for (const auto& id : ledger->dependencies.successors(job))
-            if (const Job* successor = ledger->job(id))
-                owners.insert(ledger->parts[successor->part].owner);
+        auto clusterState = context_.clusterState.lock();
+        for (const auto& id : clusterState->dependencies.successors(job))
+            if (const Job* successor = clusterState->job(id))
+                leaders.insert(clusterState->partitions[successor->partition].leader);
     }
-    for (const auto& owner : owners)
-        if (owner != context_.settings.name && !owner.empty())
+    for (const auto& leader : leaders)
+        if (leader != context_.settings.name && !leader.empty())
             context_.network.sendFrame(
-                owner, protocol::encodePeer({context_.settings.name, protocol::JobEnded{job}}));
+                leader, protocol::encodePeer({context_.settings.name, protocol::JobEnded{job}}));
 }
 
 void Triggers::onEnded(const protocol::JobEnded& message) {
     {
-        auto ledger = context_.ledger.lock();
-        if (ledger->dependencies.finalKnown(message.job) || reading_.contains(message.job) ||
-            reading_.size() >= mostReads || !concerns(*ledger, message.job, ownParts()))
+        auto clusterState = context_.clusterState.lock();
+        if (clusterState->dependencies.isTerminalKnown(message.job) ||
+            reading_.contains(message.job) || reading_.size() >= mostReads ||
+            !concerns(*clusterState, message.job, ledPartitions()))
             return;
     }
     read(message.job);
--- a/src/coordination/worker_contact.cpp
+++ b/src/coordination/worker_contact.cpp
@@ -47,11 +47,12 @@
     onChange();
 }
 
-std::optional<Duration> WorkerContact::longestSilence(const std::vector<std::uint32_t>& parts) {
+std::optional<Duration> WorkerContact::longestSilence(
+    const std::vector<std::uint32_t>& partitions) {
     std::size_t machines = 0;
-    auto ledger = context_.ledger.lock();
-    for (const auto part : parts)
-        for (const auto* machine : ledger->machinesOf(part))
+    auto clusterState = context_.clusterState.lock();
+    for (const auto partition : partitions)
+        for (const auto* machine : clusterState->machinesOf(partition))
             if (!machine->retired && (machine->lastReport || !machine->claims.empty())) ++machines;
     if (machines == 0) return std::nullopt;
     const auto period = context_.settings.report;
@@ -61,34 +62,35 @@
     return std::max(leastSilence, ticks(silence));
 }
 
-std::vector<std::string> WorkerContact::addressesOf(const std::vector<std::uint32_t>& parts) {
+std::vector<std::string> WorkerContact::addressesOf(const std::vector<std::uint32_t>& partitions) {
     std::vector<std::string> addresses;
-    auto ledger = context_.ledger.lock();
-    for (const auto part : parts)
-        for (const auto* machine : ledger->machinesOf(part))
+    auto clusterState = context_.clusterState.lock();
+    for (const auto partition : partitions)
+        for (const auto* machine : clusterState->machinesOf(partition))
             if (!machine->retired && !machine->address.empty())
                 addresses.push_back(machine->address);
     std::shuffle(addresses.begin(), addresses.end(), context_.rng);
     return addresses;
 }
 
-void WorkerContact::review(const std::vector<std::uint32_t>& parts) {
+void WorkerContact::review(const std::vector<std::uint32_t>& partitions) {
     if (open_ > 0) return;
     if (!lost_) {
-        const auto silence = longestSilence(parts);
+        const auto silence = longestSilence(partitions);
         if (!silence || context_.now() - heard_ <= *silence) return;
-        return inspect(addressesOf(parts));
+        return inspect(addressesOf(partitions));
     }
     if (context_.now() - lostSince_ > presumedBack) return noteHeard();
-    auto addresses = addressesOf(parts);
-    // Its parts are with peers now: the machines of the part that it owns by nature will do.
-    if (addresses.empty()) addresses = addressesOf({context_.naturalPart});
+    auto addresses = addressesOf(partitions);
+    // Its partitions are with peers now: the machines of the partition that it owns by preference
+    // will do.
+    if (addresses.empty()) addresses = addressesOf({context_.preferredPartition});
     inspect(addresses);
 }
 
 void WorkerContact::inspect(const std::vector<std::string>& addresses) {
-    // A single machine may just be dead. To give its part to a peer does no harm then: if it is
-    // alive it is heard there, and else the peer finds out as well.
+    // A single machine may just be dead. To give its partition to a peer does no harm then: if it
+    // is alive it is heard there, and else the peer finds out as well.
     const auto count = std::min(addresses.size(), inspectedAtOnce);
     open_ = count;
     answered_ = false;
--- a/src/coordination/worker_contact.h
+++ b/src/coordination/worker_contact.h
@@ -1,9 +1,9 @@
 // Whether workers can reach this controller.
 //
 // A controller may keep its lease, its peers and its users while the network between it and all
-// workers is down. Its part would then be renewed by nobody and every task there would be lost. The
-// controller notices this by the silence of its workers, makes sure by inspecting some of them
-// itself, and then gives its parts to peers (`Membership::review`).
+// workers is down. Its partition would then be renewed by nobody and every task there would be
+// lost. The controller notices this by the silence of its workers, makes sure by inspecting some of
+// them itself, and then gives its partitions to peers (`Membership::review`).
 #pragma once
 
 #include <functional>
@@ -20,10 +20,10 @@
 
     // A report has arrived, from any worker.
     void noteReport() { noteHeard(); }
-    // Parts have come to this process: their workers need time to find it.
+    // Partitions have come to this process: their workers need time to find it.
     void expectReports() { heard_ = std::max(heard_, context_.now()); }
-    // To be called periodically, with the parts that this process acts for.
-    void review(const std::vector<std::uint32_t>& parts);
+    // To be called periodically, with the partitions that this process acts for.
+    void review(const std::vector<std::uint32_t>& partitions);
 
     // No worker reaches this controller, nor is reached by it.
     [[nodiscard]] bool lost() const { return lost_; }
@@ -36,11 +36,13 @@
   private:
     void noteHeard();
     void setLost(bool lost);
-    // How long all workers of the parts may be silent before some of them are inspected; none: no
-    // worker is expected to report.
-    [[nodiscard]] std::optional<Duration> longestSilence(const std::vector<std::uint32_t>& parts);
-    // Addresses of machines of these parts, in random order.
-    [[nodiscard]] std::vector<std::string> addressesOf(const std::vector<std::uint32_t>& parts);
+    // How long all workers of the partitions may be silent before some of them are inspected; none:
+    // no worker is expected to report.
+    [[nodiscard]] std::optional<Duration> longestSilence(
+        const std::vector<std::uint32_t>& partitions);
+    // Addresses of machines of these partitions, in random order.
+    [[nodiscard]] std::vector<std::string> addressesOf(
+        const std::vector<std::uint32_t>& partitions);
     void inspect(const std::vector<std::string>& addresses);
     void finishRound();
 
--- a/src/protocol/messages.cpp
+++ b/src/protocol/messages.cpp
@@ -221,7 +221,7 @@
     report.spot = flagOf(body, wire::spot);
     report.session = countOf(body, wire::session);
     report.sequence = countOf(body, wire::sequence);
-    report.token = countOf(body, wire::token);
+    report.fencingToken = countOf(body, wire::fencingToken);
     const auto notice = body.find(wire::notice);
     if (notice != body.end() && notice->is_number()) report.notice = Seconds(notice->get<double>());
     for (const auto& entry : listOf(body, wire::tasks)) {
@@ -240,7 +240,7 @@
     return report;
 }
 
-Json encodeCommands(std::uint64_t token, const std::vector<Command>& commands) {
+Json encodeCommands(std::uint64_t fencingToken, const std::vector<Command>& commands) {
     Json list = Json::array();
     for (const auto& command : commands) {
         const char* word = command.kind == CommandKind::start  ? wire::commandStart
@@ -252,7 +252,7 @@
         if (command.kind == CommandKind::stop) entry[wire::grace] = command.grace.count();
         list.push_back(std::move(entry));
     }
-    return {{wire::token, token}, {wire::commands, std::move(list)}};
+    return {{wire::fencingToken, fencingToken}, {wire::commands, std::move(list)}};
 }
 
 Json encodeReportTo(const std::string& node) {
--- a/src/protocol/messages.h
+++ b/src/protocol/messages.h
@@ -88,7 +88,7 @@
     bool spot = false;
     std::uint64_t session = 0;
     std::uint64_t sequence = 0;
-    std::uint64_t token = 0;
+    std::uint64_t fencingToken = 0;
     std::optional<Seconds> notice;
     std::vector<TaskReport> tasks;
 };
@@ -105,7 +105,7 @@
     Seconds grace{};
 };
 
-Json encodeCommands(std::uint64_t token, const std::vector<Command>& commands);
+Json encodeCommands(std::uint64_t fencingToken, const std::vector<Command>& commands);
 Json encodeReportTo(const std::string& node);  // empty: names nobody
 Json encodeJobState(const std::string& id, const char* state);
 Json encodeJobState(const std::string& id, const char* state, std::uint32_t done,
--- a/src/protocol/peer_codec.cpp
+++ b/src/protocol/peer_codec.cpp
@@ -50,7 +50,7 @@
 };
 
 template <typename Visit>
-void fields(Status& m, Visit visit) {
+void fields(PeerHeartbeat& m, Visit visit) {
     visit(m.sentAt);
     visit(m.echo);
     visit(m.stateReachable);
@@ -68,7 +68,7 @@
 template <typename Visit>
 void fields(MoveAsk& m, Visit visit) {
     visit(m.ask);
-    visit(m.part);
+    visit(m.partition);
     visit(m.job);
     visit(m.slice);
     visit(m.wholeJob);
@@ -124,14 +124,14 @@
 
 template <typename Visit>
 void fields(DemandReport& m, Visit visit) {
-    visit(m.part);
+    visit(m.partition);
     visit(m.demands);
 }
 
 template <typename Visit>
-void fields(OwnerStatus& m, Visit visit) {
+void fields(LeaderHeartbeat& m, Visit visit) {
     fields(m.status, visit);
-    visit(m.parts);
+    visit(m.partitions);
     visit(m.terms);
 }
 
--- a/src/protocol/peer_codec.h
+++ b/src/protocol/peer_codec.h
@@ -38,7 +38,7 @@
 
 // Sent every beat. The echo lets the receiver date what the sender says: it was said after the
 // receiver's own clock showed `echo`.
-struct Status {
+struct PeerHeartbeat {
     std::uint64_t sentAt = 0;  // sender's steady clock, microseconds
     std::uint64_t echo = 0;    // receiver's `sentAt` as last heard
     bool stateReachable = false;
@@ -57,10 +57,10 @@
     std::vector<std::string> cancelled;  // jobs
 };
 
-// "May I push these tasks to your part?"
+// "May I push these tasks to your partition?"
 struct MoveAsk {
     std::uint64_t ask = 0;
-    std::uint32_t part = 0;  // the part asked
+    std::uint32_t partition = 0;  // the partition asked
     std::string job;
     std::uint32_t slice = 0;
     bool wholeJob = false;
@@ -80,29 +80,29 @@
     std::uint64_t pauseMillis = 0;
 };
 
-// "Lend my part machines for this gang." The answer is the change of the machines' records.
+// "Lend my partition machines for this gang." The answer is the change of the machines' records.
 struct LoanAsk {
-    std::uint32_t lender = 0;  // parts
+    std::uint32_t lender = 0;  // partitions
     std::uint32_t borrower = 0;
     std::string job;
     std::string zone;  // empty: any
     std::uint32_t machines = 0;
 };
 
-// "Give my part of what your part does not use of its team's limit, for this job."
+// "Give my partition of what your partition does not use of its team's limit, for this job."
 struct ShareAsk {
-    std::uint32_t lender = 0;  // parts
+    std::uint32_t lender = 0;  // partitions
     std::uint32_t borrower = 0;
     std::string job;
 };
 
-// "This job has ended": the final record, which says how, may be read now. Unknown to the first
+// "This job has ended": the terminal record, which says how, may be read now. Unknown to the first
 // version, which drops it.
 struct JobEnded {
     std::string job;
 };
 
-// Tasks of one shape for which the part lacks machines; amounts in thousandths.
+// Tasks of one shape for which the partition lacks machines; amounts in thousandths.
 struct DemandEntry {
     std::uint64_t cpus = 0;
     std::uint64_t gpus = 0;
@@ -116,24 +116,26 @@
     std::uint64_t since = 0;  // submission of the oldest job, milliseconds
 };
 
-// "My part lacks machines for this much", sent every round of planning, also when it lacks nothing:
-// a part that says nothing is given nothing. Unknown to versions without machine sharing.
+// "My partition lacks machines for this much", sent every round of planning, also when it lacks
+// nothing: a partition that says nothing is given nothing. Unknown to versions without machine
+// sharing.
 struct DemandReport {
-    std::uint32_t part = 0;
+    std::uint32_t partition = 0;
     std::vector<DemandEntry> demands;
 };
 
-// A status with the parts that its sender owns, each with its term: whoever thinks that it owns one
-// of them in an earlier term has lost it. In place of `Status` once every node knows it.
-struct OwnerStatus {
-    Status status;
-    std::vector<std::uint64_t> parts;
+// A status with the partitions that its sender owns, each with its term: whoever thinks that it
+// owns one of them in an earlier term has lost it. In place of `PeerHeartbeat` once every node
+// knows it.
+struct LeaderHeartbeat {
+    PeerHeartbeat status;
+    std::vector<std::uint64_t> partitions;
     std::vector<std::uint64_t> terms;  // by the same index
 };
 
 // A message's place in this list is its kind on the wire: new ones come last.
-using PeerMessage = std::variant<Status, MoveAsk, MoveAnswer, NoCapacity, LoanAsk, ShareAsk,
-                                 JobEnded, DemandReport, OwnerStatus>;
+using PeerMessage = std::variant<PeerHeartbeat, MoveAsk, MoveAnswer, NoCapacity, LoanAsk, ShareAsk,
+                                 JobEnded, DemandReport, LeaderHeartbeat>;
 
 struct PeerEnvelope {
     std::string sender;
--- a/src/protocol/state_client.cpp
+++ b/src/protocol/state_client.cpp
@@ -11,7 +11,7 @@
 using namespace std::chrono_literals;
 
 constexpr auto requestTimeout = 1500ms;
-constexpr auto holdTimeout = 1000ms;
+constexpr auto leaseTimeout = 1000ms;
 constexpr auto pumpPeriod = 10ms;
 // What waits longer than this is refused here: its caller decides anew.
 constexpr auto longestWait = 1500ms;
@@ -53,7 +53,7 @@
 
 }  // namespace
 
-void Pace::fill(double seconds, bool waiting) {
+void AdaptiveRateLimiter::fill(double seconds, bool waiting) {
     calmFor_ += seconds;
     if (waiting && calmFor_ > calmBeforeGrowth)
         rate_ = std::min(most_, rate_ + even_ * growthPerSecond * seconds);
@@ -62,7 +62,7 @@
     tokens_ = std::min(tokens_ + seconds * rate_, std::max(1.0, rate_));
 }
 
-void Pace::refused() {
+void AdaptiveRateLimiter::refused() {
     calmFor_ = 0;
     rate_ = std::max(least_, rate_ * shrink);
     tokens_ = std::min(tokens_, -rate_ * pauseAfterRefusal);
@@ -87,10 +87,10 @@
     return total;
 }
 
-void StateClient::enqueue(Urgency urgency, Call call) {
+void StateClient::enqueue(RequestPriority priority, Call call) {
     call.queued = timers_.now();
-    call.urgency = urgency;
-    queues_[static_cast<std::size_t>(urgency)].push_back(std::move(call));
+    call.priority = priority;
+    queues_[static_cast<std::size_t>(priority)].push_back(std::move(call));
     if (!pumping_) pump();
 }
 
@@ -105,14 +105,16 @@
     for (auto& queue : queues_) {
         while (!queue.empty()) {
             Call& call = queue.front();
-            if (now < urgentNotBefore_ && call.urgency <= Urgency::userRequest) break;
+            if (now < urgentNotBefore_ && call.priority <= RequestPriority::userRequest) break;
             // A submission is one small write: it goes on credit rather than behind the records.
-            const bool paced = call.writes > 0 && call.urgency != Urgency::userRequest;
-            if (call.urgency != Urgency::lease &&
+            const bool paced = call.writes > 0 && call.priority != RequestPriority::userRequest;
+            if (call.priority != RequestPriority::lease &&
                 (!requests_.allows(1) || (paced && !writes_.allows(call.writes)))) {
-                // What a part's owner records has to be carried out sooner or later: refused here
-                // it went to the end of the line again and again, and hardly anything was written.
-                if (call.urgency == Urgency::write || now - call.queued < longestWait) break;
+                // What a partition's leader records has to be carried out sooner or later: refused
+                // here it went to the end of the line again and again, and hardly anything was
+                // written.
+                if (call.priority == RequestPriority::write || now - call.queued < longestWait)
+                    break;
                 // Never sent, so definitely not carried out.
                 Call late = std::move(call);
                 queue.pop_front();
@@ -141,20 +143,20 @@
     network_.call(
         address_, again->request, again->timeout,
         [this, again](std::optional<transport::HttpResponse> r) {
-            noteAnswer(r);
+            recordAnswer(r);
             if (r && r->status == 429) {
                 // Not carried out: it goes first as soon as it may. Sent again at once,
-                // the takings of parts at the start used up what the service allows.
+                // the acquisitions of partitions at the start used up what the service allows.
                 urgentNotBefore_ = timers_.now() + leasePause;
                 (again->writes > 0 ? writes_ : requests_).refused();
-                queues_[static_cast<std::size_t>(again->urgency)].push_front(std::move(*again));
+                queues_[static_cast<std::size_t>(again->priority)].push_front(std::move(*again));
                 return pumpLater();
             }
             again->done(std::move(r));
         });
 }
 
-void StateClient::noteAnswer(const std::optional<transport::HttpResponse>& response) {
+void StateClient::recordAnswer(const std::optional<transport::HttpResponse>& response) {
     if (response && response->status != 503) {
         lastContact_ = timers_.now();
         failures_ = 0;
@@ -164,78 +166,78 @@
     }
 }
 
-void StateClient::transact(Transaction transaction, Urgency urgency,
-                           std::function<void(TransactionAnswer)> done) {
-    Json conditions = Json::array();
-    for (const auto& condition : transaction.conditions)
-        conditions.push_back({{wire::key, condition.key}, {wire::version, condition.version}});
-    Json changes = Json::array();
-    for (auto& change : transaction.changes) {
-        if (!change.value) {
-            changes.push_back({{wire::drop, change.key}});
+void StateClient::transact(CompareAndSwap transaction, RequestPriority priority,
+                           std::function<void(CompareAndSwapResponse)> done) {
+    Json compares = Json::array();
+    for (const auto& compare : transaction.compares)
+        compares.push_back({{wire::key, compare.key}, {wire::version, compare.version}});
+    Json writes = Json::array();
+    for (auto& write : transaction.writes) {
+        if (!write.value) {
+            writes.push_back({{wire::drop, write.key}});
             continue;
         }
-        Json entry{{wire::put, change.key}, {wire::value, std::move(*change.value)}};
-        if (change.hold != 0) entry[wire::hold] = change.hold;
-        changes.push_back(std::move(entry));
+        Json entry{{wire::put, write.key}, {wire::value, std::move(*write.value)}};
+        if (write.lease != 0) entry[wire::lease] = write.lease;
+        writes.push_back(std::move(entry));
     }
-    const auto writes = static_cast<double>(transaction.changes.size());
-    Json body{{wire::conditions, std::move(conditions)}, {wire::changes, std::move(changes)}};
-    enqueue(urgency, {{"POST", wire::pathTransaction, encodeCbor(body)},
-                      requestTimeout,
-                      writes,
-                      {},
-                      [done = std::move(done)](std::optional<transport::HttpResponse> response) {
-                          TransactionAnswer answer;
-                          answer.result = plainResult(response);
-                          if (response) {
-                              const auto map = decodeCbor(response->body);
-                              if (map) {
-                                  answer.revision = countOf(*map, wire::revision);
-                                  for (const auto& key : listOf(*map, wire::failed))
-                                      if (key.is_string())
-                                          answer.failed.push_back(key.get<std::string>());
-                              }
-                          }
-                          done(std::move(answer));
-                      }});
+    const auto writeCount = static_cast<double>(transaction.writes.size());
+    Json body{{wire::compares, std::move(compares)}, {wire::writes, std::move(writes)}};
+    enqueue(priority, {{"POST", wire::pathTransaction, encodeCbor(body)},
+                       requestTimeout,
+                       writeCount,
+                       {},
+                       [done = std::move(done)](std::optional<transport::HttpResponse> response) {
+                           CompareAndSwapResponse answer;
+                           answer.result = plainResult(response);
+                           if (response) {
+                               const auto map = decodeCbor(response->body);
+                               if (map) {
+                                   answer.revision = countOf(*map, wire::revision);
+                                   for (const auto& key : listOf(*map, wire::failed))
+                                       if (key.is_string())
+                                           answer.failed.push_back(key.get<std::string>());
+                               }
+                           }
+                           done(std::move(answer));
+                       }});
 }
 
-void StateClient::read(const std::string& key, std::function<void(ReadAnswer)> done,
-                       Urgency urgency) {
-    enqueue(urgency, {{"GET", std::string(wire::pathKeys) + "/" + key, {}},
-                      requestTimeout,
-                      0,
-                      {},
-                      [done = std::move(done)](std::optional<transport::HttpResponse> response) {
-                          ReadAnswer answer;
-                          answer.result = plainResult(response);
-                          const auto map = response ? decodeCbor(response->body) : std::nullopt;
-                          if (answer.result == StateResult::ok) {
-                              if (map)
-                                  answer.items.push_back(parseItem(*map));
-                              else
-                                  answer.result = StateResult::unknown;
-                          } else if (response && response->status == 404) {
-                              answer.result = StateResult::ok;
-                              if (map) answer.revision = countOf(*map, wire::revision);
-                          }
-                          done(std::move(answer));
-                      }});
+void StateClient::read(const std::string& key, std::function<void(ReadResponse)> done,
+                       RequestPriority priority) {
+    enqueue(priority, {{"GET", std::string(wire::pathKeys) + "/" + key, {}},
+                       requestTimeout,
+                       0,
+                       {},
+                       [done = std::move(done)](std::optional<transport::HttpResponse> response) {
+                           ReadResponse answer;
+                           answer.result = plainResult(response);
+                           const auto map = response ? decodeCbor(response->body) : std::nullopt;
+                           if (answer.result == StateResult::ok) {
+                               if (map)
+                                   answer.items.push_back(parseItem(*map));
+                               else
+                                   answer.result = StateResult::unknown;
+                           } else if (response && response->status == 404) {
+                               answer.result = StateResult::ok;
+                               if (map) answer.revision = countOf(*map, wire::revision);
+                           }
+                           done(std::move(answer));
+                       }});
 }
 
 void StateClient::readRange(const std::string& prefix, const std::string& after,
-                            std::function<void(ReadAnswer)> done) {
+                            std::function<void(ReadResponse)> done) {
     std::string path = std::string(wire::pathKeys) + "?" + wire::queryPrefix + "=" + prefix + "&" +
                        wire::queryMost + "=" + std::to_string(rangePage);
     if (!after.empty()) path += std::string("&") + wire::querySince + "=" + after;
-    enqueue(Urgency::read,
+    enqueue(RequestPriority::read,
             {{"GET", std::move(path), {}},
              requestTimeout,
              0,
              {},
              [done = std::move(done)](std::optional<transport::HttpResponse> response) {
-                 ReadAnswer answer;
+                 ReadResponse answer;
                  answer.result = plainResult(response);
                  const auto map = response ? decodeCbor(response->body) : std::nullopt;
                  if (answer.result == StateResult::ok && !map) answer.result = StateResult::unknown;
@@ -249,19 +251,19 @@
              }});
 }
 
-void StateClient::follow(const std::string& prefix, std::uint64_t since, transport::Duration wait,
-                         std::function<void(FollowAnswer)> done) {
+void StateClient::watch(const std::string& prefix, std::uint64_t since, transport::Duration wait,
+                        std::function<void(WatchResponse)> done) {
     const auto millis = std::chrono::duration_cast<std::chrono::milliseconds>(wait);
-    std::string path = std::string(wire::pathFollow) + "?" + wire::queryPrefix + "=" + prefix +
-                       "&" + wire::querySince + "=" + std::to_string(since) + "&" +
-                       wire::queryWait + "=" + std::to_string(millis.count());
-    enqueue(Urgency::read,
+    std::string path = std::string(wire::pathWatch) + "?" + wire::queryPrefix + "=" + prefix + "&" +
+                       wire::querySince + "=" + std::to_string(since) + "&" + wire::queryWait +
+                       "=" + std::to_string(millis.count());
+    enqueue(RequestPriority::read,
             {{"GET", std::move(path), {}},
              wait + requestTimeout,
              0,
              {},
              [done = std::move(done)](std::optional<transport::HttpResponse> response) {
-                 FollowAnswer answer;
+                 WatchResponse answer;
                  answer.result = plainResult(response);
                  answer.tooOld = response && response->status == 410;
                  const auto map = response ? decodeCbor(response->body) : std::nullopt;
@@ -283,30 +285,31 @@
              }});
 }
 
-void StateClient::createHold(transport::Duration ttl, std::function<void(std::uint64_t)> done) {
+void StateClient::grantLease(transport::Duration ttl, std::function<void(std::uint64_t)> done) {
     const auto millis = std::chrono::duration_cast<std::chrono::milliseconds>(ttl).count();
-    enqueue(Urgency::lease,
-            {{"POST", wire::pathHolds, encodeCbor({{wire::holdTime, millis}})},
-             holdTimeout,
+    enqueue(RequestPriority::lease,
+            {{"POST", wire::pathLeases, encodeCbor({{wire::leaseTtl, millis}})},
+             leaseTimeout,
              0,
              {},
              [done = std::move(done)](std::optional<transport::HttpResponse> response) {
                  const auto map = response && response->status == 200 ? decodeCbor(response->body)
                                                                       : std::nullopt;
-                 done(map ? countOf(*map, wire::hold) : 0);
+                 done(map ? countOf(*map, wire::lease) : 0);
              }});
 }
 
-void StateClient::extendHold(std::uint64_t hold, std::function<void(StateResult)> done) {
-    enqueue(
-        Urgency::lease,
-        {{"POST", std::string(wire::pathHolds) + "/" + std::to_string(hold) + wire::pathExtend, {}},
-         holdTimeout,
-         0,
-         {},
-         [done = std::move(done)](const std::optional<transport::HttpResponse>& response) {
-             done(plainResult(response));
-         }});
+void StateClient::renewLease(std::uint64_t lease, std::function<void(StateResult)> done) {
+    enqueue(RequestPriority::lease,
+            {{"POST",
+              std::string(wire::pathLeases) + "/" + std::to_string(lease) + wire::pathRenew,
+              {}},
+             leaseTimeout,
+             0,
+             {},
+             [done = std::move(done)](const std::optional<transport::HttpResponse>& response) {
+                 done(plainResult(response));
+             }});
 }
 
 }  // namespace fawnwheel::protocol
--- a/src/protocol/state_client.h
+++ b/src/protocol/state_client.h
@@ -18,20 +18,20 @@
 
 namespace fawnwheel::protocol {
 
-struct Condition {
+struct Compare {
     std::string key;
     std::uint64_t version = 0;  // 0: must not exist
 };
 
-struct Change {
+struct Write {
     std::string key;
     std::optional<Json> value;  // none: delete
-    std::uint64_t hold = 0;     // 0: attached to none
+    std::uint64_t lease = 0;    // 0: attached to none
 };
 
-struct Transaction {
-    std::vector<Condition> conditions;
-    std::vector<Change> changes;
+struct CompareAndSwap {
+    std::vector<Compare> compares;
+    std::vector<Write> writes;
 };
 
 enum class StateResult {
@@ -42,7 +42,7 @@
     unknown,     // may have been carried out or may yet be
 };
 
-struct TransactionAnswer {
+struct CompareAndSwapResponse {
     StateResult result = StateResult::unknown;
     std::uint64_t revision = 0;
     std::vector<std::string> failed;
@@ -54,7 +54,7 @@
     std::uint64_t version = 0;
 };
 
-struct ReadAnswer {
+struct ReadResponse {
     StateResult result = StateResult::unknown;
     std::vector<Item> items;  // a single read: empty if there is no such key
     bool more = false;
@@ -67,15 +67,15 @@
     std::uint64_t version = 0;
 };
 
-struct FollowAnswer {
+struct WatchResponse {
     StateResult result = StateResult::unknown;
     bool tooOld = false;
     std::vector<Event> events;
     std::uint64_t revision = 0;
 };
 
-// In this order. Users wait for `userRequest`; `write` is what the owner of a part records.
-enum class Urgency { lease, userRequest, write, read };
+// In this order. Users wait for `userRequest`; `write` is what the leader of a partition records.
+enum class RequestPriority { lease, userRequest, write, read };
 
 struct StateLimits {
     double requestsPerSecond = 60;  // of the service, for all nodes
@@ -84,9 +84,9 @@
 };
 
 // How fast one kind of call may be sent.
-class Pace {
+class AdaptiveRateLimiter {
   public:
-    Pace(double limit, double nodes)
+    AdaptiveRateLimiter(double limit, double nodes)
         : least_(limit / nodes / 2),
           even_(limit / nodes * shareOfLimit),
           most_(limit * mostOfLimit),
@@ -116,17 +116,17 @@
     StateClient(transport::Timers& timers, transport::Network& network, std::string address,
                 StateLimits limits);
 
-    void transact(Transaction transaction, Urgency urgency,
-                  std::function<void(TransactionAnswer)> done);
-    void read(const std::string& key, std::function<void(ReadAnswer)> done,
-              Urgency urgency = Urgency::read);
+    void transact(CompareAndSwap transaction, RequestPriority priority,
+                  std::function<void(CompareAndSwapResponse)> done);
+    void read(const std::string& key, std::function<void(ReadResponse)> done,
+              RequestPriority priority = RequestPriority::read);
     void readRange(const std::string& prefix, const std::string& after,
-                   std::function<void(ReadAnswer)> done);
-    void follow(const std::string& prefix, std::uint64_t since, transport::Duration wait,
-                std::function<void(FollowAnswer)> done);
+                   std::function<void(ReadResponse)> done);
+    void watch(const std::string& prefix, std::uint64_t since, transport::Duration wait,
+               std::function<void(WatchResponse)> done);
     // The hold's number; 0: none was granted.
-    void createHold(transport::Duration ttl, std::function<void(std::uint64_t)> done);
-    void extendHold(std::uint64_t hold, std::function<void(StateResult)> done);
+    void grantLease(transport::Duration ttl, std::function<void(std::uint64_t)> done);
+    void renewLease(std::uint64_t lease, std::function<void(StateResult)> done);
 
     // When the service last answered anything but an outage, and whether it seems reachable.
     [[nodiscard]] transport::SteadyTime lastContact() const { return lastContact_; }
@@ -142,21 +142,21 @@
         double writes = 0;
         transport::SteadyTime queued{};
         transport::HttpDone done;
-        Urgency urgency = Urgency::read;
+        RequestPriority priority = RequestPriority::read;
     };
 
-    void enqueue(Urgency urgency, Call call);
+    void enqueue(RequestPriority priority, Call call);
     void pump();
     void pumpLater();
     void send(Call call);
-    void noteAnswer(const std::optional<transport::HttpResponse>& response);
+    void recordAnswer(const std::optional<transport::HttpResponse>& response);
 
     transport::Timers& timers_;
     transport::Network& network_;
     std::string address_;
     std::array<std::deque<Call>, 4> queues_;
-    Pace requests_;
-    Pace writes_;
+    AdaptiveRateLimiter requests_;
+    AdaptiveRateLimiter writes_;
     transport::SteadyTime filled_;
     transport::SteadyTime urgentNotBefore_{};
     transport::SteadyTime lastContact_;
--- a/src/sharing/demand.cpp
+++ b/src/sharing/demand.cpp
@@ -70,7 +70,7 @@
         const double ramp =
             std::min(1.0, (average - thresholds_.low) / (thresholds_.high - thresholds_.low));
         Demand demand = latest;
-        // A gang that gets a part of its machines starts no sooner.
+        // A gang that gets a portion of its machines starts no sooner.
         if (!demand.whole)
             demand.tasks = std::ceil(std::min(latest.tasks, std::max(1.0, average * ramp)));
         out.push_back(std::move(demand));
--- a/src/sharing/demand.h
+++ b/src/sharing/demand.h
@@ -1,4 +1,5 @@
-// What a part lacks machines for, averaged, and how much of it is asked of the other parts.
+// What a partition lacks machines for, averaged, and how much of it is asked of the other
+// partitions.
 #pragma once
 
 #include <cstdint>
@@ -32,7 +33,7 @@
 struct Demand {
     TaskShape shape;
     double tasks = 0;           // without a place
-    bool whole = false;         // of gangs: part of them is of no use
+    bool whole = false;         // of gangs: some of them is of no use
     std::uint32_t urgency = 0;  // higher goes first
     std::uint64_t since =
         0;  // submission of its oldest job, milliseconds: of equals, it goes first
