--- a/src/sharing/handover.cpp
+++ b/src/sharing/handover.cpp
@@ -9,31 +9,31 @@
 namespace {
 
 using bookkeeping::Claim;
+using bookkeeping::ClusterState;
 using bookkeeping::Job;
-using bookkeeping::Ledger;
 using bookkeeping::Machine;
 using bookkeeping::Slice;
 using bookkeeping::TaskRange;
 using protocol::TaskState;
 
-std::optional<Refusal> refusalOf(const Ledger& ledger, const Machine& machine,
+std::optional<Refusal> refusalOf(const ClusterState& clusterState, const Machine& machine,
                                  const HandoverRules& rules) {
-    if (machine.part != rules.part) return Refusal::notOurs;
+    if (machine.partition != rules.partition) return Refusal::notOurs;
     if (machine.version == 0) return Refusal::notRecorded;
     if (machine.retired || machine.emptying || machine.noticeEnds || machine.notBefore > rules.now)
         return Refusal::leaving;
     if (machine.transferring || machine.departedTo) return Refusal::transferring;
     if (machine.lender) return Refusal::onLoan;
-    if (keptForOthers(ledger, machine, rules.taker, rules.now)) return Refusal::reserved;
+    if (keptForOthers(clusterState, machine, rules.taker, rules.now)) return Refusal::reserved;
     if (!machine.acknowledged() || !machine.lastReport ||
         rules.now - *machine.lastReport > rules.silent)
         return Refusal::silent;
-    if (rules.now - machine.known < rules.hold) return Refusal::heldTooShort;
+    if (rules.now - machine.known < rules.minTenure) return Refusal::heldTooShort;
     return std::nullopt;
 }
 
-std::optional<Refusal> refusalOf(const Ledger& ledger, const Job& job) {
-    if (job.finishing || ledger.knownCancelled(job)) return Refusal::jobEnding;
+std::optional<Refusal> refusalOf(const ClusterState& clusterState, const Job& job) {
+    if (job.finishing || clusterState.knownCancelled(job)) return Refusal::jobEnding;
     if (std::any_of(job.slices.begin(), job.slices.end(),
                     [](const Slice& slice) { return slice.leaving.has_value(); }))
         return Refusal::jobLeaving;
@@ -82,7 +82,8 @@
 // Collects what goes together, machine by machine.
 class Closure {
   public:
-    Closure(Ledger& ledger, const HandoverRules& rules) : ledger_(ledger), rules_(rules) {}
+    Closure(ClusterState& clusterState, const HandoverRules& rules)
+        : clusterState_(clusterState), rules_(rules) {}
 
     HandoverPlan planFrom(const std::string& machine) {
         addMachine(machine);
@@ -105,16 +106,17 @@
     }
 
     void visit(const std::string& id) {
-        const Machine* machine = ledger_.machine(id);
-        refusal_ = machine == nullptr ? Refusal::notOurs : refusalOf(ledger_, *machine, rules_);
+        const Machine* machine = clusterState_.machine(id);
+        refusal_ =
+            machine == nullptr ? Refusal::notOurs : refusalOf(clusterState_, *machine, rules_);
         if (refusal_) return;
         if (!machine->claims.empty() && !rules_.busyMachines) {
             refusal_ = Refusal::reserved;
             return;
         }
         for (const auto& ref : machine->claims) {
-            const auto [job, slice, claim] = ledger_.held(ref);
-            if (claim == nullptr || slice->part != rules_.part) {
+            const auto [job, slice, claim] = clusterState_.held(ref);
+            if (claim == nullptr || slice->partition != rules_.partition) {
                 refusal_ = Refusal::notOurs;
                 return;
             }
@@ -126,10 +128,10 @@
 
     void addJob(Job& job) {
         if (!jobs_.emplace(job.spec.id, &job).second) return;
-        refusal_ = refusalOf(ledger_, job);
+        refusal_ = refusalOf(clusterState_, job);
         if (refusal_ || !job.undivided()) return;
-        // One owner for all of it: every machine that it is on goes too.
-        if (job.part != rules_.part ||
+        // One leader for all of it: every machine that it is on goes too.
+        if (job.partition != rules_.partition ||
             (job.spec.kind == protocol::JobKind::gang && job.claimedTasks() < job.spec.tasks)) {
             refusal_ = Refusal::gangStarting;
             return;
@@ -140,19 +142,19 @@
 
     void collect() {
         plan_.machines.assign(machines_.begin(), machines_.end());
-        plan_.changes = plan_.machines.size();
+        plan_.writes = plan_.machines.size();
         for (const auto& [id, job] : jobs_) {
             if (job->undivided()) {
                 plan_.jobs.push_back(id);
-                ++plan_.changes;
+                ++plan_.writes;
             }
             for (const auto& slice : job->slices) collectSlice(*job, slice);
         }
-        if (plan_.changes > rules_.mostChanges) refusal_ = Refusal::tooLarge;
+        if (plan_.writes > rules_.mostChanges) refusal_ = Refusal::tooLarge;
     }
 
     void collectSlice(const Job& job, const Slice& slice) {
-        if (slice.size() == 0 || slice.part != rules_.part) return;
+        if (slice.size() == 0 || slice.partition != rules_.partition) return;
         Roaring here;
         Roaring done;
         for (const auto& claim : slice.claims)
@@ -160,16 +162,16 @@
         for (std::uint32_t i = 0; i < slice.size(); ++i)
             if (slice.done[i]) done.add(slice.first + i);
         plan_.used[job.spec.team] += times(job.spec.each, here.cardinality());
-        SliceHandover part{job.spec.id, slice.index, rangesOf(here, done), 1};
+        SliceHandover partition{job.spec.id, slice.index, rangesOf(here, done), 1};
         if (job.undivided()) {
             // A slice without a record follows its job's.
             if (slice.version == 0 && !slice.dirty) return;
-            part.ranges = {slice.range()};
+            partition.ranges = {slice.range()};
         }
-        if (part.ranges.empty()) return;
-        part.pieces = piecesOf(slice, part.ranges);
-        plan_.changes += part.pieces;
-        plan_.slices.push_back(std::move(part));
+        if (partition.ranges.empty()) return;
+        partition.pieces = piecesOf(slice, partition.ranges);
+        plan_.writes += partition.pieces;
+        plan_.slices.push_back(std::move(partition));
     }
 
     static bookkeeping::Resources times(const bookkeeping::Resources& each, std::uint64_t count) {
@@ -177,7 +179,7 @@
         return {each.cpus * factor, each.gpus * factor, each.memory * factor};
     }
 
-    Ledger& ledger_;
+    ClusterState& clusterState_;
     const HandoverRules& rules_;
     std::set<std::string> machines_;
     std::map<std::string, Job*> jobs_;
@@ -231,13 +233,13 @@
     return total;
 }
 
-bool keptForOthers(const Ledger& ledger, const Machine& machine, const Taker& taker,
+bool keptForOthers(const ClusterState& clusterState, const Machine& machine, const Taker& taker,
                    bookkeeping::SteadyTime now) {
     if (machine.reservedUntil <= now) return false;
-    const auto found = ledger.jobs.find(machine.reservedFor);
-    if (found == ledger.jobs.end()) return true;
+    const auto found = clusterState.jobs.find(machine.reservedFor);
+    if (found == clusterState.jobs.end()) return true;
     const Job& job = found->second;
-    if (job.part == taker.part) return false;
+    if (job.partition == taker.partition) return false;
     if (job.spec.kind != protocol::JobKind::gang || job.anyClaim()) return true;
     Demand kept;
     kept.urgency = urgencyOf(job.priority, false);
@@ -248,8 +250,9 @@
     return !wanted.precedes(kept);
 }
 
-HandoverPlan planHandover(Ledger& ledger, const std::string& machine, const HandoverRules& rules) {
-    return Closure(ledger, rules).planFrom(machine);
+HandoverPlan planHandover(ClusterState& clusterState, const std::string& machine,
+                          const HandoverRules& rules) {
+    return Closure(clusterState, rules).planFrom(machine);
 }
 
 }  // namespace fawnwheel::sharing
--- a/src/sharing/handover.h
+++ b/src/sharing/handover.h
@@ -23,7 +23,7 @@
     heldTooShort,
     recordPending,  // a task's claim is not durable yet
     taskStopping,
-    gangStarting,  // or it has not been seen running by this owner
+    gangStarting,  // or it has not been seen running by this leader
     jobEnding,     // cancelled, or its end is being recorded
     jobLeaving,    // to a peer, as work that is pushed
     limitMoving,   // a share of its team's limit is under way
@@ -31,20 +31,20 @@
 };
 [[nodiscard]] std::string_view describe(Refusal refusal);
 
-// The part that gets a machine, and how its work stands among that of others.
+// The partition that gets a machine, and how its work stands among that of others.
 struct Taker {
-    std::uint32_t part = 0;
+    std::uint32_t partition = 0;
     std::uint32_t urgency = 0;
     std::uint64_t since = 0;
 };
 
 struct HandoverRules {
-    std::uint32_t part = 0;  // that gives
+    std::uint32_t partition = 0;  // that gives
     Taker taker;
     std::size_t mostChanges = 0;  // of one transaction
     bookkeeping::SteadyTime now{};
-    bookkeeping::Duration hold{};    // least time that a part keeps a machine
-    bookkeeping::Duration silent{};  // a report must not be older
+    bookkeeping::Duration minTenure{};  // least time that a partition keeps a machine
+    bookkeeping::Duration silent{};     // a report must not be older
     bool busyMachines = true;
 };
 
@@ -61,7 +61,7 @@
     std::vector<SliceHandover> slices;
     std::vector<std::string> jobs;                       // that go as a whole, with their home
     std::map<std::string, bookkeeping::Resources> used;  // by team
-    std::size_t changes = 0;                             // of machines, slices and jobs
+    std::size_t writes = 0;                              // of machines, slices and jobs
 
     [[nodiscard]] std::size_t tasks() const;
 };
@@ -69,14 +69,14 @@
 using HandoverPlan = std::variant<Handover, Refusal>;
 
 // Whether the machine is kept for work that the taker's does not precede. A gang that gathers
-// machines gives way to an earlier one of another part: of two that each hold half of what both
-// need, one gets all.
-[[nodiscard]] bool keptForOthers(const bookkeeping::Ledger& ledger,
+// machines gives way to an earlier one of another partition: of two that each hold half of what
+// both need, one gets all.
+[[nodiscard]] bool keptForOthers(const bookkeeping::ClusterState& clusterState,
                                  const bookkeeping::Machine& machine, const Taker& taker,
                                  bookkeeping::SteadyTime now);
 
 // All that goes with the machine.
-[[nodiscard]] HandoverPlan planHandover(bookkeeping::Ledger& ledger, const std::string& machine,
-                                        const HandoverRules& rules);
+[[nodiscard]] HandoverPlan planHandover(bookkeeping::ClusterState& clusterState,
+                                        const std::string& machine, const HandoverRules& rules);
 
 }  // namespace fawnwheel::sharing
--- a/src/sharing/move_budget.h
+++ b/src/sharing/move_budget.h
@@ -1,5 +1,5 @@
-// How many machines a controller may give away: so many a minute, and no more than a part of the
-// changes that the state service takes.
+// How many machines a controller may give away: so many a minute, and no more than a partition of
+// the changes that the state service takes.
 #pragma once
 
 #include <algorithm>
@@ -30,9 +30,9 @@
     }
     // One that takes more than has gathered is carried out on credit.
     [[nodiscard]] bool allows() const { return moves_ >= 1 && changes_ > 0; }
-    void take(std::size_t moves, std::size_t changes) {
+    void take(std::size_t moves, std::size_t writes) {
         moves_ -= static_cast<double>(moves);
-        changes_ -= static_cast<double>(changes);
+        changes_ -= static_cast<double>(writes);
     }
 
   private:
--- a/src/sharing/share_plan.cpp
+++ b/src/sharing/share_plan.cpp
@@ -10,7 +10,7 @@
 
 constexpr std::int64_t moveCost = 10;
 constexpr std::int64_t busyCost = 10;     // its tasks change hands, with more records
-constexpr std::int64_t farCost = 3;       // in another zone than its new owner
+constexpr std::int64_t farCost = 3;       // in another zone than its new leader
 constexpr std::int64_t worstFitCost = 8;  // where only one task finds room
 constexpr std::int64_t lackingCost = 100;
 constexpr std::uint32_t mostPlaces = 64;  // more of them make no difference
@@ -24,17 +24,17 @@
                     std::uint32_t places) {
     std::int64_t cost = moveCost + worstFitCost / places;
     if (supply.busy) cost += busyCost;
-    const auto zone = input.zones.find(want.part);
+    const auto zone = input.zones.find(want.partition);
     if (zone != input.zones.end() && zone->second != supply.zone) cost += farCost;
     return cost;
 }
 
-// Of two parts that both lack machines, each with some that the other could use, one has to get the
-// rest: giving to whoever asks, two controllers with a gang each once passed the same machines to
-// and fro (sharing_machines_fail).
+// Of two partitions that both lack machines, each with some that the other could use, one has to
+// get the rest: giving to whoever asks, two controllers with a gang each once passed the same
+// machines to and fro (sharing_machines_fail).
 bool neededFirst(const PlanInput& input, const Supply& supply, const Want& want) {
     return std::any_of(input.wants.begin(), input.wants.end(), [&](const Want& own) {
-        return own.part == supply.part && !want.demand.precedes(own.demand) &&
+        return own.partition == supply.partition && !want.demand.precedes(own.demand) &&
                placesOf(supply, own) > 0;
     });
 }
@@ -50,7 +50,8 @@
         for (std::size_t supply = 0; supply < input.supplies.size(); ++supply) {
             const auto& offer = input.supplies[supply];
             const auto places = placesOf(offer, wanted);
-            if (places == 0 || offer.part == wanted.part || neededFirst(input, offer, wanted))
+            if (places == 0 || offer.partition == wanted.partition ||
+                neededFirst(input, offer, wanted))
                 continue;
             best = std::max(best, places);
             model.arcs.push_back({supply, want, costOf(input, offer, wanted, places)});
@@ -97,8 +98,8 @@
 std::map<std::uint32_t, std::int64_t> targets(const PlanInput& input, const SharePlan& plan,
                                               std::map<std::uint32_t, std::int64_t> held) {
     for (const auto& move : plan.moves) {
-        held[input.supplies[move.supply].part] -= move.machines;
-        held[input.wants[move.want].part] += move.machines;
+        held[input.supplies[move.supply].partition] -= move.machines;
+        held[input.wants[move.want].partition] += move.machines;
     }
     return held;
 }
--- a/src/sharing/share_plan.h
+++ b/src/sharing/share_plan.h
@@ -1,5 +1,5 @@
-// Which machines should go from which part to which other, so that as much as possible of what the
-// parts lack finds room at the least cost of moves.
+// Which machines should go from which partition to which other, so that as much as possible of what
+// the partitions lack finds room at the least cost of moves.
 #pragma once
 
 #include <map>
@@ -9,9 +9,9 @@
 
 namespace fawnwheel::sharing {
 
-// Equal machines of a part that could serve others.
+// Equal machines of a partition that could serve others.
 struct Supply {
-    std::uint32_t part = 0;
+    std::uint32_t partition = 0;
     std::string type;
     std::string zone;
     bool spot = false;
@@ -20,17 +20,17 @@
     std::uint32_t machines = 0;
 };
 
-// What a part lacks beyond what its own machines, also those that are still coming up, have room
-// for.
+// What a partition lacks beyond what its own machines, also those that are still coming up, have
+// room for.
 struct Want {
-    std::uint32_t part = 0;
+    std::uint32_t partition = 0;
     Demand demand;
 };
 
 struct PlanInput {
     std::vector<Supply> supplies;
     std::vector<Want> wants;
-    std::map<std::uint32_t, std::string> zones;  // of the parts' owners
+    std::map<std::uint32_t, std::string> zones;  // of the partitions' leaders
 };
 
 struct ShareMove {
@@ -69,7 +69,7 @@
 // By flow, and greedily where that takes too long.
 SharePlan makePlan(const PlanInput& input, std::size_t mostSteps);
 
-// Machines that each part would have after the plan, by part.
+// Machines that each partition would have after the plan, by partition.
 std::map<std::uint32_t, std::int64_t> targets(const PlanInput& input, const SharePlan& plan,
                                               std::map<std::uint32_t, std::int64_t> held);
 
--- a/src/transport/http_client.cpp
+++ b/src/transport/http_client.cpp
@@ -16,11 +16,11 @@
 }  // namespace
 
 struct HttpClient::Connection : std::enable_shared_from_this<Connection> {
-    Connection(HttpClient& owner, std::string where, Socket socket)
-        : client(&owner),
-          open(owner.open_),
+    Connection(HttpClient& httpClient, std::string where, Socket socket)
+        : client(&httpClient),
+          open(httpClient.open_),
           address(std::move(where)),
-          stream(std::make_shared<Stream>(owner.loop_, std::move(socket))) {
+          stream(std::make_shared<Stream>(httpClient.loop_, std::move(socket))) {
         http_parser_init(&parser, HTTP_RESPONSE);
         parser.data = this;
         ++*open;
--- a/src/transport/http_server.cpp
+++ b/src/transport/http_server.cpp
@@ -45,10 +45,10 @@
 }  // namespace
 
 struct HttpServer::Connection : std::enable_shared_from_this<Connection> {
-    Connection(HttpServer& owner, Socket socket)
-        : server(&owner),
-          stream(std::make_shared<Stream>(owner.loop_, std::move(socket))),
-          lastActive(owner.loop_.now()) {
+    Connection(HttpServer& httpServer, Socket socket)
+        : server(&httpServer),
+          stream(std::make_shared<Stream>(httpServer.loop_, std::move(socket))),
+          lastActive(httpServer.loop_.now()) {
         http_parser_init(&parser, HTTP_REQUEST);
         parser.data = this;
     }
--- a/tests/loopback/loopback_main.cpp
+++ b/tests/loopback/loopback_main.cpp
@@ -91,7 +91,7 @@
     std::cout << fmt::format(
         "{} moves with {} tasks, {:.1f} changes a move; until the new owner is heard {:.2f} s on "
         "average, {:.2f} s at most; longest pause of reports around a move {:.2f} s\n",
-        figures.moves, figures.moved, perMove(static_cast<double>(figures.changes)),
+        figures.moves, figures.moved, perMove(static_cast<double>(figures.writes)),
         figures.untilHeard.count() / std::max(1.0, static_cast<double>(figures.heard)),
         figures.longestUntilHeard.count(), figures.longestPause.count());
     if (endedThemselves > 0)
--- a/tests/sim/checker.cpp
+++ b/tests/sim/checker.cpp
@@ -116,11 +116,12 @@
             return breach("orphaned", id + " although " + ancestor->spec.id + " is cancelled");
 }
 
-void Checker::answered(const std::string& machine, const std::string& node, std::uint64_t token) {
-    const auto& owner = tokens_.try_emplace({machine, token}, node).first->second;
-    if (owner != node)
+void Checker::answered(const std::string& machine, const std::string& node,
+                       std::uint64_t fencingToken) {
+    const auto& leader = tokens_.try_emplace({machine, fencingToken}, node).first->second;
+    if (leader != node)
         breach("two_owners",
-               fmt::format("{} by {} and {} with token {}", machine, owner, node, token));
+               fmt::format("{} by {} and {} with token {}", machine, leader, node, fencingToken));
 }
 
 void Checker::changedHands(const std::string& job, std::uint32_t task, const std::string&,
@@ -244,10 +245,11 @@
         const auto ready = readyAt(job);
         const auto above = ancestors(job);
         // Whose predecessor was called off as its last task ended is called off with it.
-        const bool follows = std::any_of(above.begin(), above.end(), [](const JobTruth* ancestor) {
-            return ancestor->final == "cancelled";
-        });
-        return job.accepted && !job.cancelAsked && !follows && ready && *ready + latestBegin <= at;
+        const bool startsAfter =
+            std::any_of(above.begin(), above.end(),
+                        [](const JobTruth* ancestor) { return ancestor->final == "cancelled"; });
+        return job.accepted && !job.cancelAsked && !startsAfter && ready &&
+               *ready + latestBegin <= at;
     };
     for (const auto& [id, job] : jobs_)
         if (counts(job)) {
--- a/tests/sim/checker.h
+++ b/tests/sim/checker.h
@@ -43,8 +43,8 @@
     // for so long.
     void placed(const std::string& job, std::uint32_t task, const std::string& machine,
                 bool claimed, Time allowance, Time at);
-    // A worker has taken a node's answer: a token has one node, and so a machine one owner.
-    void answered(const std::string& machine, const std::string& node, std::uint64_t token);
+    // A worker has taken a node's answer: a token has one node, and so a machine one leader.
+    void answered(const std::string& machine, const std::string& node, std::uint64_t fencingToken);
     // The task's machine was given to another controller while the task was on it. From now on
     // nothing but its user may end it.
     void changedHands(const std::string& job, std::uint32_t task, const std::string& machine,
@@ -54,7 +54,7 @@
                    const std::string& why, Time at);
     // Moves must disturb no task: only where nothing else stops any.
     void watchMoves() { watchesMoves_ = true; }
-    // An audit after all troubles has found records, ledgers and machines apart.
+    // An audit after all troubles has found records, cluster states and machines apart.
     void auditFailed(const std::string& what) { breach("audit", what); }
     // Since when there has been no trouble.
     [[nodiscard]] Time quietSince() const { return quietSince_; }
--- a/tests/sim/history_digest.h
+++ b/tests/sim/history_digest.h
@@ -13,12 +13,13 @@
 /// Accumulates the observable events of one simulated run into a 64-bit CRC (ECMA-182).
 class HistoryDigest {
   public:
-    /// Adds one event. `kind` says what it is; the parts are its source, its target and its bytes.
-    void add(Time when, std::string_view kind, std::initializer_list<std::string_view> parts) {
+    /// Adds one event. `kind` says what it is; the partitions are its source, its target and its
+    /// bytes.
+    void add(Time when, std::string_view kind, std::initializer_list<std::string_view> pieces) {
         const double seconds = when.count();
         crc_.process_bytes(&seconds, sizeof seconds);
         addText(kind);
-        for (const auto part : parts) addText(part);
+        for (const auto piece : pieces) addText(piece);
         ++events_;
     }
 
--- a/tests/sim/scenario_main.cpp
+++ b/tests/sim/scenario_main.cpp
@@ -140,7 +140,7 @@
         auto& sharing = spec.tuning.sharing;
         sharing.enabled = true;
         sharing.period = Time(line.number("period", sharing.period.count()));
-        sharing.hold = Time(line.number("hold", sharing.hold.count()));
+        sharing.minTenure = Time(line.number("hold", sharing.minTenure.count()));
         sharing.low = line.number("low", sharing.low);
         sharing.high = line.number("high", sharing.high);
         sharing.movesPerMinute = line.number("moves", sharing.movesPerMinute);
@@ -289,7 +289,7 @@
         } else if (word == "cut-zone") {
             world.cutZone(line.at(3), length(5), line.has("hold"));
         } else if (word == "part-zones") {
-            world.partZones(line.at(3), line.at(4), length(6), line.has("hold"));
+            world.separateZones(line.at(3), line.at(4), length(6), line.has("hold"));
         } else if (word == "refuse-peers") {
             world.refusePeers(length(4));
         } else if (word == "isolate-from-state") {
--- a/tests/sim/world.cpp
+++ b/tests/sim/world.cpp
@@ -132,10 +132,10 @@
 void World::setLimits(Node& node) const {
     auto& settings = node.settings;
     settings.valueKb = spec_.recordLimits.valueKb;
-    settings.transactionChanges = spec_.recordLimits.changes;
+    settings.transactionChanges = spec_.recordLimits.writes;
     if (node.oldVersion || !spec_.nextLimits) return;
     settings.valueKb = std::min(settings.valueKb, spec_.nextLimits->valueKb);
-    settings.transactionChanges = std::min(settings.transactionChanges, spec_.nextLimits->changes);
+    settings.transactionChanges = std::min(settings.transactionChanges, spec_.nextLimits->writes);
 }
 
 void World::lowerLimits() {
@@ -156,7 +156,7 @@
     if (now_ < stateSlowUntil_ && (to == "state" || from == "state")) delay += more(stateSlow_);
     const auto found = cuts_.find(std::minmax(from, to));
     if (found != cuts_.end() && found->second.until > now_) {
-        if (!found->second.hold) return;
+        if (!found->second.delayed) return;
         delay += found->second.until - now_;
     }
     at(now_ + delay, std::move(action));
@@ -232,16 +232,16 @@
         return reply(answer(200, reportBody(*target)));
     }
     const auto body = protocol::decodeCbor(request.body);
-    const auto token = body ? protocol::countOf(*body, wire::token) : 0;
+    const auto fencingToken = body ? protocol::countOf(*body, wire::fencingToken) : 0;
     const auto session = body ? protocol::countOf(*body, wire::session) : 0;
-    if (token < target->token || session != target->session)
+    if (fencingToken < target->fencingToken || session != target->session)
         return reply(answer(409, reportBody(*target)));
     // A higher token is a change that it reports, once in half a lease.
-    if (token > target->token && now_ - target->tokenReported > spec_.lease / 2) {
+    if (fencingToken > target->fencingToken && now_ - target->tokenReported > spec_.lease / 2) {
         target->tokenReported = now_;
         reportSoon(*target);
     }
-    target->token = token;
+    target->fencingToken = fencingToken;
     obey(*target, protocol::listOf(*body, wire::commands));
     ++target->sequence;
     reply(answer(200, reportBody(*target)));
@@ -263,18 +263,19 @@
     checker_.troubledUntil(w.slowUntil);
 }
 
-void World::cutZone(const std::string& zone, Time length, bool hold) {
+void World::cutZone(const std::string& zone, Time length, bool delayed) {
     for (const auto& [host, where] : hosts())
         if (where == zone)
             for (const auto& [other, elsewhere] : hosts())
-                if (elsewhere != zone) cut(host, other, length, hold);
+                if (elsewhere != zone) cut(host, other, length, delayed);
 }
 
-void World::partZones(const std::string& one, const std::string& other, Time length, bool hold) {
+void World::separateZones(const std::string& one, const std::string& other, Time length,
+                          bool delayed) {
     for (const auto& [host, where] : hosts())
         if (where == one)
             for (const auto& [peer, elsewhere] : hosts())
-                if (elsewhere == other) cut(host, peer, length, hold);
+                if (elsewhere == other) cut(host, peer, length, delayed);
 }
 
 void World::refusePeers(Time length) {
@@ -298,8 +299,8 @@
     return all;
 }
 
-void World::cut(const std::string& one, const std::string& other, Time length, bool hold) {
-    cuts_[std::minmax(one, other)] = {now_ + length, hold};
+void World::cut(const std::string& one, const std::string& other, Time length, bool delayed) {
+    cuts_[std::minmax(one, other)] = {now_ + length, delayed};
     checker_.troubledUntil(now_ + length);
 }
 
--- a/tests/sim/world.h
+++ b/tests/sim/world.h
@@ -23,7 +23,7 @@
 // What the state service accepts in one transaction.
 struct RecordLimits {
     double valueKb = 4;
-    std::size_t changes = 12;
+    std::size_t writes = 12;
 };
 
 // Processor time that the controllers have used, of all nodes together.
@@ -48,7 +48,7 @@
 
 struct Costs {
     Cost reports;  // from workers
-    Cost steps;    // timers: rounds of placement, takeovers, housekeeping
+    Cost steps;    // timers: rounds of placement, failovers, housekeeping
 };
 
 // Nodes that are processes of their own, in place of controllers inside the world.
@@ -67,10 +67,10 @@
 // What machines that changed hands for good cost, and what their workers noticed.
 struct MoveFigures {
     std::size_t moves = 0;
-    std::size_t moved = 0;    // tasks on them
-    std::size_t changes = 0;  // in the transactions that moved them
-    std::size_t heard = 0;    // that the new owner has answered
-    Time untilHeard{};        // of those, in all
+    std::size_t moved = 0;   // tasks on them
+    std::size_t writes = 0;  // in the transactions that moved them
+    std::size_t heard = 0;   // that the new leader has answered
+    Time untilHeard{};       // of those, in all
     Time longestUntilHeard{};
     Time longestPause{};  // between two answered reports around a move
 };
@@ -132,7 +132,7 @@
     void cloudOutage(Time length);
     // Lists of machines come as an empty page that says there is more.
     void breakLists(Time length) { listsBrokenUntil_ = now_ + length; }
-    void cut(const std::string& one, const std::string& other, Time length, bool hold);
+    void cut(const std::string& one, const std::string& other, Time length, bool delayed);
     void refuseState(int node, Time length);
     void hang(std::size_t machine, Time length);
     void die(std::size_t machine);
@@ -193,8 +193,8 @@
     }
     // So many troubles of any kind at any time from now on for so long, drawn anew with each seed.
     void randomTroubles(int count, Time length);
-    void cutZone(const std::string& zone, Time length, bool hold);
-    void partZones(const std::string& one, const std::string& other, Time length, bool hold);
+    void cutZone(const std::string& zone, Time length, bool delayed);
+    void separateZones(const std::string& one, const std::string& other, Time length, bool delayed);
     void refusePeers(Time length);
     void isolateFromState(int node, Time length);  // and from its peers, not from its workers
     void loseAnswers(double share) { lostAnswers_ = share; }
@@ -208,7 +208,7 @@
     [[nodiscard]] std::vector<std::string> unfinished() const;
     [[nodiscard]] const Costs& costs() const { return costs_; }
     [[nodiscard]] std::size_t machinesUp() const;
-    // How often machines have changed hands between parts for good.
+    // How often machines have changed hands between partitions for good.
     [[nodiscard]] std::size_t machineMoves() const { return moveFigures_.moves; }
     [[nodiscard]] const MoveFigures& moveFigures() const { return moveFigures_; }
     [[nodiscard]] Time now() const { return now_; }
@@ -238,7 +238,7 @@
     struct Record {
         protocol::Json value;
         std::uint64_t version = 0;
-        std::uint64_t hold = 0;
+        std::uint64_t lease = 0;
         Time changedAt{};
     };
     struct Watch {
@@ -267,16 +267,16 @@
     // What the node's version makes of the limits in force and those announced.
     void setLimits(Node& node) const;
     void changed(const std::string& key, bool deleted);
-    // A transaction moves machines to other parts for good.
-    void noteMachineMoves(const protocol::Json& changes);
+    // A transaction moves machines to other partitions for good.
+    void noteMachineMoves(const protocol::Json& writes);
     void noteMove(Worker& worker, std::uint64_t floor);
     // The worker has taken an answer of this node.
-    void noteAnswered(Worker& worker, const std::string& node, std::uint64_t token);
+    void noteAnswered(Worker& worker, const std::string& node, std::uint64_t fencingToken);
     [[nodiscard]] bool nodeUp(std::size_t index) const;
     void answerWatches();
     void endWatch(const std::shared_ptr<Watch>& watch);  // its time has run out
     [[nodiscard]] bool stateRefuses(const std::string& node) const;
-    void expireHolds();
+    void expireLeases();
     void serveCloud(const transport::HttpRequest& request, const transport::HttpReply& reply);
 
     Worker* worker(const std::string& id);
@@ -293,11 +293,11 @@
     [[nodiscard]] std::set<std::string> recordedClaims() const;
     // Whether each task that is on a machine has its claim in the records.
     void watchClaims();
-    // Records, ledgers and machines compared, once all troubles are over.
+    // Records, cluster states and machines compared, once all troubles are over.
     void audit();
     void auditJob(const std::string& job);
-    void auditStrays();
-    void auditLedger(Node& node);
+    void auditOrphans();
+    void auditClusterState(Node& node);
     [[nodiscard]] bool couldStart(const std::string& job);
     void sendBad(const std::string& job, const protocol::Json& body);
     void endTask(Worker& worker, Task& task, const char* cause, bool kept);
@@ -325,8 +325,8 @@
     std::map<std::string, Record> records_;
     std::uint64_t revision_ = 0;
     std::deque<std::tuple<std::uint64_t, std::string, std::optional<protocol::Json>>> log_;
-    std::map<std::uint64_t, std::pair<Time, Time>> holds_;  // ends, length
-    std::uint64_t nextHold_ = 1;
+    std::map<std::uint64_t, std::pair<Time, Time>> leases_;  // ends, length
+    std::uint64_t nextLease_ = 1;
     std::vector<std::shared_ptr<Watch>> watches_;
     Time stateBackAt_{};
     Time cloudBackAt_{};
@@ -334,7 +334,7 @@
     std::map<std::string, Time> refusedUntil_;
     struct Cut {
         Time until{};
-        bool hold = false;
+        bool delayed = false;
     };
     std::map<std::pair<std::string, std::string>, Cut> cuts_;
     std::map<std::string, std::vector<std::string>> rentals_;
--- a/tests/sim/world_audit.cpp
+++ b/tests/sim/world_audit.cpp
@@ -9,9 +9,9 @@
 namespace {
 
 constexpr Time watchPeriod{5.0};
-constexpr Time reportRound{10.0};    // the longest period, with an answer that does not come
-constexpr Time settled{15.0};        // after a change every node has followed it
-constexpr Time straysDeleted{90.0};  // after the end of their job, when nothing else is written
+constexpr Time reportRound{10.0};     // the longest period, with an answer that does not come
+constexpr Time settled{15.0};         // after a change every node has followed it
+constexpr Time orphansDeleted{90.0};  // after the end of their job, when nothing else is written
 constexpr auto slicePrefix = "live/slice/";
 constexpr auto jobPrefix = "live/job/";
 
@@ -65,14 +65,14 @@
     for (auto at = records_.lower_bound(jobPrefix);
          at != records_.end() && at->first.starts_with(jobPrefix); ++at)
         auditJob(at->first.substr(std::string_view(jobPrefix).size()));
-    auditStrays();
+    auditOrphans();
     for (const auto& node : nodes_)
-        if (node->controller && node->controller->synced()) auditLedger(*node);
+        if (node->controller && node->controller->synced()) auditClusterState(*node);
 }
 
 void World::auditJob(const std::string& id) {
     // As a reader sees it that has nothing but the records.
-    bookkeeping::Ledger fresh;
+    bookkeeping::ClusterState fresh;
     const auto apply = [&](const std::string& key, const Record& record) {
         bookkeeping::applyEvent(fresh, {key, record.value, record.version}, {});
     };
@@ -97,20 +97,20 @@
                 fmt::format("{}/{} is in {} slices of the records", id, task, cover[task]));
 }
 
-void World::auditStrays() {
-    if (now_ - checker_.quietSince() < straysDeleted) return;
+void World::auditOrphans() {
+    if (now_ - checker_.quietSince() < orphansDeleted) return;
     for (auto at = records_.lower_bound(slicePrefix);
          at != records_.end() && at->first.starts_with(slicePrefix); ++at) {
         const auto job = sliceOfKey(at->first).first;
-        const auto final = records_.find(bookkeeping::keys::final(job));
-        if (final != records_.end() && now_ - final->second.changedAt > straysDeleted)
+        const auto final = records_.find(bookkeeping::keys::terminal(job));
+        if (final != records_.end() && now_ - final->second.changedAt > orphansDeleted)
             checker_.auditFailed(at->first + " has outlived its job");
     }
 }
 
-void World::auditLedger(Node& node) {
-    auto ledger = node.controller->ledger().lock();
-    for (const auto& [id, job] : ledger->jobs) {
+void World::auditClusterState(Node& node) {
+    auto clusterState = node.controller->clusterState().lock();
+    for (const auto& [id, job] : clusterState->jobs) {
         const auto live = records_.find(bookkeeping::keys::job(id));
         if (live == records_.end() || now_ - live->second.changedAt < settled) continue;
         for (const auto& slice : job.slices)
@@ -122,7 +122,7 @@
          at != records_.end() && at->first.starts_with(slicePrefix); ++at) {
         if (now_ - at->second.changedAt < settled) continue;
         const auto [id, index] = sliceOfKey(at->first);
-        const auto* job = ledger->job(id);
+        const auto* job = clusterState->job(id);
         const auto live = records_.find(bookkeeping::keys::job(id));
         if (live == records_.end() || now_ - live->second.changedAt < settled) continue;
         if (job == nullptr || index >= job->slices.size()) {
--- a/tests/sim/world_parts.h
+++ b/tests/sim/world_parts.h
@@ -140,7 +140,7 @@
     std::optional<Time> noticeEnds;
     std::uint64_t session = 1;
     std::uint64_t sequence = 0;
-    std::uint64_t token = 0;
+    std::uint64_t fencingToken = 0;
     Time leaseFrom{};
     int node = 0;
     bool reporting = false;
@@ -151,7 +151,7 @@
     std::vector<std::string> images;
     std::vector<Task> tasks;
     std::optional<Time> answeredAt;
-    // Its record names another part since then, whose answers begin with this token.
+    // Its record names another partition since then, whose answers begin with this token.
     std::optional<Time> movedAt;
     std::uint64_t movedFloor = 0;
 };
--- a/tests/sim/world_state.cpp
+++ b/tests/sim/world_state.cpp
@@ -15,7 +15,7 @@
 void World::stateOutage(Time length) {
     stateBackAt_ = now_ + length;
     checker_.troubledUntil(stateBackAt_);
-    for (auto& [id, hold] : holds_) hold.first = stateBackAt_ + hold.second;
+    for (auto& [id, lease] : leases_) lease.first = stateBackAt_ + lease.second;
     at(stateBackAt_, [this] { answerWatches(); });
 }
 
@@ -25,17 +25,17 @@
     checker_.troubledUntil(now_ + length);
 }
 
-void World::expireHolds() {
+void World::expireLeases() {
     if (now_ < stateBackAt_) return;
-    for (auto hold = holds_.begin(); hold != holds_.end();) {
-        if (hold->second.first > now_) {
-            ++hold;
+    for (auto lease = leases_.begin(); lease != leases_.end();) {
+        if (lease->second.first > now_) {
+            ++lease;
             continue;
         }
         std::vector<std::string> keys;
         for (const auto& [key, record] : records_)
-            if (record.hold == hold->first) keys.push_back(key);
-        hold = holds_.erase(hold);
+            if (record.lease == lease->first) keys.push_back(key);
+        lease = leases_.erase(lease);
         for (const auto& key : keys) {
             ++revision_;
             records_.erase(key);
@@ -86,13 +86,13 @@
 }
 
 bool World::withinLimits(const Json& body) const {
-    const auto& changes = protocol::listOf(body, wire::changes);
-    const auto& conditions = protocol::listOf(body, wire::conditions);
-    const auto conditionsMost = limits_.changes * app::Settings::conditionsPerChange;
-    return changes.size() <= limits_.changes && conditions.size() <= conditionsMost &&
-           std::all_of(changes.begin(), changes.end(), [this](const Json& change) {
-               const auto value = change.find(wire::value);
-               return value == change.end() ||
+    const auto& writes = protocol::listOf(body, wire::writes);
+    const auto& compares = protocol::listOf(body, wire::compares);
+    const auto conditionsMost = limits_.writes * app::Settings::conditionsPerChange;
+    return writes.size() <= limits_.writes && compares.size() <= conditionsMost &&
+           std::all_of(writes.begin(), writes.end(), [this](const Json& write) {
+               const auto value = write.find(wire::value);
+               return value == write.end() ||
                       static_cast<double>(value->dump().size()) <= limits_.valueKb * 1024;
            });
 }
@@ -102,58 +102,58 @@
                                    [&from](const auto& n) { return n->name == from; });
     if (node == nodes_.end() || !(*node)->oldVersion) return body;
     Json kept = Json::array();
-    for (const auto& change : protocol::listOf(body, wire::changes)) {
-        const auto key = protocol::textOf(change, wire::put);
-        if (!key.starts_with(bookkeeping::keys::upgraded({})) &&
-            !key.starts_with(bookkeeping::keys::transfers({})))
-            kept.push_back(change);
+    for (const auto& write : protocol::listOf(body, wire::writes)) {
+        const auto key = protocol::textOf(write, wire::put);
+        if (!key.starts_with(bookkeeping::keys::jobDependenciesGate({})) &&
+            !key.starts_with(bookkeeping::keys::machineTransfersGate({})))
+            kept.push_back(write);
     }
-    body[wire::changes] = std::move(kept);
+    body[wire::writes] = std::move(kept);
     return body;
 }
 
-void World::noteMachineMoves(const Json& changes) {
+void World::noteMachineMoves(const Json& writes) {
     const auto prefix = bookkeeping::keys::machine({});
     const auto before = moveFigures_.moves;
-    for (const auto& change : changes) {
-        const auto key = protocol::textOf(change, wire::put);
+    for (const auto& write : writes) {
+        const auto key = protocol::textOf(write, wire::put);
         const auto known = records_.find(key);
         if (!key.starts_with(prefix) || known == records_.end()) continue;
         const auto& last = known->second.value;
-        const auto& next = change[wire::value];
+        const auto& next = write[wire::value];
         if (last["part"] == next["part"] || next.contains("lender") || last.contains("lender"))
             continue;
         if (Worker* moved = worker(key.substr(prefix.size())))
             noteMove(*moved, protocol::countOf(next, "floor"));
     }
-    if (moveFigures_.moves > before) moveFigures_.changes += changes.size();
+    if (moveFigures_.moves > before) moveFigures_.writes += writes.size();
 }
 
 HttpResponse World::stateTransaction(const Json& body) {
     if (!withinLimits(body)) return answer(400);
     Json failed = Json::array();
-    for (const auto& condition : protocol::listOf(body, wire::conditions)) {
-        const auto key = protocol::textOf(condition, wire::key);
+    for (const auto& compare : protocol::listOf(body, wire::compares)) {
+        const auto key = protocol::textOf(compare, wire::key);
         const auto found = records_.find(key);
         const auto version = found == records_.end() ? 0 : found->second.version;
-        if (version != protocol::countOf(condition, wire::version)) failed.push_back(key);
+        if (version != protocol::countOf(compare, wire::version)) failed.push_back(key);
     }
-    const auto& changes = protocol::listOf(body, wire::changes);
-    for (const auto& change : changes) {
-        const auto hold = protocol::countOf(change, wire::hold);
-        if (hold != 0 && !holds_.contains(hold)) return answer(400);
+    const auto& writes = protocol::listOf(body, wire::writes);
+    for (const auto& write : writes) {
+        const auto lease = protocol::countOf(write, wire::lease);
+        if (lease != 0 && !leases_.contains(lease)) return answer(400);
     }
     if (!failed.empty()) return answer(409, {{wire::failed, failed}, {wire::revision, revision_}});
-    if (!changes.empty()) ++revision_;
-    noteMachineMoves(changes);
-    for (const auto& change : changes) {
-        auto key = protocol::textOf(change, wire::put);
+    if (!writes.empty()) ++revision_;
+    noteMachineMoves(writes);
+    for (const auto& write : writes) {
+        auto key = protocol::textOf(write, wire::put);
         if (key.empty()) {
-            key = protocol::textOf(change, wire::drop);
+            key = protocol::textOf(write, wire::drop);
             if (records_.erase(key) > 0) changed(key, true);
             continue;
         }
-        records_[key] = {change[wire::value], revision_, protocol::countOf(change, wire::hold),
+        records_[key] = {write[wire::value], revision_, protocol::countOf(write, wire::lease),
                          now_};
         changed(key, false);
     }
@@ -163,14 +163,14 @@
 
 void World::serveState(const std::string& from, const HttpRequest& request,
                        const HttpReply& reply) {
-    expireHolds();
+    expireLeases();
     const auto path = request.path.substr(0, request.path.find('?'));
     const auto query = queryOf(request.path);
     const auto text = [&](const char* name) {
         const auto found = query.find(name);
         return found == query.end() ? std::string() : found->second;
     };
-    if (path == wire::pathFollow) {
+    if (path == wire::pathWatch) {
         auto watch = std::make_shared<Watch>();
         watch->prefix = text(wire::queryPrefix);
         watch->since = std::stoull(text(wire::querySince));
@@ -191,22 +191,22 @@
         const Time later(
             std::uniform_real_distribution<>(soonestWrite.count(), latestWrite.count())(rng_));
         at(std::max(now_ + later, stateBackAt_), [this, body = *body] {
-            expireHolds();
+            expireLeases();
             stateTransaction(body);
         });
         return;
     }
-    if (path == wire::pathHolds) {
-        const Time length(protocol::numberOf(*body, wire::holdTime) / 1000);
-        holds_[nextHold_] = {now_ + length, length};
-        return reply(answer(200, {{wire::hold, nextHold_++}}));
+    if (path == wire::pathLeases) {
+        const Time length(protocol::numberOf(*body, wire::leaseTtl) / 1000);
+        leases_[nextLease_] = {now_ + length, length};
+        return reply(answer(200, {{wire::lease, nextLease_++}}));
     }
-    if (path.starts_with(wire::pathHolds)) {
-        const auto id = std::stoull(path.substr(std::string(wire::pathHolds).size() + 1));
-        const auto hold = holds_.find(id);
-        if (hold == holds_.end()) return reply(answer(404));
-        hold->second.first = now_ + hold->second.second;
-        return reply(answer(200, {{wire::hold, id}}));
+    if (path.starts_with(wire::pathLeases)) {
+        const auto id = std::stoull(path.substr(std::string(wire::pathLeases).size() + 1));
+        const auto lease = leases_.find(id);
+        if (lease == leases_.end()) return reply(answer(404));
+        lease->second.first = now_ + lease->second.second;
+        return reply(answer(200, {{wire::lease, id}}));
     }
     const auto item = [](const std::string& key, const Record& record) {
         return Json{{wire::key, key}, {wire::value, record.value}, {wire::version, record.version}};
--- a/tests/sim/world_troubles.cpp
+++ b/tests/sim/world_troubles.cpp
@@ -25,7 +25,7 @@
         return spec_
             .zones[std::uniform_int_distribution<std::size_t>(0, spec_.zones.size() - 1)(rng_)];
     };
-    const bool hold = std::bernoulli_distribution(0.5)(rng_);
+    const bool delayed = std::bernoulli_distribution(0.5)(rng_);
     switch (std::uniform_int_distribution<>(0, 10)(rng_)) {
         case 0:
             return kill(node, between(0.1, 0.6));
@@ -36,7 +36,7 @@
         case 3:
             return stateOutage(between(5, spec_.cancel.count() * 1.2));
         case 4:
-            return cutZone(zone(), between(5, spec_.lease.count() * 1.5), hold);
+            return cutZone(zone(), between(5, spec_.lease.count() * 1.5), delayed);
         case 5:
             return isolateFromState(node, between(5, 30));
         case 6:
--- a/tests/sim/world_workers.cpp
+++ b/tests/sim/world_workers.cpp
@@ -57,10 +57,11 @@
         tasks.push_back(std::move(entry));
     }
     const auto address = spec_.outside != nullptr ? spec_.outside->addressOf(w.id) : w.id;
-    Json body{
-        {wire::machine, w.id},        {wire::address, address}, {wire::type, w.type},
-        {wire::zone, w.zone},         {wire::spot, w.spot},     {wire::session, w.session},
-        {wire::sequence, w.sequence}, {wire::token, w.token},   {wire::tasks, std::move(tasks)}};
+    Json body{{wire::machine, w.id},          {wire::address, address},
+              {wire::type, w.type},           {wire::zone, w.zone},
+              {wire::spot, w.spot},           {wire::session, w.session},
+              {wire::sequence, w.sequence},   {wire::fencingToken, w.fencingToken},
+              {wire::tasks, std::move(tasks)}};
     if (w.noticeEnds) body[wire::notice] = (*w.noticeEnds - now_).count();
     return body;
 }
@@ -114,12 +115,12 @@
                     at(now_ + Time(1), [this, id] { reportSoon(*worker(id)); });
                     return;
                 }
-                const auto token = protocol::countOf(*body, wire::token);
-                if (token >= target.token && session == target.session) {
-                    const bool higher = token > target.token;
-                    target.token = token;
+                const auto fencingToken = protocol::countOf(*body, wire::fencingToken);
+                if (fencingToken >= target.fencingToken && session == target.session) {
+                    const bool higher = fencingToken > target.fencingToken;
+                    target.fencingToken = fencingToken;
                     target.leaseFrom = sent;
-                    noteAnswered(target, node, token);
+                    noteAnswered(target, node, fencingToken);
                     obey(target, protocol::listOf(*body, wire::commands));
                     if (higher && now_ - target.tokenReported > spec_.lease / 2) {
                         target.tokenReported = now_;
@@ -145,10 +146,10 @@
     }
 }
 
-void World::noteAnswered(Worker& w, const std::string& node, std::uint64_t token) {
-    checker_.answered(w.id, node, token);
+void World::noteAnswered(Worker& w, const std::string& node, std::uint64_t fencingToken) {
+    checker_.answered(w.id, node, fencingToken);
     const auto before = std::exchange(w.answeredAt, now_);
-    if (!w.movedAt || token < w.movedFloor) return;
+    if (!w.movedAt || fencingToken < w.movedFloor) return;
     const Time took = now_ - *w.movedAt;
     ++moveFigures_.heard;
     moveFigures_.untilHeard += took;
--- a/tests/unit/audit_test.cpp
+++ b/tests/unit/audit_test.cpp
@@ -1,4 +1,4 @@
-// The audit of records, ledgers and machines must find what is planted.
+// The audit of records, cluster states and machines must find what is planted.
 #include <gtest/gtest.h>
 
 #include "small_world.h"
--- a/tests/unit/checker_test.cpp
+++ b/tests/unit/checker_test.cpp
@@ -41,7 +41,7 @@
     checker.started("run-1", 0, {"m-2", "small", "a", false}, Time(2));
     expectOnly("ran_twice");
 }
-TEST_F(Planted, TwoOwners) {
+TEST_F(Planted, TwoLeaders) {
     checker.answered("m-1", "node-0", 70);
     checker.answered("m-1", "node-1", 71);
     checker.answered("m-2", "node-1", 70);
--- a/tests/unit/failures_test.cpp
+++ b/tests/unit/failures_test.cpp
@@ -30,7 +30,7 @@
     EXPECT_FALSE(job.failing());
 }
 
-TEST_F(FailingJob, SlicesOfSeveralOwnersCountTogether) {
+TEST_F(FailingJob, SlicesOfSeveralLeadersCountTogether) {
     job.slices[0].failures = 2;
     job.slices[1].failures = 1;
     EXPECT_TRUE(job.failing());
@@ -44,9 +44,9 @@
 
 TEST_F(FailingJob, IsNotSchedulableButMayBeStarted) {
     job.slices[0].failures = 3;
-    const Ledger ledger;
-    EXPECT_FALSE(ledger.schedulable(job));
-    EXPECT_TRUE(ledger.startable(job));
+    const ClusterState clusterState;
+    EXPECT_FALSE(clusterState.schedulable(job));
+    EXPECT_TRUE(clusterState.startable(job));
 }
 
 TEST_F(FailingJob, AvoidsAMachineForAWhileOnly) {
@@ -57,14 +57,14 @@
     EXPECT_FALSE(job.avoids("m-1", failed + seconds(61)));
 }
 
-TEST_F(FailingJob, IsKnownToTheNextOwnerFromTheRecords) {
-    Ledger ledger;
-    applyEvent(ledger, {keys::job("run-1"), jobValue(job), 5}, {});
+TEST_F(FailingJob, IsKnownToTheNextLeaderFromTheRecords) {
+    ClusterState clusterState;
+    applyEvent(clusterState, {keys::job("run-1"), jobValue(job), 5}, {});
     Slice failed = job.slices[1];
     failed.failures = 3;
-    applyEvent(ledger, {keys::slice("run-1", 1), sliceValue(failed), 6}, {});
-    ASSERT_NE(ledger.job("run-1"), nullptr);
-    EXPECT_TRUE(ledger.job("run-1")->failing());
+    applyEvent(clusterState, {keys::slice("run-1", 1), sliceValue(failed), 6}, {});
+    ASSERT_NE(clusterState.job("run-1"), nullptr);
+    EXPECT_TRUE(clusterState.job("run-1")->failing());
 }
 
 TEST_F(FailingJob, ARecordWithoutFailuresIsWrittenAsBefore) {
--- a/tests/unit/machine_transfer_test.cpp
+++ b/tests/unit/machine_transfer_test.cpp
@@ -11,27 +11,28 @@
 using bookkeeping::TaskRange;
 using bookkeeping::keys::job;
 using bookkeeping::keys::machine;
-using bookkeeping::keys::share;
+using bookkeeping::keys::quota;
 using bookkeeping::keys::slice;
 
-// Part 0 of node 0 has machines m-1 and m-2, and its peer node 2 owns part 2.
+// Partition 0 of node 0 has machines m-1 and m-2, and its peer node 2 owns partition 2.
 class TransferBench : public RecordBench {
   protected:
     TransferBench()
         : membership(context),
           placement(context, membership),
-          shares(context, membership, committer, placement),
-          reports(context, membership, recorder),
-          transfers(context, committer, recorder.writer(), shares, reports) {
+          shares(context, membership, pipeline, placement),
+          reports(context, membership, stateWriter),
+          transfers(context, pipeline, stateWriter.writer(), shares, reports) {
         settings_.teams = {{"t", 0, 0, 90, 0}};
         for (const auto* node : {"node-0", "node-1", "node-2"})
-            state.put(bookkeeping::keys::transfers(node), bookkeeping::upgradedValue());
+            state.put(bookkeeping::keys::machineTransfersGate(node),
+                      bookkeeping::featureGateValue());
         for (const auto* id : {"m-1", "m-2"}) {
             Machine made;
             made.id = id;
             made.type = "large";
             made.zone = "a";
-            made.part = 0;
+            made.partition = 0;
             state.put(machine(id), bookkeeping::machineValue(made));
         }
     }
@@ -39,19 +40,20 @@
     // Takes the records in, with machines that have been heard.
     void loadHeard() {
         load();
-        auto ledger = context.ledger.lock();
-        for (auto& [id, known] : ledger->machines) {
+        auto clusterState = context.clusterState.lock();
+        for (auto& [id, known] : clusterState->machines) {
             known.lastReport = context.now();
-            known.token = known.firstToken = known.expected = known.shown = 65'536;
+            known.fencingToken = known.firstFencingToken = known.expectedToken =
+                known.acknowledgedToken = 65'536;
         }
-        for (auto& [id, known] : ledger->jobs)
+        for (auto& [id, known] : clusterState->jobs)
             for (auto& piece : known.slices)
                 for (auto& claim : piece.claims) {
                     claim.seen = true;
                     claim.state = protocol::TaskState::running;
                 }
         timers.advance(60s);
-        for (auto& [id, known] : ledger->machines) known.lastReport = context.now();
+        for (auto& [id, known] : clusterState->machines) known.lastReport = context.now();
     }
     // An array of ten tasks in one slice: 2, 3 and 6 on m-1, 5 on m-2, 4 and 7 done.
     void putArray() {
@@ -76,7 +78,7 @@
         return {0, {2, 0, 0}, settings_.transactionChanges, context.now(), 30s, 10s, true};
     }
     sharing::HandoverPlan planFor(const std::string& id) {
-        return sharing::planHandover(*context.ledger.lock(), id, rules());
+        return sharing::planHandover(*context.clusterState.lock(), id, rules());
     }
     sharing::Refusal refusalFor(const std::string& id) {
         const auto plan = planFor(id);
@@ -93,16 +95,17 @@
                                     [this](bool done) { given = done; }));
     }
     // What a reader knows that has nothing but the records.
-    void readRecords(bookkeeping::Ledger& fresh) {
-        fresh.partCount = 3;
+    void readRecords(bookkeeping::ClusterState& fresh) {
+        fresh.partitionCount = 3;
         for (const auto& [key, record] : state.records)
             bookkeeping::applyEvent(fresh, {key, record.value, record.version}, context.now());
     }
-    // A machine's owner holds all its tasks' slices.
-    void expectOneOwner(bookkeeping::Ledger& ledger) {
-        for (auto& [id, known] : ledger.machines)
+    // A machine's leader holds all its tasks' slices.
+    void expectOneOwner(bookkeeping::ClusterState& clusterState) {
+        for (auto& [id, known] : clusterState.machines)
             for (const auto& ref : known.claims)
-                EXPECT_EQ(ledger.held(ref).slice->part, known.part) << id << " task " << ref.task;
+                EXPECT_EQ(clusterState.held(ref).slice->partition, known.partition)
+                    << id << " task " << ref.task;
     }
 
     Membership membership;
@@ -125,23 +128,23 @@
     give("m-1");
     serveAll();
     EXPECT_EQ(given, true);
-    bookkeeping::Ledger fresh;
+    bookkeeping::ClusterState fresh;
     readRecords(fresh);
-    for (auto* ledger : {&fresh, &*context.ledger.lock()}) {
-        EXPECT_EQ(ledger->machine("m-1")->part, 2U);
-        EXPECT_EQ(ledger->machine("m-2")->part, 0U);
-        EXPECT_EQ(ledger->machine("m-1")->claims.size(), 3U);
+    for (auto* clusterState : {&fresh, &*context.clusterState.lock()}) {
+        EXPECT_EQ(clusterState->machine("m-1")->partition, 2U);
+        EXPECT_EQ(clusterState->machine("m-2")->partition, 0U);
+        EXPECT_EQ(clusterState->machine("m-1")->claims.size(), 3U);
         for (const std::uint32_t task : {2U, 3U, 6U}) {
-            const auto* claim = ledger->job("run-1")->sliceOf(task)->claimOf(task);
+            const auto* claim = clusterState->job("run-1")->sliceOf(task)->claimOf(task);
             ASSERT_NE(claim, nullptr);
             EXPECT_EQ(claim->attempt, 70 + task);
         }
-        expectOneOwner(*ledger);
+        expectOneOwner(*clusterState);
     }
     EXPECT_EQ(coverInRecords("run-1"), std::vector<int>(10, 1));
-    EXPECT_EQ(coverInLedger("run-1"), std::vector<int>(10, 1));
-    // Its worker has to show the new owner's token before anything is concluded.
-    EXPECT_GT(fresh.machine("m-1")->tokenFloor, 65'536U);
+    EXPECT_EQ(coverInClusterState("run-1"), std::vector<int>(10, 1));
+    // Its worker has to show the new leader's token before anything is concluded.
+    EXPECT_GT(fresh.machine("m-1")->minFencingToken, 65'536U);
     EXPECT_EQ(fresh.machine("m-1")->movedBy, "node-0");
 }
 
@@ -157,8 +160,8 @@
     serveAll();
     EXPECT_EQ(given, true);
     EXPECT_EQ(coverInRecords("run-1"), std::vector<int>(8, 1));
-    EXPECT_EQ(coverInLedger("run-1"), std::vector<int>(8, 1));
-    bookkeeping::Ledger fresh;
+    EXPECT_EQ(coverInClusterState("run-1"), std::vector<int>(8, 1));
+    bookkeeping::ClusterState fresh;
     readRecords(fresh);
     EXPECT_EQ(fresh.machine("m-1")->claims.size(), 2U);
     expectOneOwner(fresh);
@@ -170,32 +173,34 @@
     give("m-2");
     serveAll();
     EXPECT_EQ(given, true);
-    bookkeeping::Ledger fresh;
+    bookkeeping::ClusterState fresh;
     readRecords(fresh);
-    EXPECT_EQ(fresh.job("run-1")->part, 2U);
-    EXPECT_EQ(fresh.machine("m-1")->part, 2U);
-    EXPECT_EQ(fresh.machine("m-2")->part, 2U);
+    EXPECT_EQ(fresh.job("run-1")->partition, 2U);
+    EXPECT_EQ(fresh.machine("m-1")->partition, 2U);
+    EXPECT_EQ(fresh.machine("m-2")->partition, 2U);
     expectOneOwner(fresh);
 }
 
 TEST_F(TransferBench, AGangThatHasNotStartedStaysWithAllItsMachines) {
     putGang(2);
     loadHeard();
-    context.ledger.lock()->job("run-1")->slices[0].claims[1].state = protocol::TaskState::waiting;
+    context.clusterState.lock()->job("run-1")->slices[0].claims[1].state =
+        protocol::TaskState::waiting;
     EXPECT_EQ(refusalFor("m-1"), sharing::Refusal::gangStarting);
     EXPECT_EQ(refusalFor("m-2"), sharing::Refusal::gangStarting);
     // Half placed, the other half given up.
-    auto ledger = context.ledger.lock();
-    ledger->removeClaim(*ledger->job("run-1"), ledger->job("run-1")->slices[0], 1);
+    auto clusterState = context.clusterState.lock();
+    clusterState->removeClaim(*clusterState->job("run-1"), clusterState->job("run-1")->slices[0],
+                              1);
     EXPECT_EQ(refusalFor("m-1"), sharing::Refusal::gangStarting);
 }
 
 TEST_F(TransferBench, WhatIsLeavingOrUnsureStays) {
     putArray();
     loadHeard();
-    auto ledger = context.ledger.lock();
-    Machine& known = *ledger->machine("m-1");
-    Job& array = *ledger->job("run-1");
+    auto clusterState = context.clusterState.lock();
+    Machine& known = *clusterState->machine("m-1");
+    Job& array = *clusterState->job("run-1");
     const auto saved = known;
     const auto refusedWith = [&](auto&& change) {
         change();
@@ -214,10 +219,11 @@
     EXPECT_EQ(refusedWith([&] { known.lender = 1; }), Refusal::onLoan);
     EXPECT_EQ(refusedWith([&] { known.version = 0; }), Refusal::notRecorded);
     EXPECT_EQ(refusedWith([&] { known.lastReport = context.now() - 11s; }), Refusal::silent);
-    EXPECT_EQ(refusedWith([&] { known.expected = known.shown + 1; }), Refusal::silent);
+    EXPECT_EQ(refusedWith([&] { known.expectedToken = known.acknowledgedToken + 1; }),
+              Refusal::silent);
     EXPECT_EQ(refusedWith([&] { known.known = context.now() - 29s; }), Refusal::heldTooShort);
     EXPECT_EQ(refusedWith([&] {
-                  known.reservedFor = "run-1";  // of the giver's own part
+                  known.reservedFor = "run-1";  // of the giver's own partition
                   known.reservedUntil = context.now() + 5s;
               }),
               Refusal::reserved);
@@ -230,7 +236,7 @@
     array.slices[0].leaving = TaskRange{8, 2};
     EXPECT_EQ(refusalFor("m-1"), Refusal::jobLeaving);
     array.slices[0].leaving.reset();
-    ledger->noteCancellation("run-1", 1);
+    clusterState->recordCancellation("run-1", 1);
     EXPECT_EQ(refusalFor("m-1"), Refusal::jobEnding);
 }
 
@@ -246,20 +252,20 @@
 }
 
 // The room that the tasks leave must not be filled under the giver's old share of the limit.
-TEST_F(TransferBench, TheShareOfTheTeamsLimitGoesWithTheTasks) {
+TEST_F(TransferBench, TheQuotaOfTheTeamsLimitGoesWithTheTasks) {
     putArray();
     loadHeard();
     const auto* team = context.team("t");
     ASSERT_NE(team, nullptr);
     give("m-1");
     // Nothing more of it may be begun by the giver while the outcome is unknown.
-    EXPECT_TRUE(context.ledger.lock()->sharesLeaving.contains("t"));
+    EXPECT_TRUE(context.clusterState.lock()->sharesLeaving.contains("t"));
     serveAll();
-    auto ledger = context.ledger.lock();
-    EXPECT_DOUBLE_EQ(placement.shareOf(*ledger, *team, 0).cpus, 27);
-    EXPECT_DOUBLE_EQ(placement.shareOf(*ledger, *team, 1).cpus, 30);
-    EXPECT_DOUBLE_EQ(placement.shareOf(*ledger, *team, 2).cpus, 33);
-    EXPECT_FALSE(ledger->sharesLeaving.contains("t"));
+    auto clusterState = context.clusterState.lock();
+    EXPECT_DOUBLE_EQ(placement.shareOf(*clusterState, *team, 0).cpus, 27);
+    EXPECT_DOUBLE_EQ(placement.shareOf(*clusterState, *team, 1).cpus, 30);
+    EXPECT_DOUBLE_EQ(placement.shareOf(*clusterState, *team, 2).cpus, 33);
+    EXPECT_FALSE(clusterState->sharesLeaving.contains("t"));
 }
 
 TEST_F(TransferBench, ACancellationThatComesFirstKeepsTheMachine) {
@@ -271,11 +277,11 @@
     state.put(job("run-1"), cancelled);
     serveAll();
     EXPECT_EQ(given, false);
-    auto ledger = context.ledger.lock();
-    EXPECT_EQ(ledger->machine("m-1")->part, 0U);
-    EXPECT_FALSE(ledger->machine("m-1")->transferring);
-    EXPECT_TRUE(ledger->job("run-1")->cancelled);
-    expectOneOwner(*ledger);
+    auto clusterState = context.clusterState.lock();
+    EXPECT_EQ(clusterState->machine("m-1")->partition, 0U);
+    EXPECT_FALSE(clusterState->machine("m-1")->transferring);
+    EXPECT_TRUE(clusterState->job("run-1")->cancelled);
+    expectOneOwner(*clusterState);
 }
 
 TEST_F(TransferBench, ATakerThatHasChangedGetsNothing) {
@@ -288,7 +294,7 @@
     EXPECT_EQ(state.records[machine("m-1")].value["part"], 0);
 }
 
-TEST_F(TransferBench, AGiverThatHasLostItsPartGivesNothing) {
+TEST_F(TransferBench, AGiverThatHasLostItsPartitionGivesNothing) {
     putArray();
     loadHeard();
     give("m-1");
@@ -296,7 +302,7 @@
     serveAll();
     EXPECT_EQ(given, false);
     EXPECT_EQ(state.records[machine("m-1")].value["part"], 0);
-    expectOneOwner(*context.ledger.lock());
+    expectOneOwner(*context.clusterState.lock());
 }
 
 // Carried out, but the answer is lost, and an earlier copy comes late.
@@ -307,18 +313,18 @@
     serveAll();
     {
         // Read anew, the records say nothing of what the workers report.
-        auto ledger = context.ledger.lock();
-        for (auto& [id, known] : ledger->machines) known.lastReport = context.now();
-        for (auto& [id, known] : ledger->machines) known.known = context.now() - 60s;
+        auto clusterState = context.clusterState.lock();
+        for (auto& [id, known] : clusterState->machines) known.lastReport = context.now();
+        for (auto& [id, known] : clusterState->machines) known.known = context.now() - 60s;
     }
     give("m-1");
     const auto sent = state.takeTransaction();
     EXPECT_EQ(state.carryOut(sent.request).status, 200);
-    // The follow brings it before any answer: the giver sends the worker on from here.
-    for (int i = 0; i < 20 && !context.ledger.lock()->machine("m-1")->departedTo; ++i) {
+    // The watch brings it before any answer: the giver sends the worker on from here.
+    for (int i = 0; i < 20 && !context.clusterState.lock()->machine("m-1")->departedTo; ++i) {
         timers.advance(50ms);
         for (auto request = state.pending.begin(); request != state.pending.end();) {
-            if (!request->isFollow()) {
+            if (!request->isWatch()) {
                 ++request;
                 continue;
             }
@@ -327,16 +333,16 @@
             state.serve(ready);
         }
     }
-    EXPECT_EQ(context.ledger.lock()->machine("m-1")->departedTo, 2U);
+    EXPECT_EQ(context.clusterState.lock()->machine("m-1")->departedTo, 2U);
     EXPECT_FALSE(given.has_value());
     sent.done(std::nullopt);
     serveAll();
     EXPECT_EQ(given, true);
     EXPECT_EQ(state.carryOut(sent.request).status, 409);  // the late copy
-    auto ledger = context.ledger.lock();
-    EXPECT_EQ(ledger->machine("m-1")->part, 2U);
-    EXPECT_FALSE(ledger->machine("m-1")->departedTo);
-    expectOneOwner(*ledger);
+    auto clusterState = context.clusterState.lock();
+    EXPECT_EQ(clusterState->machine("m-1")->partition, 2U);
+    EXPECT_FALSE(clusterState->machine("m-1")->departedTo);
+    expectOneOwner(*clusterState);
 }
 
 TEST_F(TransferBench, ATransactionOfAnEarlierLifeFails) {
@@ -344,38 +350,38 @@
     loadHeard();
     give("m-1");
     const auto late = state.takeTransaction();
-    // Its sender ends, and its next life takes the part with a higher term.
+    // Its sender ends, and its next life takes the partition with a higher term.
     own(0, "node-0", 7);
     EXPECT_EQ(state.carryOut(late.request).status, 409);
     EXPECT_EQ(state.records[machine("m-1")].value["part"], 0);
 }
 
-// What ended while the outcome was unknown belongs to the new owner, who hears it from the worker.
-TEST_F(TransferBench, AnEndSeenDuringTheTransferIsLeftToTheNewOwner) {
+// What ended while the outcome was unknown belongs to the new leader, who hears it from the worker.
+TEST_F(TransferBench, AnEndSeenDuringTheTransferIsLeftToTheNewLeader) {
     putArray();
     loadHeard();
     give("m-1");
     {
-        auto ledger = context.ledger.lock();
-        Job& array = *ledger->job("run-1");
-        ledger->removeClaim(array, array.slices[0], 6);  // of the machine that leaves
+        auto clusterState = context.clusterState.lock();
+        Job& array = *clusterState->job("run-1");
+        clusterState->removeClaim(array, array.slices[0], 6);  // of the machine that leaves
         array.slices[0].markDone(6);
-        ledger->removeClaim(array, array.slices[0], 5);  // of the one that stays
+        clusterState->removeClaim(array, array.slices[0], 5);  // of the one that stays
         array.slices[0].markDone(5);
     }
     serveAll();
     ASSERT_EQ(given, true);
     {
-        auto ledger = context.ledger.lock();
-        Job& array = *ledger->job("run-1");
+        auto clusterState = context.clusterState.lock();
+        Job& array = *clusterState->job("run-1");
         EXPECT_NE(array.sliceOf(6)->claimOf(6), nullptr);
         EXPECT_FALSE(array.sliceOf(6)->complete());
         EXPECT_TRUE(array.sliceOf(5)->done[5 - array.sliceOf(5)->first]);
-        EXPECT_EQ(ledger->machine("m-1")->claims.size(), 3U);
+        EXPECT_EQ(clusterState->machine("m-1")->claims.size(), 3U);
     }
-    recorder.flush(0);
+    stateWriter.flush(0);
     serveAll();
-    bookkeeping::Ledger fresh;
+    bookkeeping::ClusterState fresh;
     readRecords(fresh);
     Job& read = *fresh.job("run-1");
     EXPECT_TRUE(read.sliceOf(5)->done[5 - read.sliceOf(5)->first]);
@@ -392,31 +398,33 @@
         changed[field] = value;
         return changed;
     };
-    auto ledger = context.ledger.lock();
+    auto clusterState = context.clusterState.lock();
     for (const auto& bad : {with("part", 3), with("part", -1), with("part", "two"),
                             with("part", nullptr), with("floor", "high"), with("from", 7),
                             with("lender", 9), with("type", nullptr), Json("m-1"), Json::array()}) {
         state.put(machine("m-1"), bad);
-        bookkeeping::applyEvent(*ledger, {machine("m-1"), bad, state.revision}, context.now());
-        const Machine& known = *ledger->machine("m-1");
-        EXPECT_EQ(known.part, 0U) << bad;
+        bookkeeping::applyEvent(*clusterState, {machine("m-1"), bad, state.revision},
+                                context.now());
+        const Machine& known = *clusterState->machine("m-1");
+        EXPECT_EQ(known.partition, 0U) << bad;
         EXPECT_EQ(known.type, "large") << bad;
         EXPECT_EQ(known.claims.size(), 3U) << bad;
-        // Its owner's next writing goes over the damaged version.
+        // Its leader's next writing goes over the corrupt version.
         EXPECT_EQ(known.version, state.revision) << bad;
-        EXPECT_TRUE(ledger->damagedMachines.contains("m-1")) << bad;
+        EXPECT_TRUE(clusterState->corruptMachines.contains("m-1")) << bad;
     }
-    bookkeeping::applyEvent(*ledger, {machine("m-1"), good, state.revision + 1}, context.now());
-    EXPECT_TRUE(ledger->damagedMachines.empty());
+    bookkeeping::applyEvent(*clusterState, {machine("m-1"), good, state.revision + 1},
+                            context.now());
+    EXPECT_TRUE(clusterState->corruptMachines.empty());
 }
 
 TEST_F(TransferBench, LentMachinesGoAndComeBack) {
     loadHeard();
     transfers.lend(0, 2, {"m-1"});
-    EXPECT_TRUE(context.ledger.lock()->machine("m-1")->transferring);
+    EXPECT_TRUE(context.clusterState.lock()->machine("m-1")->transferring);
     serveAll();
-    EXPECT_EQ(context.ledger.lock()->machine("m-1")->part, 2U);
-    EXPECT_EQ(context.ledger.lock()->machine("m-1")->lender, 0U);
+    EXPECT_EQ(context.clusterState.lock()->machine("m-1")->partition, 2U);
+    EXPECT_EQ(context.clusterState.lock()->machine("m-1")->lender, 0U);
     EXPECT_FALSE(state.records[machine("m-1")].value.contains("from"));
 }
 
--- a/tests/unit/membership_test.cpp
+++ b/tests/unit/membership_test.cpp
@@ -1,4 +1,4 @@
-// What an owner tells its peers of cancellations, and how long it answers workers without news of
+// What a leader tells its peers of cancellations, and how long it answers workers without news of
 // them.
 #include "coordination/membership.h"
 
@@ -22,7 +22,7 @@
     void catchUp() {
         serveAll();
         load();
-        membership.review();
+        membership.reconcile();
     }
 
     Membership membership;
@@ -34,7 +34,7 @@
 TEST_F(MembershipBench, PeersHearOfAllCancellationsBeforeTheirUsersDo) {
     constexpr int cancelled = 700;
     for (int i = 0; i < cancelled; ++i)
-        context.ledger.lock()->noteCancellation("run-" + std::to_string(i), 1'000 + i);
+        context.clusterState.lock()->recordCancellation("run-" + std::to_string(i), 1'000 + i);
     bool told = false;
     std::set<std::string> heard;
     membership.spreadCancellations([&] {
@@ -43,7 +43,7 @@
             const auto envelope = protocol::decodePeer(payload);
             ASSERT_TRUE(envelope);
             if (peer != "node-1") continue;
-            const auto& status = std::get<protocol::Status>(envelope->message);
+            const auto& status = std::get<protocol::PeerHeartbeat>(envelope->message);
             heard.insert(status.cancelled.begin(), status.cancelled.end());
         }
     });
@@ -52,9 +52,9 @@
     EXPECT_EQ(heard.size(), static_cast<std::size_t>(cancelled));
 }
 
-// What was concluded as a part's owner is void once another has owned it, also if the part has come
-// back before anybody looked.
-TEST_F(MembershipBench, APartThatWasAwayForAWhileIsLostFirst) {
+// What was concluded as a partition's leader is void once another has owned it, also if the
+// partition has come back before anybody looked.
+TEST_F(MembershipBench, APartitionThatWasAwayForAWhileIsLostFirst) {
     std::vector<std::uint32_t> lost;
     std::vector<std::uint32_t> active;
     membership.onLost = [&](std::uint32_t number) { lost.push_back(number); };
@@ -67,13 +67,14 @@
     own(0, "node-1", 50);
     own(0, "node-0", 51);
     load();
-    membership.review();
+    membership.reconcile();
     EXPECT_EQ(lost, (std::vector<std::uint32_t>{0}));
-    EXPECT_FALSE(membership.active(0));
-    // The first taking may lose the counter of terms to another part's, and waits for the records.
+    EXPECT_FALSE(membership.isLeader(0));
+    // The first acquisition may lose the counter of terms to another partition's, and waits for the
+    // records.
     catchUp();
     catchUp();
-    EXPECT_TRUE(membership.active(0));
+    EXPECT_TRUE(membership.isLeader(0));
     EXPECT_EQ(std::count(active.begin(), active.end(), 0U), 2);
 }
 
@@ -86,8 +87,8 @@
 };
 
 // A lease renewed now lasts 20 s; of 25 s that leaves under 4 s in which news may be missing, also
-// for an owner whose own lease stands. It once waited 8 s.
-TEST_F(ShortCancelLimit, AnOwnerThatLagsAnswersNoWorkerForLongerThanTheRoomLeft) {
+// for a leader whose own lease stands. It once waited 8 s.
+TEST_F(ShortCancelLimit, AnLeaderThatLagsAnswersNoWorkerForLongerThanTheSlackLeft) {
     membership.start();
     for (int i = 0; i < 10; ++i) {
         timers.advance(20ms);
--- a/tests/unit/messages_test.cpp
+++ b/tests/unit/messages_test.cpp
@@ -99,7 +99,7 @@
     Json body{{wire::machine, "m-1"},
               {wire::session, 2},
               {wire::sequence, 9},
-              {wire::token, 41},
+              {wire::fencingToken, 41},
               {wire::notice, nullptr},
               {wire::tasks,
                {{{wire::task, "run-1/3"},
--- a/tests/unit/peer_codec_test.cpp
+++ b/tests/unit/peer_codec_test.cpp
@@ -16,8 +16,8 @@
 }
 
 TEST(PeerCodec, CarriesEveryField) {
-    const auto status = roundTrip(
-        Status{~0ULL, 127, true, false, 9, 10, 11, 12, true, false, 13, 15, {"run-4", "run-5"}});
+    const auto status = roundTrip(PeerHeartbeat{
+        ~0ULL, 127, true, false, 9, 10, 11, 12, true, false, 13, 15, {"run-4", "run-5"}});
     EXPECT_EQ(status.sentAt, ~0ULL);
     EXPECT_EQ(status.echo, 127U);
     EXPECT_TRUE(status.stateReachable);
@@ -33,7 +33,7 @@
     EXPECT_EQ(status.cancelled, (std::vector<std::string>{"run-4", "run-5"}));
     const auto ask = roundTrip(MoveAsk{300, 2, "run-1", 7, true, 100'000});
     EXPECT_EQ(ask.ask, 300U);
-    EXPECT_EQ(ask.part, 2U);
+    EXPECT_EQ(ask.partition, 2U);
     EXPECT_EQ(ask.job, "run-1");
     EXPECT_EQ(ask.slice, 7U);
     EXPECT_TRUE(ask.wholeJob);
@@ -57,7 +57,7 @@
     EXPECT_EQ(roundTrip(JobEnded{"run-4"}).job, "run-4");
     const auto report = roundTrip(
         DemandReport{2, {{}, {1500, 2000, 64'000, {"g8", "g4"}, "a", true, 12, true, 5, 99}}});
-    EXPECT_EQ(report.part, 2U);
+    EXPECT_EQ(report.partition, 2U);
     ASSERT_EQ(report.demands.size(), 2U);
     const auto& demand = report.demands[1];
     EXPECT_EQ(demand.cpus, 1500U);
@@ -70,11 +70,11 @@
     EXPECT_TRUE(demand.whole);
     EXPECT_EQ(demand.urgency, 5U);
     EXPECT_EQ(demand.since, 99U);
-    const auto owner = roundTrip(OwnerStatus{status, {1, 3}, {70, 71}});
-    EXPECT_EQ(owner.status.sentAt, ~0ULL);
-    EXPECT_EQ(owner.status.cancelled, status.cancelled);
-    EXPECT_EQ(owner.parts, (std::vector<std::uint64_t>{1, 3}));
-    EXPECT_EQ(owner.terms, (std::vector<std::uint64_t>{70, 71}));
+    const auto leader = roundTrip(LeaderHeartbeat{status, {1, 3}, {70, 71}});
+    EXPECT_EQ(leader.status.sentAt, ~0ULL);
+    EXPECT_EQ(leader.status.cancelled, status.cancelled);
+    EXPECT_EQ(leader.partitions, (std::vector<std::uint64_t>{1, 3}));
+    EXPECT_EQ(leader.terms, (std::vector<std::uint64_t>{70, 71}));
 }
 
 TEST(PeerCodec, RefusesOtherVersionsKindsAndTrailingBytes) {
@@ -98,7 +98,7 @@
 }
 
 TEST(PeerCodec, ListsTakeNoMoreThanTheFrameHolds) {
-    auto frame = encodePeer({"n", Status{}});
+    auto frame = encodePeer({"n", PeerHeartbeat{}});
     frame.back() = '\x7f';  // the list's length
     EXPECT_FALSE(decodePeer(frame));
     auto demands = encodePeer({"n", DemandReport{}});
--- a/tests/unit/record_bench.h
+++ b/tests/unit/record_bench.h
@@ -1,4 +1,4 @@
-// A fixture for tests of what an owner records: a small state service whose every request is
+// A fixture for tests of what a leader records: a small state service whose every request is
 // carried out and answered when the test says so, and a clock that the test moves.
 #pragma once
 
@@ -59,8 +59,8 @@
         [[nodiscard]] bool isTransaction() const {
             return request.path == protocol::wire::pathTransaction;
         }
-        [[nodiscard]] bool isFollow() const {
-            return request.path.starts_with(protocol::wire::pathFollow);
+        [[nodiscard]] bool isWatch() const {
+            return request.path.starts_with(protocol::wire::pathWatch);
         }
     };
     using Requests = std::list<Request>;
@@ -101,8 +101,8 @@
         if (request.path == wire::pathTransaction)
             return transact(*protocol::decodeCbor(request.body));
         if (request.path.starts_with(std::string(wire::pathKeys) + "?")) return range(request.path);
-        if (request.path.starts_with(wire::pathFollow)) return follow(request.path);
-        if (request.path.starts_with(wire::pathHolds)) return answer(200, {{wire::hold, 1}});
+        if (request.path.starts_with(wire::pathWatch)) return watch(request.path);
+        if (request.path.starts_with(wire::pathLeases)) return answer(200, {{wire::lease, 1}});
         const auto key = request.path.substr(std::string(wire::pathKeys).size() + 1);
         const auto found = records.find(key);
         if (found == records.end()) return answer(404, {{wire::revision, revision}});
@@ -135,15 +135,15 @@
     }
     transport::HttpResponse transact(const Json& body) {
         namespace wire = protocol::wire;
-        for (const auto& condition : protocol::listOf(body, wire::conditions)) {
-            const auto found = records.find(protocol::textOf(condition, wire::key));
+        for (const auto& compare : protocol::listOf(body, wire::compares)) {
+            const auto found = records.find(protocol::textOf(compare, wire::key));
             const auto version = found == records.end() ? 0 : found->second.version;
-            if (version != protocol::countOf(condition, wire::version))
-                return answer(409, {{wire::failed, Json::array({condition[wire::key]})},
+            if (version != protocol::countOf(compare, wire::version))
+                return answer(409, {{wire::failed, Json::array({compare[wire::key]})},
                                     {wire::revision, revision}});
         }
         ++revision;
-        for (const auto& change : protocol::listOf(body, wire::changes)) {
+        for (const auto& change : protocol::listOf(body, wire::writes)) {
             const auto key = protocol::textOf(change, wire::put);
             if (key.empty()) {
                 const auto dropped = protocol::textOf(change, wire::drop);
@@ -167,7 +167,7 @@
         const bool more = at != records.end() && at->first.starts_with(prefix);
         return answer(200, {{wire::items, items}, {wire::more, more}, {wire::revision, revision}});
     }
-    transport::HttpResponse follow(const std::string& path) {
+    transport::HttpResponse watch(const std::string& path) {
         namespace wire = protocol::wire;
         const auto since = std::stoull(field(path, wire::querySince));
         Json events = Json::array();
@@ -182,26 +182,27 @@
     }
 };
 
-// Node 0 of three, the owner of parts 0 and 1, with its records, mirror, committer and recorder.
+// Node 0 of three, the leader of partitions 0 and 1, with its records, replica, transaction
+// pipeline and state writer.
 class RecordBench : public ::testing::Test {
   protected:
-    explicit RecordBench(double valueKb = 16, std::size_t changes = 12)
-        : settings_(makeSettings(valueKb, changes)),
+    explicit RecordBench(double valueKb = 16, std::size_t writes = 12)
+        : settings_(makeSettings(valueKb, writes)),
           context(settings_, operators_, timers, state, 1),
-          committer(context),
-          recorder(context, committer),
+          pipeline(context),
+          stateWriter(context, pipeline),
           replica(context) {
         for (const auto* node : {"node-0", "node-1", "node-2"})
-            state.put(bookkeeping::keys::upgraded(node), bookkeeping::upgradedValue());
-        for (std::uint32_t part = 0; part < 3; ++part) own(part, part < 2 ? "node-0" : "node-2", 1);
-        replica.inFlight = [this](const std::string& key) { return committer.inFlight(key); };
-        committer.onDoubt = [this] { replica.resync(); };
-        committer.onSettled = [this](const std::vector<std::string>& keys) {
-            replica.settle(keys);
-        };
+            state.put(bookkeeping::keys::jobDependenciesGate(node),
+                      bookkeeping::featureGateValue());
+        for (std::uint32_t partition = 0; partition < 3; ++partition)
+            own(partition, partition < 2 ? "node-0" : "node-2", 1);
+        replica.inFlight = [this](const std::string& key) { return pipeline.inFlight(key); };
+        pipeline.onDoubt = [this] { replica.resync(); };
+        pipeline.onSettled = [this](const std::vector<std::string>& keys) { replica.settle(keys); };
     }
 
-    static app::Settings makeSettings(double valueKb, std::size_t changes) {
+    static app::Settings makeSettings(double valueKb, std::size_t writes) {
         app::Settings made;
         made.name = "node-0";
         made.peers = {{"node-1", "a", ""}, {"node-2", "a", ""}};
@@ -209,13 +210,13 @@
         made.stateRequests = 100'000;
         made.stateWrites = 100'000;
         made.valueKb = valueKb;
-        made.transactionChanges = changes;
+        made.transactionChanges = writes;
         return made;
     }
 
-    void own(std::uint32_t part, const std::string& node, std::uint64_t term) {
-        state.put(bookkeeping::keys::part(part),
-                  bookkeeping::partValue(bookkeeping::Part{node, term, 0}));
+    void own(std::uint32_t partition, const std::string& node, std::uint64_t term) {
+        state.put(bookkeeping::keys::partition(partition),
+                  bookkeeping::partitionValue(bookkeeping::Partition{node, term, 0}));
     }
     static Job makeJob(std::uint32_t tasks, std::uint32_t sliceSize) {
         Job job;
@@ -245,10 +246,11 @@
     }
     // Takes the records in as they stand.
     void load() {
-        auto ledger = context.ledger.lock();
+        auto clusterState = context.clusterState.lock();
         for (const auto& [key, record] : state.records)
-            bookkeeping::applyEvent(*ledger, {key, record.value, record.version}, context.now());
-        ledger->applied = state.revision;
+            bookkeeping::applyEvent(*clusterState, {key, record.value, record.version},
+                                    context.now());
+        clusterState->applied = state.revision;
     }
     // Answers all that waits, as often as something new waits; follows only if they bring
     // something.
@@ -257,7 +259,7 @@
             timers.advance(std::chrono::milliseconds(50));
             std::vector<ManualState::Request> ready;
             for (auto request = state.pending.begin(); request != state.pending.end();) {
-                if (request->isFollow() && round > 100) {
+                if (request->isWatch() && round > 100) {
                     ++request;
                     continue;
                 }
@@ -267,10 +269,10 @@
             for (const auto& request : ready) state.serve(request);
         }
     }
-    // How many slices of the ledger hold each task of the job.
-    std::vector<int> coverInLedger(const std::string& id) {
-        auto ledger = context.ledger.lock();
-        const Job* job = ledger->job(id);
+    // How many slices of the cluster state hold each task of the job.
+    std::vector<int> coverInClusterState(const std::string& id) {
+        auto clusterState = context.clusterState.lock();
+        const Job* job = clusterState->job(id);
         if (job == nullptr) return {};
         std::vector<int> cover(job->spec.tasks, 0);
         for (const auto& slice : job->slices)
@@ -279,7 +281,7 @@
     }
     // The same by the records, for a reader that has nothing else.
     std::vector<int> coverInRecords(const std::string& id) {
-        bookkeeping::Ledger fresh;
+        bookkeeping::ClusterState fresh;
         for (const auto& [key, record] : state.records)
             bookkeeping::applyEvent(fresh, {key, record.value, record.version}, context.now());
         const Job* job = fresh.job(id);
@@ -301,8 +303,8 @@
     app::OperatorSettings operators_;
     app::Settings settings_;
     Context context;
-    Committer committer;
-    Recorder recorder;
+    TransactionPipeline pipeline;
+    StateWriter stateWriter;
     Replica replica;
 };
 
--- a/tests/unit/recorder_test.cpp
+++ b/tests/unit/recorder_test.cpp
@@ -1,11 +1,11 @@
-// What an owner's records hold after its transactions were refused, lost, late or overtaken.
+// What a leader's records hold after its transactions were refused, lost, late or overtaken.
 #include "record_bench.h"
 
 namespace fawnwheel::coordination {
 namespace {
 
 using bookkeeping::keys::job;
-using bookkeeping::keys::part;
+using bookkeeping::keys::partition;
 using bookkeeping::keys::slice;
 
 bool allOnce(const std::vector<int>& cover) {
@@ -20,7 +20,7 @@
 
 // The end of a job of many slices does not fit into one transaction. Its other slices' records were
 // once queued to be deleted before it was known whether the job had ended: refused, it lived on
-// with another owner, its records went, and its running tasks were known to nobody.
+// with another leader, its records went, and its running tasks were known to nobody.
 TEST_F(FewChanges, ARefusedEndLeavesTheSlicesOfTheJob) {
     Job made = makeJob(40, 4);
     for (auto& piece : made.slices)
@@ -32,26 +32,26 @@
     for (const auto& piece : made.slices) putSlice(made, piece);
     load();
     {
-        // Ended, as far as this owner has heard from the workers; none of it is recorded yet.
-        auto ledger = context.ledger.lock();
-        Job& held = *ledger->job("run-1");
-        ledger->removeClaim(held, held.slices[9], 36);
+        // Ended, as far as this leader has heard from the workers; none of it is recorded yet.
+        auto clusterState = context.clusterState.lock();
+        Job& held = *clusterState->job("run-1");
+        clusterState->removeClaim(held, held.slices[9], 36);
         for (std::uint32_t task = 36; task < 40; ++task) held.slices[9].markDone(task);
     }
-    recorder.flush(0);
-    // The part goes to a peer before the end is carried out.
+    stateWriter.flush(0);
+    // The partition goes to a peer before the end is carried out.
     own(0, "node-1", 2);
     serveAll();
     ASSERT_TRUE(state.records.contains(job("run-1")));
-    recorder.flush(1);
+    stateWriter.flush(1);
     serveAll();
     EXPECT_EQ(sliceRecords("run-1"), 10U);
     EXPECT_TRUE(state.records.contains(slice("run-1", 9)));
 }
 
-// Of a job that has ended nothing stays, also where its end is carried out by an owner that ends
+// Of a job that has ended nothing stays, also where its end is carried out by a leader that ends
 // before it has deleted the rest.
-TEST_F(FewChanges, SlicesOfAnEndedJobGoWhoeverOwnsItsPartByThen) {
+TEST_F(FewChanges, SlicesOfAnEndedJobGoWhoeverOwnsItsPartitionByThen) {
     const Job made = makeJob(40, 4);
     for (const auto& piece : made.slices) putSlice(made, piece);
     putJob(makeJob(1, 1));
@@ -59,7 +59,7 @@
     replica.start();
     serveAll();
     for (int i = 0; i < 6; ++i) {
-        recorder.flush(0);
+        stateWriter.flush(0);
         serveAll();
     }
     EXPECT_EQ(sliceRecords("run-1"), 0U);
@@ -69,31 +69,31 @@
   protected:
     SmallValues() : RecordBench(1, 12) {}
 
-    // Two slices of one job, each in a part of its own and too large for a value.
+    // Two slices of one job, each in a portion of its own and too large for a value.
     void putTwoLargeSlices() {
         Job made = makeJob(80, 40);
-        made.slices[1].part = 1;
+        made.slices[1].partition = 1;
         for (auto& piece : made.slices)
             for (auto task = piece.first; task < piece.range().end(); ++task)
                 piece.claims.push_back(makeClaim(task, "m-000001", (1ULL << 44U) + task));
         putJob(made);
         for (const auto& piece : made.slices) putSlice(made, piece);
         load();
-        auto ledger = context.ledger.lock();
-        Job& held = *ledger->job("run-1");
+        auto clusterState = context.clusterState.lock();
+        Job& held = *clusterState->job("run-1");
         for (const std::uint32_t task : {3U, 43U})
-            ledger->removeClaim(held, *held.sliceOf(task), task);
+            clusterState->removeClaim(held, *held.sliceOf(task), task);
     }
 };
 
-// After a takeover one node owns two parts and divides a slice in each at the same moment. What it
-// read back for the one that was refused once shortened the slice whose division was still
+// After a failover one node owns two partitions and divides a slice in each at the same moment.
+// What it read back for the one that was refused once shortened the slice whose division was still
 // unanswered; that one was then cut a second time, beyond its end, and an empty piece was recorded
 // over running tasks.
 TEST_F(SmallValues, TwoDivisionsOfOneJobLeaveEveryTaskInOneSlice) {
     putTwoLargeSlices();
-    recorder.flush(0);
-    recorder.flush(1);
+    stateWriter.flush(0);
+    stateWriter.flush(1);
     timers.advance(std::chrono::milliseconds(20));
     const auto first = state.takeTransaction();
     const auto answer = state.carryOut(first.request);
@@ -107,7 +107,7 @@
     }
     first.done(answer);
     serveAll();
-    EXPECT_TRUE(allOnce(coverInLedger("run-1")));
+    EXPECT_TRUE(allOnce(coverInClusterState("run-1")));
     EXPECT_TRUE(allOnce(coverInRecords("run-1")));
 }
 
@@ -115,11 +115,11 @@
 // out between two pages shows in the second one alone.
 TEST_F(SmallValues, ADivisionBetweenTwoPagesLeavesEveryTaskInOneSlice) {
     putTwoLargeSlices();
-    recorder.flush(0);
+    stateWriter.flush(0);
     timers.advance(std::chrono::milliseconds(20));
     const auto division = state.takeTransaction();
     // Of the keys before it, the divided slice's is the last of the first page.
-    const auto before = std::distance(state.records.upper_bound(bookkeeping::keys::live),
+    const auto before = std::distance(state.records.upper_bound(bookkeeping::keys::activePrefix),
                                       state.records.upper_bound(slice("run-1", 0)));
     state.pageSize = static_cast<std::size_t>(before);
     replica.resync();
@@ -133,13 +133,13 @@
         timers.advance(std::chrono::milliseconds(20));
         auto reads = std::exchange(state.pending, {});
         for (const auto& request : reads)
-            if (!request.isFollow()) state.serve(request);
+            if (!request.isWatch()) state.serve(request);
     }
     division.done(answer);
-    EXPECT_TRUE(allOnce(coverInLedger("run-1")));
-    recorder.flush(0);
+    EXPECT_TRUE(allOnce(coverInClusterState("run-1")));
+    stateWriter.flush(0);
     serveAll();
-    EXPECT_TRUE(allOnce(coverInLedger("run-1")));
+    EXPECT_TRUE(allOnce(coverInClusterState("run-1")));
     EXPECT_TRUE(allOnce(coverInRecords("run-1")));
 }
 
@@ -151,11 +151,11 @@
     putSlice(made, made.slices[0]);
     load();
     {
-        auto ledger = context.ledger.lock();
-        Job& held = *ledger->job("run-1");
-        ledger->addClaim(held, held.slices[0], makeClaim(0, "m-1", 7));
+        auto clusterState = context.clusterState.lock();
+        Job& held = *clusterState->job("run-1");
+        clusterState->addClaim(held, held.slices[0], makeClaim(0, "m-1", 7));
     }
-    recorder.flush(0);
+    stateWriter.flush(0);
     timers.advance(std::chrono::milliseconds(20));
     const auto change = state.takeTransaction();
     replica.resync();
@@ -163,34 +163,34 @@
     ASSERT_TRUE(replica.synced());
     change.done(state.carryOut(change.request));
     serveAll();
-    recorder.flush(0);
+    stateWriter.flush(0);
     serveAll();
-    EXPECT_EQ(context.ledger.lock()->job("run-1")->claimedTasks(), 1U);
+    EXPECT_EQ(context.clusterState.lock()->job("run-1")->claimedTasks(), 1U);
     EXPECT_EQ(state.records.at(slice("run-1", 0)).value["claims"].size(), 1U);
 }
 
-// The new owner of a pushed slice may record claims in it before the pusher has its answer. What
-// the follow brings meanwhile was once dropped, and for the job's home the tasks had no places:
+// The new leader of a pushed slice may record claims in it before the pusher has its answer. What
+// the watch brings meanwhile was once dropped, and for the job's home the tasks had no places:
 // called off, it ended while they ran.
-TEST_F(RecordBench, ClaimsThatOvertakeTheAnswerToAPushAreKnown) {
+TEST_F(RecordBench, AllocationsThatOvertakeTheAnswerToAMigrationAreKnown) {
     Job made = makeJob(8, 4);
     putJob(made);
     for (const auto& piece : made.slices) putSlice(made, piece);
     load();
     replica.start();
     serveAll();
-    recorder.push(0,
-                  {"run-1", 1, {4, 4}, 2, context.now() + std::chrono::seconds(10), [](bool) {}});
+    stateWriter.push(
+        0, {"run-1", 1, {4, 4}, 2, context.now() + std::chrono::seconds(10), [](bool) {}});
     timers.advance(std::chrono::milliseconds(20));
     const auto push = state.takeTransaction();
     const auto answer = state.carryOut(push.request);
-    made.slices[1].part = 2;
+    made.slices[1].partition = 2;
     made.slices[1].claims.push_back(makeClaim(5, "m-2", 9));
     putSlice(made, made.slices[1]);
     serveAll();
     push.done(answer);
     serveAll();
-    EXPECT_EQ(context.ledger.lock()->job("run-1")->claimedTasks(), 1U);
+    EXPECT_EQ(context.clusterState.lock()->job("run-1")->claimedTasks(), 1U);
 }
 
 // A cancelled job ends when no task of it has a place. Its home may not judge that by a slice whose
@@ -198,26 +198,26 @@
 TEST_F(RecordBench, ACancelledJobDoesNotEndWhileOneOfItsSlicesIsUnderWay) {
     Job made = makeJob(8, 4);
     putJob(made);
-    made.slices[1].part = 1;
+    made.slices[1].partition = 1;
     for (const auto& piece : made.slices) putSlice(made, piece);
     load();
-    recorder.push(1,
-                  {"run-1", 1, {4, 4}, 2, context.now() + std::chrono::seconds(10), [](bool) {}});
+    stateWriter.push(
+        1, {"run-1", 1, {4, 4}, 2, context.now() + std::chrono::seconds(10), [](bool) {}});
     timers.advance(std::chrono::milliseconds(20));
     const auto push = state.takeTransaction();
     state.carryOut(push.request);
-    made.slices[1].part = 2;
+    made.slices[1].partition = 2;
     made.slices[1].claims.push_back(makeClaim(5, "m-2", 9));
     putSlice(made, made.slices[1]);
     made.cancelled = true;
     putJob(made);
     const auto& record = state.records.at(job("run-1"));
     {
-        auto ledger = context.ledger.lock();
-        bookkeeping::applyEvent(*ledger, {job("run-1"), record.value, record.version}, {});
-        ledger->applied = state.revision;
+        auto clusterState = context.clusterState.lock();
+        bookkeeping::applyEvent(*clusterState, {job("run-1"), record.value, record.version}, {});
+        clusterState->applied = state.revision;
     }
-    recorder.flush(0);
+    stateWriter.flush(0);
     timers.advance(std::chrono::milliseconds(20));
     EXPECT_EQ(state.transactions(), 0U);
 }
@@ -231,21 +231,22 @@
     putSlice(made, made.slices[0]);
     load();
     {
-        auto ledger = context.ledger.lock();
-        Job& held = *ledger->job("run-1");
-        ledger->removeClaim(held, held.slices[0], 0);
+        auto clusterState = context.clusterState.lock();
+        Job& held = *clusterState->job("run-1");
+        clusterState->removeClaim(held, held.slices[0], 0);
     }
-    recorder.flush(0);
+    stateWriter.flush(0);
     timers.advance(std::chrono::milliseconds(20));
     const auto refused = state.takeTransaction();
     refused.done(transport::HttpResponse{503, {}, 0});
     own(0, "node-1", 2);
     own(0, "node-0", 3);
-    const auto& taken = state.records.at(part(0));
-    bookkeeping::applyEvent(*context.ledger.lock(), {part(0), taken.value, taken.version}, {});
+    const auto& taken = state.records.at(partition(0));
+    bookkeeping::applyEvent(*context.clusterState.lock(),
+                            {partition(0), taken.value, taken.version}, {});
     serveAll();
     EXPECT_EQ(state.records.at(slice("run-1", 0)).value["claims"].size(), 1U);
-    EXPECT_EQ(context.ledger.lock()->job("run-1")->claimedTasks(), 1U);
+    EXPECT_EQ(context.clusterState.lock()->job("run-1")->claimedTasks(), 1U);
 }
 
 // Equal values with different versions are not one transaction's: with the later version taken for
@@ -256,14 +257,14 @@
     for (const auto& piece : made.slices) putSlice(made, piece);
     load();
     {
-        auto ledger = context.ledger.lock();
-        Job& held = *ledger->job("run-1");
+        auto clusterState = context.clusterState.lock();
+        Job& held = *clusterState->job("run-1");
         for (const std::uint32_t task : {0U, 4U}) {
             held.sliceOf(task)->dirty = true;
             held.sliceOf(task)->markDone(task);
         }
     }
-    recorder.flush(0);
+    stateWriter.flush(0);
     timers.advance(std::chrono::milliseconds(20));
     const auto lost = state.takeTransaction();
     state.carryOut(lost.request);
@@ -271,9 +272,9 @@
     // Written once more, with the same content.
     state.put(slice("run-1", 0), Json(state.records.at(slice("run-1", 0)).value));
     serveAll();
-    auto ledger = context.ledger.lock();
+    auto clusterState = context.clusterState.lock();
     for (const std::uint32_t index : {0U, 1U})
-        EXPECT_EQ(ledger->job("run-1")->slices[index].version,
+        EXPECT_EQ(clusterState->job("run-1")->slices[index].version,
                   state.records.at(slice("run-1", index)).version);
 }
 
@@ -285,14 +286,14 @@
     for (const auto& piece : made.slices) putSlice(made, piece);
     load();
     {
-        auto ledger = context.ledger.lock();
-        Job& held = *ledger->job("run-1");
+        auto clusterState = context.clusterState.lock();
+        Job& held = *clusterState->job("run-1");
         auto found = makeClaim(0, "m-1", 7);
         found.seen = true;
-        ledger->addClaim(held, held.slices[0], found);
-        ledger->addClaim(held, held.slices[1], makeClaim(4, "m-1", 8));
+        clusterState->addClaim(held, held.slices[0], found);
+        clusterState->addClaim(held, held.slices[1], makeClaim(4, "m-1", 8));
     }
-    recorder.flush(0);
+    stateWriter.flush(0);
     timers.advance(std::chrono::milliseconds(20));
     const auto refused = state.takeTransaction();
     state.put(slice("run-1", 1), Json(state.records.at(slice("run-1", 1)).value));
@@ -303,27 +304,27 @@
         for (const auto& request : reads)
             if (!request.isTransaction()) state.serve(request);
     }
-    EXPECT_NE(context.ledger.lock()->job("run-1")->slices[0].claimOf(0), nullptr);
+    EXPECT_NE(context.clusterState.lock()->job("run-1")->slices[0].claimOf(0), nullptr);
 }
 
-// A slice whose job was created between two pages of a reading is no stray, although its job is not
-// known here yet.
-TEST_F(RecordBench, ASliceReadBeforeItsJobIsNoStray) {
+// A slice whose job was created between two pages of a reading is no orphaned, although its job is
+// not known here yet.
+TEST_F(RecordBench, ASliceReadBeforeItsJobIsNoOrphan) {
     const Job made = makeJob(4, 4);
     putSlice(made, made.slices[0]);
     load();
     putJob(made);
-    recorder.flush(0);
+    stateWriter.flush(0);
     serveAll();
     EXPECT_EQ(sliceRecords("run-1"), 1U);
 }
 
-// The job's home is this node's, and so is the part of its other slice, whose end is not recorded.
-// That part is lost before the job's end is carried out: its new owner may have started the task
-// once more.
-TEST_F(RecordBench, AnEndThatRestsOnALostPartIsRefused) {
+// The job's home is this node's, and so is the partition of its other slice, whose end is not
+// recorded. That partition is lost before the job's end is carried out: its new leader may have
+// started the task once more.
+TEST_F(RecordBench, AnEndThatRestsOnALostPartitionIsRefused) {
     Job made = makeJob(8, 4);
-    made.slices[1].part = 1;
+    made.slices[1].partition = 1;
     for (std::uint32_t task = 0; task < 4; ++task) made.slices[0].markDone(task);
     made.slices[1].claims.push_back(makeClaim(4, "m-1", 7));
     made.cancelled = true;
@@ -331,11 +332,11 @@
     for (const auto& piece : made.slices) putSlice(made, piece);
     load();
     {
-        auto ledger = context.ledger.lock();
-        Job& held = *ledger->job("run-1");
-        ledger->removeClaim(held, held.slices[1], 4);
+        auto clusterState = context.clusterState.lock();
+        Job& held = *clusterState->job("run-1");
+        clusterState->removeClaim(held, held.slices[1], 4);
     }
-    recorder.flush(0);
+    stateWriter.flush(0);
     own(1, "node-1", 2);
     serveAll();
     EXPECT_TRUE(state.records.contains(job("run-1")));
@@ -359,7 +360,7 @@
     EXPECT_FALSE(replica.everSynced());
     serveAll();
     EXPECT_TRUE(replica.synced());
-    EXPECT_NE(context.ledger.lock()->job("run-1"), nullptr);
+    EXPECT_NE(context.clusterState.lock()->job("run-1"), nullptr);
 }
 
 }  // namespace
--- a/tests/unit/records_test.cpp
+++ b/tests/unit/records_test.cpp
@@ -8,10 +8,10 @@
 class Records : public ::testing::Test {
   protected:
     void put(const std::string& key, const Json& value, std::uint64_t version) {
-        applyEvent(ledger, {key, value, version}, {});
+        applyEvent(clusterState, {key, value, version}, {});
     }
     void drop(const std::string& key, std::uint64_t version) {
-        applyEvent(ledger, {key, std::nullopt, version}, {});
+        applyEvent(clusterState, {key, std::nullopt, version}, {});
     }
     Job makeJob(std::uint32_t tasks) {
         Job job;
@@ -23,29 +23,29 @@
         job.spec.image = "i";
         job.sliceSize = 4;
         job.slices = makeSlices(job.spec, 4, 1);
-        job.part = 1;
+        job.partition = 1;
         return job;
     }
     void putMachine(const std::string& id, std::uint64_t version) {
         Machine machine;
         machine.type = "small";
         machine.zone = "a";
-        machine.part = 1;
+        machine.partition = 1;
         put(keys::machine(id), machineValue(machine), version);
     }
 
-    Ledger ledger;
+    ClusterState clusterState;
 };
 
-TEST_F(Records, MirrorsAJobWithItsSlicesAndClaims) {
+TEST_F(Records, MirrorsAJobWithItsSlicesAndAllocations) {
     const Job job = makeJob(10);
     put(keys::job("run-1"), jobValue(job), 5);
-    ASSERT_NE(ledger.job("run-1"), nullptr);
-    ASSERT_EQ(ledger.job("run-1")->slices.size(), 3U);
-    EXPECT_EQ(ledger.job("run-1")->slices[2].done.size(), 2U);
+    ASSERT_NE(clusterState.job("run-1"), nullptr);
+    ASSERT_EQ(clusterState.job("run-1")->slices.size(), 3U);
+    EXPECT_EQ(clusterState.job("run-1")->slices[2].done.size(), 2U);
 
     Slice slice = job.slices[1];
-    slice.part = 2;
+    slice.partition = 2;
     slice.markDone(4);
     slice.markDone(5);
     slice.markDone(7);
@@ -55,8 +55,8 @@
     claim.attempt = 1ULL << 40U;
     slice.claims.push_back(claim);
     put(keys::slice("run-1", 1), sliceValue(slice), 8);
-    Slice& read = ledger.job("run-1")->slices[1];
-    EXPECT_EQ(read.part, 2U);
+    Slice& read = clusterState.job("run-1")->slices[1];
+    EXPECT_EQ(read.partition, 2U);
     EXPECT_EQ(read.done, slice.done);
     EXPECT_EQ(read.doneCount, 3U);
     ASSERT_EQ(read.claims.size(), 1U);
@@ -65,8 +65,8 @@
 
     // The machine's record comes after the claim's.
     putMachine("m-1", 9);
-    EXPECT_EQ(ledger.machine("m-1")->claims.size(), 1U);
-    EXPECT_DOUBLE_EQ(ledger.machine("m-1")->used.cpus, 2);
+    EXPECT_EQ(clusterState.machine("m-1")->claims.size(), 1U);
+    EXPECT_DOUBLE_EQ(clusterState.machine("m-1")->used.cpus, 2);
 }
 
 TEST_F(Records, IgnoresWhatIsOlder) {
@@ -75,21 +75,21 @@
     put(keys::job("run-1"), jobValue(job), 9);
     job.cancelled = false;
     put(keys::job("run-1"), jobValue(job), 7);
-    EXPECT_TRUE(ledger.job("run-1")->cancelled);
+    EXPECT_TRUE(clusterState.job("run-1")->cancelled);
     drop(keys::job("run-1"), 8);
-    EXPECT_NE(ledger.job("run-1"), nullptr);
+    EXPECT_NE(clusterState.job("run-1"), nullptr);
     drop(keys::job("run-1"), 10);
-    EXPECT_EQ(ledger.job("run-1"), nullptr);
+    EXPECT_EQ(clusterState.job("run-1"), nullptr);
 }
 
 TEST_F(Records, AMoveOfTheJobTakesAlongOnlySlicesWithoutRecords) {
     Job job = makeJob(8);
     put(keys::job("run-1"), jobValue(job), 2);
     put(keys::slice("run-1", 0), sliceValue(job.slices[0]), 3);
-    job.part = 2;
+    job.partition = 2;
     put(keys::job("run-1"), jobValue(job), 4);
-    EXPECT_EQ(ledger.job("run-1")->slices[0].part, 1U);
-    EXPECT_EQ(ledger.job("run-1")->slices[1].part, 2U);
+    EXPECT_EQ(clusterState.job("run-1")->slices[0].partition, 1U);
+    EXPECT_EQ(clusterState.job("run-1")->slices[1].partition, 2U);
 }
 
 TEST_F(Records, SlicesStayWithinAValue) {
@@ -136,14 +136,14 @@
     claim.attempt = 9;
     whole.claims.push_back(claim);
     put(keys::slice("run-1", 1), sliceValue(whole), 7);
-    ASSERT_EQ(ledger.machine("m-1")->claims.size(), 1U);
+    ASSERT_EQ(clusterState.machine("m-1")->claims.size(), 1U);
 
     const auto pieces = cutSlice(whole, {6, 7}, 3);
     ASSERT_EQ(pieces.size(), 3U);
     // Both orders: the records of a division have one revision.
     for (const bool backwards : {false, true}) {
-        ledger.clearRecords();
-        ledger.rebuildIndexes();
+        clusterState.clearRecords();
+        clusterState.rebuildIndexes();
         put(keys::job("run-1"), jobValue(job), 5);
         putMachine("m-1", 6);
         put(keys::slice("run-1", 1), sliceValue(whole), 7);
@@ -151,7 +151,7 @@
         if (backwards) std::reverse(records.begin(), records.end());
         for (const auto& piece : records)
             put(keys::slice("run-1", piece.index), sliceValue(piece), 8);
-        Job& read = *ledger.job("run-1");
+        Job& read = *clusterState.job("run-1");
         ASSERT_EQ(read.slices.size(), 5U);
         EXPECT_EQ(read.slices[1].range(), (TaskRange{4, 2}));
         EXPECT_EQ(read.slices[3].range(), (TaskRange{6, 1}));
@@ -160,8 +160,8 @@
         EXPECT_EQ(read.sliceOf(5), &read.slices[1]);
         EXPECT_EQ(read.doneTasks(), 1U);
         EXPECT_EQ(read.claimedTasks(), 1U);
-        EXPECT_EQ(ledger.machine("m-1")->claims.size(), 1U);
-        EXPECT_DOUBLE_EQ(ledger.machine("m-1")->used.cpus, 2);
+        EXPECT_EQ(clusterState.machine("m-1")->claims.size(), 1U);
+        EXPECT_DOUBLE_EQ(clusterState.machine("m-1")->used.cpus, 2);
         EXPECT_EQ(sliceValue(read.slices[3]), sliceValue(pieces[1]));
     }
 }
@@ -173,11 +173,11 @@
     pieces[0].markDone(0);
     pieces[0].markDone(1);
     put(keys::slice("run-1", 0), sliceValue(pieces[0]), 6);
-    EXPECT_FALSE(ledger.job("run-1")->complete());
+    EXPECT_FALSE(clusterState.job("run-1")->complete());
     pieces[1].markDone(2);
     pieces[1].markDone(3);
     put(keys::slice("run-1", 1), sliceValue(pieces[1]), 6);
-    EXPECT_TRUE(ledger.job("run-1")->complete());
+    EXPECT_TRUE(clusterState.job("run-1")->complete());
 }
 
 TEST_F(Records, AnOlderRecordDoesNotCoverAPieceDividedOffIt) {
@@ -188,7 +188,7 @@
     const auto pieces = cutSlice(whole, {2}, 1);
     put(keys::slice("run-1", 1), sliceValue(pieces[1]), 8);
     put(keys::slice("run-1", 0), sliceValue(whole), 6);
-    const Job& read = *ledger.job("run-1");
+    const Job& read = *clusterState.job("run-1");
     EXPECT_EQ(read.slices[0].range(), (TaskRange{0, 2}));
     EXPECT_TRUE(read.slices[0].divided);
     EXPECT_EQ(read.doneTasks(), 1U);
@@ -214,17 +214,17 @@
     put(keys::job("run-1"), jobValue(job), 5);
     putMachine("m-1", 6);
     put(keys::slice("run-1", 0), sliceValue(first), 7);
-    Job& held = *ledger.job("run-1");
-    ledger.removeClaim(held, held.slices[0], 1);
+    Job& held = *clusterState.job("run-1");
+    clusterState.removeClaim(held, held.slices[0], 1);
     held.slices[0].markDone(1);
     claim.task = 5;
-    ledger.addClaim(held, held.slices[1], claim);
-    EXPECT_TRUE(ledger.hasUnrecorded(1));
-    ledger.discardUnrecorded(1);
-    EXPECT_FALSE(ledger.hasUnrecorded(1));
+    clusterState.addClaim(held, held.slices[1], claim);
+    EXPECT_TRUE(clusterState.hasUnrecorded(1));
+    clusterState.discardUnrecorded(1);
+    EXPECT_FALSE(clusterState.hasUnrecorded(1));
     EXPECT_EQ(sliceValue(held.slices[0]), sliceValue(first));
     EXPECT_EQ(sliceValue(held.slices[1]), sliceValue(job.slices[1]));
-    EXPECT_EQ(ledger.machine("m-1")->claims, (std::vector<TaskRef>{{"run-1", 1, 7}}));
+    EXPECT_EQ(clusterState.machine("m-1")->claims, (std::vector<TaskRef>{{"run-1", 1, 7}}));
 }
 
 TEST(GoneMachines, ForgetsTheOneThatWentFirst) {
@@ -244,44 +244,44 @@
          {R"({"first":3,"count":2})", R"({"first":4,"count":1})", R"({"first":0,"count":0})",
           R"({"first":0,"count":18446744073709551615})"})
         put(keys::slice("run-1", 1), Json::parse(range), 6);
-    EXPECT_EQ(ledger.job("run-1")->doneTasks(), 0U);
-    EXPECT_EQ(ledger.job("run-1")->sliceOf(3)->index, 0U);
+    EXPECT_EQ(clusterState.job("run-1")->doneTasks(), 0U);
+    EXPECT_EQ(clusterState.job("run-1")->sliceOf(3)->index, 0U);
     put(keys::slice("run-1", 9999), sliceValue(makeJob(4).slices[0]), 6);
-    EXPECT_LE(ledger.job("run-1")->slices.size(), 2U);
+    EXPECT_LE(clusterState.job("run-1")->slices.size(), 2U);
 }
 
 TEST_F(Records, MarksOfTheNewVersionStay) {
-    put(keys::upgraded("node-1"), upgradedValue(), 5);
-    drop(keys::upgraded("node-1"), 6);
-    EXPECT_TRUE(ledger.upgradedNodes.contains("node-1"));
+    put(keys::jobDependenciesGate("node-1"), featureGateValue(), 5);
+    drop(keys::jobDependenciesGate("node-1"), 6);
+    EXPECT_TRUE(clusterState.nodesWithJobDependencies.contains("node-1"));
 }
 
 TEST_F(Records, TellsGoneMachinesFromNewOnes) {
     putMachine("m-1", 3);
     drop(keys::machine("m-1"), 4);
-    EXPECT_EQ(ledger.machine("m-1"), nullptr);
-    EXPECT_TRUE(ledger.goneMachines.contains("m-1"));
+    EXPECT_EQ(clusterState.machine("m-1"), nullptr);
+    EXPECT_TRUE(clusterState.goneMachines.contains("m-1"));
 }
 
-TEST_F(Records, OfACancellationUnderWayNothingElseIsTaken) {
+TEST_F(Records, OfACancellationUnderWayNothingElseIsAcquired) {
     auto job = makeJob(3);
     job.cancelled = true;
     const protocol::Event event{keys::job(job.spec.id), jobValue(job), 9};
     job.cancelled = false;
-    applyEvent(ledger, {event.key, jobValue(job), 5}, {});
-    EXPECT_FALSE(ledger.knownCancelled(*ledger.job(job.spec.id)));
-    noteCancellation(ledger, event);
-    EXPECT_TRUE(ledger.knownCancelled(*ledger.job(job.spec.id)));
-    EXPECT_FALSE(ledger.job(job.spec.id)->cancelled);
-    EXPECT_EQ(ledger.job(job.spec.id)->version, 5U);
+    applyEvent(clusterState, {event.key, jobValue(job), 5}, {});
+    EXPECT_FALSE(clusterState.knownCancelled(*clusterState.job(job.spec.id)));
+    recordCancellation(clusterState, event);
+    EXPECT_TRUE(clusterState.knownCancelled(*clusterState.job(job.spec.id)));
+    EXPECT_FALSE(clusterState.job(job.spec.id)->cancelled);
+    EXPECT_EQ(clusterState.job(job.spec.id)->version, 5U);
 }
 
 TEST(Cancellations, AReaderGetsWhatItsRecordsLackFromWhereItStopped) {
     CancellationLog log;
-    EXPECT_TRUE(log.note("run-1", 10));
-    EXPECT_TRUE(log.note("run-2", 30));
-    EXPECT_TRUE(log.note("run-3", 20));
-    EXPECT_FALSE(log.note("run-1", 40));
+    EXPECT_TRUE(log.append("run-1", 10));
+    EXPECT_TRUE(log.append("run-2", 30));
+    EXPECT_TRUE(log.append("run-3", 20));
+    EXPECT_FALSE(log.append("run-1", 40));
     const auto all = log.since(0, 15, 10);
     EXPECT_EQ(all.jobs, (std::vector<std::string>{"run-2", "run-3"}));
     EXPECT_TRUE(all.complete);
@@ -290,13 +290,13 @@
     EXPECT_EQ(one.jobs, (std::vector<std::string>{"run-2"}));
     EXPECT_FALSE(one.complete);
     EXPECT_EQ(log.since(one.next, 15, 10).jobs, (std::vector<std::string>{"run-3"}));
-    EXPECT_TRUE(log.note("run-4", CancellationLog::unknownRevision));
+    EXPECT_TRUE(log.append("run-4", CancellationLog::unknownRevision));
     EXPECT_EQ(log.since(all.next, 1000, 10).jobs, (std::vector<std::string>{"run-4"}));
 }
 
 TEST(Cancellations, WhoMayLackADroppedOneIsNotCovered) {
     CancellationLog log;
-    for (std::uint64_t i = 1; i <= 10'001; ++i) log.note("run-" + std::to_string(i), i);
+    for (std::uint64_t i = 1; i <= 10'001; ++i) log.append("run-" + std::to_string(i), i);
     EXPECT_FALSE(log.contains("run-1"));
     EXPECT_FALSE(log.covers(0, 0));
     EXPECT_TRUE(log.covers(0, 1));
--- a/tests/unit/shared_formats_test.cpp
+++ b/tests/unit/shared_formats_test.cpp
@@ -20,7 +20,7 @@
 constexpr auto machineText = R"({"part":2,"retired":false,"spot":true,"type":"g8","zone":"a"})";
 constexpr auto lentMachineText =
     R"({"floor":720897,"lender":1,"part":2,"retired":true,"spot":false,"type":"g8","zone":"b"})";
-constexpr auto partText = R"({"owner":"spoke-1","term":11})";
+constexpr auto partitionText = R"({"owner":"spoke-1","term":11})";
 constexpr auto shareText = R"({"shares":[[1.5,24.0],[0.0,64.0]]})";
 constexpr auto catalogText =
     R"({"breeds":[{"cache_gb":200.0,"cores":96.0,"gpus":8.0,"market_price":4.5,"meadows":["a","b"],)"
@@ -30,31 +30,31 @@
 class SharedRecords : public ::testing::Test {
   protected:
     void put(const std::string& key, const std::string& text, std::uint64_t version) {
-        applyEvent(ledger, {key, Json::parse(text), version}, {});
+        applyEvent(clusterState, {key, Json::parse(text), version}, {});
     }
     void putJob() { put("live/job/run-000412", jobText, 5); }
 
-    Ledger ledger;
+    ClusterState clusterState;
 };
 
 TEST_F(SharedRecords, KeysAreThoseOfProduction) {
-    EXPECT_STREQ(keys::live, "live/");
+    EXPECT_STREQ(keys::activePrefix, "live/");
     EXPECT_STREQ(keys::term, "live/term");
     EXPECT_STREQ(keys::catalog, "live/catalog");
     EXPECT_EQ(keys::job("run-1"), "live/job/run-1");
     EXPECT_EQ(keys::slice("run-1", 3), "live/slice/run-1/3");
     EXPECT_EQ(keys::machine("m-1"), "live/machine/m-1");
-    EXPECT_EQ(keys::part(3), "live/part/3");
+    EXPECT_EQ(keys::partition(3), "live/part/3");
     EXPECT_EQ(keys::node("spoke-1"), "live/node/spoke-1");
-    EXPECT_EQ(keys::share("crew"), "live/share/crew");
-    EXPECT_EQ(keys::final("run-1"), "final/run-1");
+    EXPECT_EQ(keys::quota("crew"), "live/share/crew");
+    EXPECT_EQ(keys::terminal("run-1"), "final/run-1");
 }
 
 TEST_F(SharedRecords, AJobIsReadAndRewrittenAsItWas) {
     putJob();
-    const Job* job = ledger.job("run-000412");
+    const Job* job = clusterState.job("run-000412");
     ASSERT_NE(job, nullptr);
-    EXPECT_EQ(job->part, 2U);
+    EXPECT_EQ(job->partition, 2U);
     EXPECT_EQ(job->spec.tasks, 10U);
     ASSERT_EQ(job->slices.size(), 3U);
     EXPECT_EQ(job->slices[2].done.size(), 2U);
@@ -64,8 +64,8 @@
 TEST_F(SharedRecords, ASliceIsReadAndRewrittenAsItWas) {
     putJob();
     put("live/slice/run-000412/1", sliceText, 6);
-    const Slice& slice = ledger.job("run-000412")->slices[1];
-    EXPECT_EQ(slice.part, 1U);
+    const Slice& slice = clusterState.job("run-000412")->slices[1];
+    EXPECT_EQ(slice.partition, 1U);
     EXPECT_EQ(slice.doneCount, 3U);
     ASSERT_EQ(slice.claims.size(), 1U);
     EXPECT_EQ(slice.claims.front().task, 6U);
@@ -77,27 +77,27 @@
 TEST_F(SharedRecords, MachinesAreReadAndRewrittenAsTheyWere) {
     put("live/machine/m-000231", machineText, 7);
     put("live/machine/m-000232", lentMachineText, 8);
-    EXPECT_EQ(machineValue(*ledger.machine("m-000231")).dump(), machineText);
-    EXPECT_EQ(machineValue(*ledger.machine("m-000232")).dump(), lentMachineText);
-    EXPECT_EQ(ledger.machine("m-000232")->lender, 1U);
-    EXPECT_EQ(ledger.machine("m-000232")->tokenFloor, 720897U);
-    EXPECT_TRUE(ledger.machine("m-000232")->retired);
+    EXPECT_EQ(machineValue(*clusterState.machine("m-000231")).dump(), machineText);
+    EXPECT_EQ(machineValue(*clusterState.machine("m-000232")).dump(), lentMachineText);
+    EXPECT_EQ(clusterState.machine("m-000232")->lender, 1U);
+    EXPECT_EQ(clusterState.machine("m-000232")->minFencingToken, 720897U);
+    EXPECT_TRUE(clusterState.machine("m-000232")->retired);
 }
 
-TEST_F(SharedRecords, PartsSharesTermsCatalogAndFinalsAreReadAndRewrittenAsTheyWere) {
-    put("live/part/2", partText, 9);
+TEST_F(SharedRecords, PartitionsQuotasTermsCatalogAndTerminalsAreReadAndRewrittenAsTheyWere) {
+    put("live/part/2", partitionText, 9);
     put("live/share/vision", shareText, 10);
     put("live/term", R"({"term":11})", 11);
     put("live/catalog", catalogText, 12);
     put("live/node/spoke-1", R"({"term":10})", 13);
-    EXPECT_EQ(partValue(ledger.parts[2]).dump(), partText);
-    EXPECT_EQ(shareValue(ledger.shares["vision"]).dump(), shareText);
-    EXPECT_EQ(ledger.lastTerm, 11U);
-    EXPECT_EQ(catalogValue(ledger.catalog).dump(), catalogText);
-    EXPECT_TRUE(ledger.nodes.contains("spoke-1"));
-    EXPECT_TRUE(readFinal(Json::parse(finalText)).cancelled);
-    EXPECT_EQ(finalValue({true, std::nullopt}).dump(), finalText);
-    EXPECT_FALSE(readFinal(Json::parse(R"({"cancelled":false})")).cancelled);
+    EXPECT_EQ(partitionValue(clusterState.partitions[2]).dump(), partitionText);
+    EXPECT_EQ(shareValue(clusterState.shares["vision"]).dump(), shareText);
+    EXPECT_EQ(clusterState.lastTerm, 11U);
+    EXPECT_EQ(catalogValue(clusterState.catalog).dump(), catalogText);
+    EXPECT_TRUE(clusterState.nodes.contains("spoke-1"));
+    EXPECT_TRUE(readTerminal(Json::parse(finalText)).cancelled);
+    EXPECT_EQ(terminalValue({true, std::nullopt}).dump(), finalText);
+    EXPECT_FALSE(readTerminal(Json::parse(R"({"cancelled":false})")).cancelled);
 }
 
 // What production does with what it does not know. The new version relies on it.
@@ -106,9 +106,9 @@
     putJob();
     put("live/upgraded/spoke-1", R"({"formats":1})", 6);
     put("live/unheard-of", R"([1,2])", 7);
-    EXPECT_EQ(ledger.jobs.size(), 1U);
-    EXPECT_TRUE(ledger.machines.empty());
-    EXPECT_TRUE(ledger.nodes.empty());
+    EXPECT_EQ(clusterState.jobs.size(), 1U);
+    EXPECT_TRUE(clusterState.machines.empty());
+    EXPECT_TRUE(clusterState.nodes.empty());
 }
 
 TEST_F(SharedRecords, UnknownFieldsAreIgnored) {
@@ -119,16 +119,16 @@
     value = Json::parse(sliceText);
     value["more"] = 7;
     put("live/slice/run-000412/1", value.dump(), 6);
-    EXPECT_EQ(jobValue(*ledger.job("run-000412")).dump(), jobText);
-    EXPECT_EQ(sliceValue(ledger.job("run-000412")->slices[1]).dump(), sliceText);
-    EXPECT_TRUE(readFinal(Json::parse(R"({"cancelled":true,"at":1700000000123})")).cancelled);
+    EXPECT_EQ(jobValue(*clusterState.job("run-000412")).dump(), jobText);
+    EXPECT_EQ(sliceValue(clusterState.job("run-000412")->slices[1]).dump(), sliceText);
+    EXPECT_TRUE(readTerminal(Json::parse(R"({"cancelled":true,"at":1700000000123})")).cancelled);
 }
 
 TEST_F(SharedRecords, SlicesBeyondThoseOfTheJobAreIgnored) {
     // As production writes them: without a range of their own.
     putJob();
     put("live/slice/run-000412/3", sliceText, 6);
-    EXPECT_EQ(ledger.job("run-000412")->slices.size(), 3U);
+    EXPECT_EQ(clusterState.job("run-000412")->slices.size(), 3U);
 }
 
 std::string fromHex(std::string_view hex) {
--- a/tests/unit/sharing_plan_test.cpp
+++ b/tests/unit/sharing_plan_test.cpp
@@ -15,12 +15,12 @@
     return {{cpus, 0, 1}, {}, zone, true};
 }
 
-Supply supplyOf(std::uint32_t part, double cpus, std::uint32_t machines, bool busy = false) {
-    return {part, "large", "a", false, busy, {cpus, 0, 100}, machines};
+Supply supplyOf(std::uint32_t partition, double cpus, std::uint32_t machines, bool busy = false) {
+    return {partition, "large", "a", false, busy, {cpus, 0, 100}, machines};
 }
 
-Want wantOf(std::uint32_t part, TaskShape shape, double tasks, std::uint32_t urgency = 0) {
-    return {part, {std::move(shape), tasks, false, urgency}};
+Want wantOf(std::uint32_t partition, TaskShape shape, double tasks, std::uint32_t urgency = 0) {
+    return {partition, {std::move(shape), tasks, false, urgency}};
 }
 
 PlanInput inputOf(std::vector<Supply> supplies, std::vector<Want> wants) {
@@ -123,7 +123,7 @@
             for (const auto& move : plan.moves) {
                 EXPECT_GE(offered[move.supply] -= move.machines, 0);
                 EXPECT_GE(needed[move.want] -= move.machines, 0);
-                EXPECT_NE(input.supplies[move.supply].part, input.wants[move.want].part);
+                EXPECT_NE(input.supplies[move.supply].partition, input.wants[move.want].partition);
             }
         }
     }
--- a/tests/unit/submission_test.cpp
+++ b/tests/unit/submission_test.cpp
@@ -57,12 +57,12 @@
     World world;
 };
 
-TEST_F(Submission, WithoutPredecessorsNothingChanges) {
+TEST_F(Submission, WithoutDependenciesNothingChanges) {
     EXPECT_EQ(postAfter("run-1", nullptr).status, 201);
     EXPECT_EQ(postAfter("run-2", Json::array()).status, 201);
 }
 
-TEST_F(Submission, MalformedPredecessorsAreRefused) {
+TEST_F(Submission, MalformedDependenciesAreRefused) {
     EXPECT_EQ(postAfter("run-1", "run-live").status, 400);
     EXPECT_EQ(postAfter("run-1", Json::array({7})).status, 400);
     EXPECT_EQ(postAfter("run-1", Json::array({"no id"})).status, 400);
