--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -19,11 +19,11 @@
 constexpr int exitSettings = 2;
 // Of the sockets, what users and workers may take, and what orders to workers may; the rest is for
 // peers, state and cloud.
-constexpr double frontShareOfSockets = 0.8;
-constexpr double ordersShareOfSockets = 0.1;
+constexpr double frontFractionOfSockets = 0.8;
+constexpr double commandFractionOfSockets = 0.1;
 
-std::size_t shareOf(std::size_t sockets, double share) {
-    return static_cast<std::size_t>(static_cast<double>(sockets) * share);
+std::size_t fractionOf(std::size_t sockets, double fraction) {
+    return static_cast<std::size_t>(static_cast<double>(sockets) * fraction);
 }
 
 void setUpLogging() {
@@ -43,7 +43,7 @@
     std::map<std::string, std::string> peers;
     for (const auto& peer : settings.peers) peers[peer.name] = peer.address;
     coordination::Controller* controller = nullptr;
-    transport::HttpClient client(loop, shareOf(settings.sockets, ordersShareOfSockets),
+    transport::HttpClient client(loop, fractionOf(settings.sockets, commandFractionOfSockets),
                                  {settings.state, settings.cloud});
     transport::TcpNetwork network(loop, std::move(client), settings.internalAddress, peers,
                                   [&controller](const std::string& payload) {
@@ -52,7 +52,7 @@
     coordination::Controller service(settings, tuning, loop, network, std::random_device{}());
     controller = &service;
     const transport::HttpServer front(
-        loop, settings.front, shareOf(settings.sockets, frontShareOfSockets),
+        loop, settings.front, fractionOf(settings.sockets, frontFractionOfSockets),
         [&service](const transport::HttpRequest& request, transport::HttpReply reply) {
             service.onRequest(request, std::move(reply));
         });
--- a/src/app/operator_file.cpp
+++ b/src/app/operator_file.cpp
@@ -80,7 +80,7 @@
         {"sharing.weight", number(field(&SharingSettings::weight), 0.001, 1)},
         {"sharing.hold_s", seconds(field(&SharingSettings::minTenure), 0, 86400)},
         {"sharing.moves_per_minute", number(field(&SharingSettings::movesPerMinute), 1, 1e5)},
-        {"sharing.share_of_writes", number(field(&SharingSettings::shareOfWrites), 0.001, 1)},
+        {"sharing.share_of_writes", number(field(&SharingSettings::fractionOfWrites), 0.001, 1)},
         {"sharing.busy_machines", flag(field(&SharingSettings::busyMachines))},
         {"sharing.solver_steps", count(field(&SharingSettings::solverSteps), 0, 1e9)},
     };
--- a/src/app/settings.cpp
+++ b/src/app/settings.cpp
@@ -145,16 +145,16 @@
         s.teams.push_back(team);
     }
     for (const auto& entry : deployment.list("objectives")) {
-        Objective objective;
+        ServiceLevelObjective objective;
         objective.kind = objectiveKind(entry.text("kind"));
         if (objective.kind == ObjectiveKind::other) continue;
         objective.jobClass = entry.text("class");
         if (objective.kind != ObjectiveKind::deadline) entry.seconds("within_s", objective.within);
-        entry.number("share", objective.share, 0);
+        entry.number("share", objective.fraction, 0);
         s.objectives.push_back(objective);
     }
     const Section workers = deployment.section("workers");
-    workers.seconds("report_s", s.report);
+    workers.seconds("report_s", s.heartbeatInterval);
     workers.seconds("lease_s", s.lease);
     workers.seconds("gang_wait_s", s.gangWait);
     workers.seconds("gang_peer_s", s.gangPeer);
@@ -169,7 +169,7 @@
     cloud.number("rps", s.cloudCalls, 0.01);
     cloud.seconds("list_lag_s", s.listLag);
     const Section limits = deployment.section("machine_limits");
-    limits.number("core_share", s.coreShare, 0.001);
+    limits.number("core_share", s.coreFraction, 0.001);
     limits.number("mem_mb", s.memoryMb, 1);
     limits.count("sockets", s.sockets);
     return s;
--- a/src/app/settings.h
+++ b/src/app/settings.h
@@ -32,11 +32,11 @@
 
 enum class ObjectiveKind { wait, finished, deadline, other };
 
-struct Objective {
+struct ServiceLevelObjective {
     ObjectiveKind kind = ObjectiveKind::other;
     std::string jobClass;
     Seconds within{};
-    double share = 0;
+    double fraction = 0;
 };
 
 struct Settings {
@@ -48,8 +48,8 @@
     std::string cloud;
     std::string state;
     std::vector<Team> teams;
-    std::vector<Objective> objectives;
-    Seconds report{3};
+    std::vector<ServiceLevelObjective> objectives;
+    Seconds heartbeatInterval{3};
     Seconds lease{30};
     Seconds gangWait{30};
     Seconds gangPeer{4};
@@ -69,7 +69,7 @@
     }
     double cloudCalls = 2;
     Seconds listLag{5};
-    double coreShare = 1;
+    double coreFraction = 1;
     double memoryMb = 128;
     std::size_t sockets = 1000;
 
@@ -85,14 +85,14 @@
 // [sharing]: machines that change hands between controllers while jobs run (docs/sharing.md).
 struct SharingSettings {
     bool enabled = false;
-    Seconds period{2};           // between planning rounds
-    double low = 0.5;            // of averaged tasks without a place: below it nothing is asked
-    double high = 8;             // from here on all that is lacking is asked
-    double weight = 0.3;         // of the latest sample in the average
-    Seconds minTenure{30};       // least time that a partition keeps a machine
-    double movesPerMinute = 60;  // of each controller
-    double shareOfWrites = 0.1;  // of the measured write rate
-    bool busyMachines = true;    // also machines that run tasks
+    Seconds period{2};              // between planning rounds
+    double low = 0.5;               // of averaged tasks without a place: below it nothing is asked
+    double high = 8;                // from here on all that is lacking is asked
+    double weight = 0.3;            // of the latest sample in the average
+    Seconds minTenure{30};          // least time that a partition keeps a machine
+    double movesPerMinute = 60;     // of each controller
+    double fractionOfWrites = 0.1;  // of the measured write rate
+    bool busyMachines = true;       // also machines that run tasks
     std::size_t solverSteps = 200'000;  // looked-at arcs, after which the greedy plan is taken
 };
 
--- a/src/bookkeeping/dependencies.cpp
+++ b/src/bookkeeping/dependencies.cpp
@@ -4,129 +4,129 @@
 
 namespace fawnwheel::bookkeeping {
 
-bool Dependencies::stopped(const Job& job) {
-    return job.cancelled || job.knownCancelled || job.doomed;
+bool DependencyGraph::stopped(const Job& job) {
+    return job.cancelled || job.knownCancelled || job.dependencyCancelled;
 }
 
-const std::vector<std::string>& Dependencies::successors(const std::string& job) const {
+const std::vector<std::string>& DependencyGraph::dependents(const std::string& job) const {
     static const std::vector<std::string> none;
-    const auto found = successors_.find(job);
-    return found == successors_.end() ? none : found->second;
+    const auto found = dependents_.find(job);
+    return found == dependents_.end() ? none : found->second;
 }
 
-void Dependencies::add(Job& job) {
+void DependencyGraph::add(Job& job) {
     const auto& id = job.spec.id;
     job.priority = job.spec.priority;
     job.latestEnd.reset();
-    job.doomed = false;
+    job.dependencyCancelled = false;
     unresolved_.erase(id);
-    for (const auto& predecessor : job.spec.predecessors) successors_[predecessor].push_back(id);
+    for (const auto& dependency : job.spec.dependencies) dependents_[dependency].push_back(id);
     resolve(job);
     collectDemand(job);
     passOnDemand(job);
-    // Records are read in the order of their names: a successor may have come first.
-    if (stopped(job)) doomSuccessors(id);
+    // Records are read in the order of their names: a dependent may have come first.
+    if (stopped(job)) cancelDependents(id);
 }
 
-void Dependencies::remove(const Job& job) {
+void DependencyGraph::remove(const Job& job) {
     const auto& id = job.spec.id;
-    for (const auto& predecessor : job.spec.predecessors) {
-        const auto found = successors_.find(predecessor);
-        if (found == successors_.end()) continue;
+    for (const auto& dependency : job.spec.dependencies) {
+        const auto found = dependents_.find(dependency);
+        if (found == dependents_.end()) continue;
         std::erase(found->second, id);
         if (!found->second.empty()) continue;
-        successors_.erase(found);
-        terminals_.erase(predecessor);
-        unresolved_.erase(predecessor);
+        dependents_.erase(found);
+        terminals_.erase(dependency);
+        unresolved_.erase(dependency);
     }
-    if (successors_.contains(id) && !terminals_.contains(id)) unresolved_.insert(id);
+    if (dependents_.contains(id) && !terminals_.contains(id)) unresolved_.insert(id);
 }
 
-void Dependencies::onCancelled(Job& job) {
+void DependencyGraph::onCancelled(Job& job) {
     job.knownCancelled = true;
-    doomSuccessors(job.spec.id);
+    cancelDependents(job.spec.id);
     passOnDemand(job);
 }
 
-void Dependencies::recordTerminal(const std::string& job, const TerminalState& state) {
-    if (!successors_.contains(job) || !terminals_.emplace(job, state).second) return;
+void DependencyGraph::recordTerminal(const std::string& job, const TerminalState& state) {
+    if (!dependents_.contains(job) || !terminals_.emplace(job, state).second) return;
     unresolved_.erase(job);
-    for (const auto& id : std::vector(successors(job))) {
+    for (const auto& id : std::vector(dependents(job))) {
         const auto found = jobs_.find(id);
         if (found == jobs_.end() || !resolve(found->second)) continue;
-        doomSuccessors(id);
+        cancelDependents(id);
         passOnDemand(found->second);
     }
 }
 
-void Dependencies::clear() {
-    successors_.clear();
+void DependencyGraph::clear() {
+    dependents_.clear();
     unresolved_.clear();
 }
 
-void Dependencies::prune() {
+void DependencyGraph::prune() {
     std::erase_if(terminals_,
-                  [this](const auto& entry) { return !successors_.contains(entry.first); });
+                  [this](const auto& entry) { return !dependents_.contains(entry.first); });
 }
 
-bool Dependencies::resolve(Job& job) {
+bool DependencyGraph::resolve(Job& job) {
     job.waiting = false;
     job.readySince = job.submitted;
-    bool doomed = false;
-    for (const auto& predecessor : job.spec.predecessors) {
-        if (const auto final = terminals_.find(predecessor); final != terminals_.end()) {
-            if (final->second.cancelled) job.waiting = doomed = true;
+    bool dependencyCancelled = false;
+    for (const auto& dependency : job.spec.dependencies) {
+        if (const auto final = terminals_.find(dependency); final != terminals_.end()) {
+            if (final->second.cancelled) job.waiting = dependencyCancelled = true;
             if (final->second.at) job.readySince = std::max(job.readySince, *final->second.at);
             continue;
         }
         job.waiting = true;
-        const auto live = jobs_.find(predecessor);
+        const auto live = jobs_.find(dependency);
         if (live == jobs_.end())
-            unresolved_.insert(predecessor);
+            unresolved_.insert(dependency);
         else
-            doomed = doomed || stopped(live->second);
+            dependencyCancelled = dependencyCancelled || stopped(live->second);
     }
-    const bool fresh = doomed && !job.doomed;
-    job.doomed = job.doomed || doomed;
+    const bool fresh = dependencyCancelled && !job.dependencyCancelled;
+    job.dependencyCancelled = job.dependencyCancelled || dependencyCancelled;
     return fresh;
 }
 
-void Dependencies::doomSuccessors(const std::string& job) {
+void DependencyGraph::cancelDependents(const std::string& job) {
     std::vector<std::string> open{job};
     while (!open.empty()) {
         const auto next = std::move(open.back());
         open.pop_back();
-        for (const auto& id : successors(next)) {
+        for (const auto& id : dependents(next)) {
             const auto found = jobs_.find(id);
-            if (found == jobs_.end() || found->second.doomed) continue;
-            found->second.doomed = true;
+            if (found == jobs_.end() || found->second.dependencyCancelled) continue;
+            found->second.dependencyCancelled = true;
             open.push_back(id);
         }
     }
 }
 
-void Dependencies::add(Demand& total, const Demand& more) {
+void DependencyGraph::add(Demand& total, const Demand& more) {
     total.priority = std::min(total.priority, more.priority);
     if (more.latestEnd)
         total.latestEnd =
             total.latestEnd ? std::min(*total.latestEnd, *more.latestEnd) : *more.latestEnd;
 }
 
-Dependencies::Demand Dependencies::demandOf(const Job& successor) const {
-    Demand demand = demandOn(successor);
-    if (successor.spec.deadline)
+DependencyGraph::Demand DependencyGraph::demandOf(const Job& dependent) const {
+    Demand demand = demandOn(dependent);
+    if (dependent.spec.deadline)
         add(demand, {demand.priority,
-                     successor.submitted +
-                         std::chrono::duration_cast<WallTime::duration>(*successor.spec.deadline)});
+                     dependent.submitted +
+                         std::chrono::duration_cast<WallTime::duration>(*dependent.spec.deadline)});
     if (demand.latestEnd)
         *demand.latestEnd -=
-            std::chrono::duration_cast<WallTime::duration>(stepTime(successor.spec));
+            std::chrono::duration_cast<WallTime::duration>(stepTime(dependent.spec));
     return demand;
 }
 
-bool Dependencies::collectDemand(Job& job) const {
+bool DependencyGraph::collectDemand(Job& job) const {
     Demand total{job.spec.priority, std::nullopt};
-    for (const auto& id : successors(job.spec.id)) {
+    for (const auto& id : dependents(job.spec.id)) {
         const auto found = jobs_.find(id);
         if (found != jobs_.end() && !stopped(found->second)) add(total, demandOf(found->second));
     }
@@ -136,13 +136,13 @@
     return true;
 }
 
-void Dependencies::passOnDemand(const Job& job) {
+void DependencyGraph::passOnDemand(const Job& job) {
     std::vector<const Job*> open{&job};
     while (!open.empty()) {
         const Job& next = *open.back();
         open.pop_back();
-        for (const auto& predecessor : next.spec.predecessors) {
-            const auto found = jobs_.find(predecessor);
+        for (const auto& dependency : next.spec.dependencies) {
+            const auto found = jobs_.find(dependency);
             if (found != jobs_.end() && collectDemand(found->second))
                 open.push_back(&found->second);
         }
--- a/src/bookkeeping/dependencies.h
+++ b/src/bookkeeping/dependencies.h
@@ -1,6 +1,6 @@
 // Which jobs wait for which others, and what that means for each of them.
 //
-// The edges are those that the active records name. A predecessor counts as done only by its final
+// The edges are those that the active records name. A dependency counts as done only by its final
 // record, which never changes: what was once read holds for ever. Everything is kept up along the
 // edges when a job arrives, ends or is cancelled, so that nothing ever walks over all jobs. What is
 // known of a job is kept with it (`Job::waiting` and the fields after it).
@@ -23,9 +23,9 @@
     std::optional<WallTime> at;  // records of the first version lack it
 };
 
-class Dependencies {
+class DependencyGraph {
   public:
-    explicit Dependencies(std::map<std::string, Job>& jobs) : jobs_(jobs) {}
+    explicit DependencyGraph(std::map<std::string, Job>& jobs) : jobs_(jobs) {}
 
     // The job's active record was seen for the first time; all durable fields are set.
     void add(Job& job);
@@ -42,8 +42,8 @@
     void prune();
 
     // Live jobs that name the job.
-    [[nodiscard]] const std::vector<std::string>& successors(const std::string& job) const;
-    // Predecessors of live jobs that are not live, and whose terminal record has not been read
+    [[nodiscard]] const std::vector<std::string>& dependents(const std::string& job) const;
+    // Dependencies of live jobs that are not live, and whose terminal record has not been read
     // here.
     [[nodiscard]] const std::set<std::string>& unresolved() const { return unresolved_; }
     [[nodiscard]] bool isTerminalKnown(const std::string& job) const {
@@ -56,7 +56,7 @@
     };
 
   private:
-    // What a successor asks of a job.
+    // What a dependent asks of a job.
     struct Demand {
         protocol::Priority priority = protocol::Priority::low;
         std::optional<WallTime> latestEnd;
@@ -65,20 +65,20 @@
 
     [[nodiscard]] static bool stopped(const Job& job);
     [[nodiscard]] static Demand demandOn(const Job& job) { return {job.priority, job.latestEnd}; }
-    [[nodiscard]] Demand demandOf(const Job& successor) const;
+    [[nodiscard]] Demand demandOf(const Job& dependent) const;
     static void add(Demand& total, const Demand& more);
-    // Works out anew what the job's successors ask of it; whether that has changed.
+    // Works out anew what the job's dependents ask of it; whether that has changed.
     bool collectDemand(Job& job) const;
     // The job asks something else than before, or nothing any more.
     void passOnDemand(const Job& job);
     // Works out anew whether the job waits and whether it is doomed; whether it has become doomed.
     bool resolve(Job& job);
     // All that need the job, directly or through others, will be cancelled.
-    void doomSuccessors(const std::string& job);
+    void cancelDependents(const std::string& job);
 
     std::map<std::string, Job>& jobs_;
-    std::unordered_map<std::string, std::vector<std::string>> successors_;  // by predecessor
-    std::unordered_map<std::string, TerminalState> terminals_;              // of predecessors
+    std::unordered_map<std::string, std::vector<std::string>> dependents_;  // by dependency
+    std::unordered_map<std::string, TerminalState> terminals_;              // of dependencies
     std::set<std::string> unresolved_;
 };
 
--- a/src/bookkeeping/job.cpp
+++ b/src/bookkeeping/job.cpp
@@ -13,22 +13,22 @@
 
 }  // namespace
 
-const Claim* Slice::claimOf(std::uint32_t task) const {
-    const auto found = std::find_if(claims.begin(), claims.end(),
-                                    [task](const Claim& c) { return c.task == task; });
-    return found == claims.end() ? nullptr : &*found;
+const Allocation* Slice::allocationOf(std::uint32_t task) const {
+    const auto found = std::find_if(allocations.begin(), allocations.end(),
+                                    [task](const Allocation& c) { return c.task == task; });
+    return found == allocations.end() ? nullptr : &*found;
 }
 
-Claim* Slice::claimOf(std::uint32_t task) {
-    return const_cast<Claim*>(std::as_const(*this).claimOf(task));
+Allocation* Slice::allocationOf(std::uint32_t task) {
+    return const_cast<Allocation*>(std::as_const(*this).allocationOf(task));
 }
 
 bool Slice::unstarted(std::uint32_t task) const {
-    return range().contains(task) && !done[task - first] && claimOf(task) == nullptr;
+    return range().contains(task) && !done[task - first] && allocationOf(task) == nullptr;
 }
 
 std::uint32_t Slice::waiting() const {
-    const auto started = doneCount + claims.size();
+    const auto started = doneCount + allocations.size();
     const auto gone = leaving ? leaving->count : 0;
     return size() - static_cast<std::uint32_t>(std::min<std::size_t>(size(), started + gone));
 }
@@ -43,8 +43,8 @@
 
 SliceContent Slice::content() const {
     SliceContent content{partition, range(), divided, done, {}, failures};
-    for (const auto& claim : claims)
-        if (claim.durable) content.claims.push_back(claim);
+    for (const auto& allocation : allocations)
+        if (allocation.durable) content.allocations.push_back(allocation);
     return content;
 }
 
@@ -73,9 +73,9 @@
     return std::find(done.begin(), done.end(), false) == done.end();
 }
 
-bool Job::anyClaim() const {
+bool Job::anyAllocation() const {
     return std::any_of(slices.begin(), slices.end(),
-                       [](const Slice& s) { return !s.claims.empty(); });
+                       [](const Slice& s) { return !s.allocations.empty(); });
 }
 
 std::uint32_t Job::doneTasks() const {
@@ -84,13 +84,13 @@
     return total;
 }
 
-std::uint32_t Job::claimedTasks() const {
+std::uint32_t Job::allocatedTasks() const {
     std::size_t total = 0;
-    for (const auto& slice : slices) total += slice.claims.size();
+    for (const auto& slice : slices) total += slice.allocations.size();
     return static_cast<std::uint32_t>(total);
 }
 
-bool Job::failing() const {
+bool Job::crashLooping() const {
     if (!failures.any || failures.disproved || doneTasks() > 0) return false;
     std::uint32_t machines = 0;
     for (const auto& slice : slices) machines += slice.failures;
@@ -160,8 +160,8 @@
                           slice.done.begin() + (end - slice.first));
         piece.doneCount =
             static_cast<std::uint32_t>(std::count(piece.done.begin(), piece.done.end(), true));
-        for (const auto& claim : slice.claims)
-            if (piece.range().contains(claim.task)) piece.claims.push_back(claim);
+        for (const auto& allocation : slice.allocations)
+            if (piece.range().contains(allocation.task)) piece.allocations.push_back(allocation);
         piece.divided = slice.divided || !cuts.empty();
         piece.failures = i == 0 ? slice.failures : 0;
         piece.version = i == 0 ? slice.version : 0;
--- a/src/bookkeeping/job.h
+++ b/src/bookkeeping/job.h
@@ -21,22 +21,22 @@
 using transport::WallTime;
 
 // A task's place: durable before its start is sent, until there is proof that the task is gone.
-struct Claim {
+struct Allocation {
     std::uint32_t task = 0;
     std::string machine;
     std::uint64_t attempt = 0;
     // What follows is not durable.
     bool durable = false;
-    bool giveUp = false;               // don't start it any more; wait for the proof
+    bool abandoned = false;            // don't start it any more; wait for the proof
     bool seen = false;                 // reported at least once
-    int startsSent = 0;                // in answers, without a report that shows the task
+    int startsSent = 0;                // in answers, without a heartbeat that shows the task
     std::optional<Seconds> stopGrace;  // to be stopped, with this much time to save
     protocol::TaskState state = protocol::TaskState::fetching;
     SteadyTime made{};
     std::optional<SteadyTime> ran;  // first reported as running
 
     // The task may have been started or not, and whatever was ordered may not have arrived: only a
-    // report to its present leader tells.
+    // heartbeat to its present leader tells.
     void forgetState() {
         seen = false;
         startsSent = 0;
@@ -60,7 +60,7 @@
     TaskRange range;
     bool divided = false;  // the range is not the one its index gives
     std::vector<bool> done;
-    std::vector<Claim> claims;
+    std::vector<Allocation> allocations;
     std::uint32_t failures = 0;  // as in `Slice`
 };
 
@@ -71,7 +71,7 @@
     std::uint32_t partition = 0;
     std::vector<bool> done;
     std::uint32_t doneCount = 0;
-    std::vector<Claim> claims;
+    std::vector<Allocation> allocations;
     std::uint32_t failures = 0;  // machines on which its tasks have failed
     bool divided = false;        // its range is not the one its index gives: the record names it
     std::uint64_t version = 0;   // 0: no record; as in the job's record
@@ -83,18 +83,18 @@
     [[nodiscard]] std::uint32_t size() const { return static_cast<std::uint32_t>(done.size()); }
     [[nodiscard]] TaskRange range() const { return {first, size()}; }
     [[nodiscard]] bool complete() const { return doneCount == done.size(); }
-    [[nodiscard]] bool untouched() const { return claims.empty() && doneCount == 0; }
+    [[nodiscard]] bool untouched() const { return allocations.empty() && doneCount == 0; }
     [[nodiscard]] bool isLeaving(std::uint32_t task) const {
         return leaving && leaving->contains(task);
     }
-    // Neither done nor claimed.
+    // Neither done nor allocated.
     [[nodiscard]] bool unstarted(std::uint32_t task) const;
     // How many of its tasks wait to be placed here.
     [[nodiscard]] std::uint32_t waiting() const;
     // The last consecutive tasks that are unstarted; none: an empty range.
     [[nodiscard]] TaskRange lastUnstarted() const;
-    [[nodiscard]] const Claim* claimOf(std::uint32_t task) const;
-    [[nodiscard]] Claim* claimOf(std::uint32_t task);
+    [[nodiscard]] const Allocation* allocationOf(std::uint32_t task) const;
+    [[nodiscard]] Allocation* allocationOf(std::uint32_t task);
     void markDone(std::uint32_t task);
     // To be called before any change of the content, so that the change can be discarded.
     void touch();
@@ -122,31 +122,32 @@
     // without tasks stands for a record that has not been read yet.
     std::deque<Slice> slices;
     // Not durable.
-    bool finishing = false;
+    bool completing = false;
     SteadyTime notBefore{};  // backing off
     FailureHistory failures;
     bool classed = false;         // counted among its class
     SteadyTime preemptedUntil{};  // others have been stopped for it
-    std::string gatherZone;  // where a waiting gang that must stay in one zone gathers machines
-    SteadyTime gatherSince{};
-    // Kept by `Dependencies`, and worked out from the records alone, so that nodes agree on it.
+    std::string assemblyZone;  // where a waiting gang that must stay in one zone collects machines
+    SteadyTime assemblySince{};
+    // Kept by `DependencyGraph`, and worked out from the records alone, so that nodes agree on it.
     bool knownCancelled = false;  // cancelled by its record or by a peer's word
-    bool waiting = false;         // some predecessor is not known to be done
-    bool doomed = false;          // a job that it needs, directly or through others, is cancelled
-    WallTime readySince;          // when the last predecessor was done, or its submission
+    bool waiting = false;         // some dependency is not known to be done
+    bool dependencyCancelled =
+        false;            // a job that it needs, directly or through others, is cancelled
+    WallTime readySince;  // when the last dependency was done, or its submission
     protocol::Priority priority = protocol::Priority::normal;  // of the most urgent that needs it
     std::optional<WallTime> latestEnd;  // leaves room for all that follows before its deadline
 
     // Whether each of its tasks is done. Tasks that two slices cover count once.
     [[nodiscard]] bool complete() const;
-    [[nodiscard]] bool anyClaim() const;
+    [[nodiscard]] bool anyAllocation() const;
     [[nodiscard]] std::uint32_t doneTasks() const;
-    [[nodiscard]] std::uint32_t claimedTasks() const;
+    [[nodiscard]] std::uint32_t allocatedTasks() const;
     [[nodiscard]] Slice* sliceOf(std::uint32_t task);
     // Submitted with a mistake, as far as can be told: its tasks have failed on several machines
     // and none was ever done. It is tried again now and then, one task at a time, and otherwise
     // holds and asks for nothing.
-    [[nodiscard]] bool failing() const;
+    [[nodiscard]] bool crashLooping() const;
     // Its tasks have lately failed on the machine.
     [[nodiscard]] bool avoids(const std::string& machine, SteadyTime now) const;
     // The tasks of the slice with this index before any division; none: division has added it.
--- a/src/bookkeeping/ledger.cpp
+++ b/src/bookkeeping/ledger.cpp
@@ -25,13 +25,13 @@
     const auto id = job.spec.id;
     Job& added = jobs.insert_or_assign(id, std::move(job)).first->second;
     added.knownCancelled = knownCancelled(added);
-    dependencies.add(added);
+    dependencyGraph.add(added);
 }
 
 bool ClusterState::recordCancellation(const std::string& id, std::uint64_t revision) {
     const bool fresh = cancellations.append(id, revision);
     if (Job* live = job(id); live != nullptr && !live->knownCancelled)
-        dependencies.onCancelled(*live);
+        dependencyGraph.onCancelled(*live);
     return fresh;
 }
 
@@ -40,12 +40,12 @@
     orphanedRecords.clear();
     corruptMachines.clear();
     jobs.clear();
-    dependencies.clear();
+    dependencyGraph.clear();
     machines.clear();
     partitions.clear();
     nodes.clear();
-    shares.clear();
-    shareVersions.clear();
+    quotas.clear();
+    quotaVersions.clear();
     lastTerm = termVersion = catalogVersion = 0;
 }
 
@@ -85,50 +85,53 @@
     const std::string& machine) const {
     for (const auto& [id, job] : jobs)
         for (const auto& slice : job.slices)
-            for (const auto& claim : slice.claims)
-                if (claim.machine == machine) return slice.partition;
+            for (const auto& allocation : slice.allocations)
+                if (allocation.machine == machine) return slice.partition;
     return std::nullopt;
 }
 
-void ClusterState::attachClaims(Machine& machine) const {
+void ClusterState::attachAllocations(Machine& machine) const {
     for (const auto& [name, job] : jobs)
         for (const auto& slice : job.slices)
-            for (const auto& claim : slice.claims)
-                if (claim.machine == machine.id) {
-                    machine.claims.push_back({name, claim.task, claim.attempt});
+            for (const auto& allocation : slice.allocations)
+                if (allocation.machine == machine.id) {
+                    machine.allocations.push_back({name, allocation.task, allocation.attempt});
                     machine.used += job.spec.each;
                 }
 }
 
 void ClusterState::forgetTaskStates(const Machine& machine) {
-    for (const auto& ref : machine.claims)
-        if (const auto [job, slice, claim] = held(ref); claim != nullptr) claim->forgetState();
+    for (const auto& ref : machine.allocations)
+        if (const auto [job, slice, allocation] = findAllocation(ref); allocation != nullptr)
+            allocation->forgetState();
 }
 
-Held ClusterState::held(const TaskRef& ref) {
+AllocationRef ClusterState::findAllocation(const TaskRef& ref) {
     Job* found = job(ref.job);
     Slice* slice = found == nullptr ? nullptr : found->sliceOf(ref.task);
-    Claim* claim = slice == nullptr ? nullptr : slice->claimOf(ref.task);
-    if (claim == nullptr || claim->attempt != ref.attempt) return {};
-    return {found, slice, claim};
+    Allocation* allocation = slice == nullptr ? nullptr : slice->allocationOf(ref.task);
+    if (allocation == nullptr || allocation->attempt != ref.attempt) return {};
+    return {found, slice, allocation};
 }
 
-void ClusterState::attach(const Job& job, const Claim& claim) {
-    Machine* m = machine(claim.machine);
+void ClusterState::attach(const Job& job, const Allocation& allocation) {
+    Machine* m = machine(allocation.machine);
     if (m == nullptr) return;
-    const TaskRef ref{job.spec.id, claim.task, claim.attempt};
-    if (std::find(m->claims.begin(), m->claims.end(), ref) != m->claims.end()) return;
-    m->claims.push_back(ref);
+    const TaskRef ref{job.spec.id, allocation.task, allocation.attempt};
+    if (std::find(m->allocations.begin(), m->allocations.end(), ref) != m->allocations.end())
+        return;
+    m->allocations.push_back(ref);
     m->used += job.spec.each;
     ++imageUse_[job.spec.image][m->partition];
 }
 
-void ClusterState::detach(const Job& job, const Claim& claim) {
-    Machine* m = machine(claim.machine);
+void ClusterState::detach(const Job& job, const Allocation& allocation) {
+    Machine* m = machine(allocation.machine);
     if (m == nullptr) return;
-    if (std::erase(m->claims, TaskRef{job.spec.id, claim.task, claim.attempt}) == 0) return;
+    if (std::erase(m->allocations, TaskRef{job.spec.id, allocation.task, allocation.attempt}) == 0)
+        return;
     m->used -= job.spec.each;
-    if (m->claims.empty()) m->used = {};
+    if (m->allocations.empty()) m->used = {};
 }
 
 void ClusterState::recordImage(Machine& machine, const JobSpec& spec) {
@@ -146,30 +149,30 @@
     }
 }
 
-void ClusterState::addClaim(Job& job, Slice& slice, Claim claim) {
+void ClusterState::addAllocation(Job& job, Slice& slice, Allocation allocation) {
     slice.touch();
-    attach(job, claim);
-    slice.claims.push_back(std::move(claim));
+    attach(job, allocation);
+    slice.allocations.push_back(std::move(allocation));
 }
 
-void ClusterState::removeClaim(Job& job, Slice& slice, std::uint32_t task) {
-    const Claim* claim = slice.claimOf(task);
-    if (claim == nullptr) return;
+void ClusterState::removeAllocation(Job& job, Slice& slice, std::uint32_t task) {
+    const Allocation* allocation = slice.allocationOf(task);
+    if (allocation == nullptr) return;
     slice.touch();
-    detach(job, *claim);
-    std::erase_if(slice.claims, [task](const Claim& c) { return c.task == task; });
+    detach(job, *allocation);
+    std::erase_if(slice.allocations, [task](const Allocation& c) { return c.task == task; });
 }
 
 void ClusterState::dropJob(const std::string& id) {
     Job* found = job(id);
     if (found == nullptr) return;
     for (const auto& slice : found->slices) {
-        for (const auto& claim : slice.claims) detach(*found, claim);
+        for (const auto& allocation : slice.allocations) detach(*found, allocation);
         // Deleted with the job, as far as they fitted into that transaction; the watch tells.
         if (slice.version > 0)
             orphanedRecords[keys::slice(id, slice.index)] = {id, slice.partition};
     }
-    dependencies.remove(*found);
+    dependencyGraph.remove(*found);
     jobs.erase(id);
 }
 
@@ -186,8 +189,8 @@
     for (auto& other : job.slices) {
         if (&other == &slice || other.first >= range.first || other.range().end() <= range.first)
             continue;
-        for (const auto& claim : other.claims)
-            if (claim.task >= range.first) detach(job, claim);
+        for (const auto& allocation : other.allocations)
+            if (allocation.task >= range.first) detach(job, allocation);
         other = cutSlice(other, {range.first}, 0).front();
     }
 }
@@ -207,24 +210,26 @@
     content.divided = content.divided || range != content.range;
     content.range = range;
     content.done.resize(range.count);
-    std::erase_if(content.claims,
-                  [&content](const Claim& claim) { return !content.range.contains(claim.task); });
+    std::erase_if(content.allocations, [&content](const Allocation& allocation) {
+        return !content.range.contains(allocation.task);
+    });
     const bool sameLeader = content.partition == slice.partition;
-    for (auto& claim : content.claims) {
-        claim.durable = true;
-        if (const Claim* old = slice.claimOf(claim.task);
-            old != nullptr && old->attempt == claim.attempt && old->machine == claim.machine) {
-            claim = *old;
-            claim.durable = true;
-            if (!sameLeader) claim.forgetState();
-        } else if (Machine* m = machine(claim.machine)) {
+    for (auto& allocation : content.allocations) {
+        allocation.durable = true;
+        if (const Allocation* old = slice.allocationOf(allocation.task);
+            old != nullptr && old->attempt == allocation.attempt &&
+            old->machine == allocation.machine) {
+            allocation = *old;
+            allocation.durable = true;
+            if (!sameLeader) allocation.forgetState();
+        } else if (Machine* m = machine(allocation.machine)) {
             // Another leader's placement: who takes its partition over then knows where images lie.
             // Without that all were fetched anew (day zone of a fleet).
             recordImage(*m, job.spec);
         }
     }
     shortenOthers(job, slice, content.range);
-    for (const auto& claim : slice.claims) detach(job, claim);
+    for (const auto& allocation : slice.allocations) detach(job, allocation);
     slice.partition = content.partition;
     slice.failures = content.failures;
     job.failures.any = job.failures.any || slice.failures > 0;
@@ -233,8 +238,8 @@
     slice.done = std::move(content.done);
     slice.doneCount =
         static_cast<std::uint32_t>(std::count(slice.done.begin(), slice.done.end(), true));
-    slice.claims = std::move(content.claims);
-    for (const auto& claim : slice.claims) attach(job, claim);
+    slice.allocations = std::move(content.allocations);
+    for (const auto& allocation : slice.allocations) attach(job, allocation);
     slice.dirty = false;
     slice.recorded = {};
 }
@@ -258,7 +263,7 @@
 }
 
 void ClusterState::divideSlice(Job& job, std::uint32_t index, const std::vector<Slice>& pieces) {
-    // Claims stay with their tasks and machines, whichever slice they are in.
+    // Allocations stay with their tasks and machines, whichever slice they are in.
     job.sliceAt(index) = pieces.front();
     for (std::size_t i = 1; i < pieces.size(); ++i) job.sliceAt(pieces[i].index) = pieces[i];
 }
@@ -267,17 +272,17 @@
     byPartition_.clear();
     imageUse_.clear();
     for (auto& [id, m] : machines) {
-        m.claims.clear();
+        m.allocations.clear();
         m.used = {};
         byPartition_[m.partition].push_back(&m);
     }
     for (const auto& [id, j] : jobs)
         for (const auto& slice : j.slices)
-            for (const auto& claim : slice.claims) attach(j, claim);
-    dependencies.prune();
+            for (const auto& allocation : slice.allocations) attach(j, allocation);
+    dependencyGraph.prune();
 }
 
-double ClusterState::cachedShare(const JobSpec& spec, std::uint32_t partition) const {
+double ClusterState::cachedFraction(const JobSpec& spec, std::uint32_t partition) const {
     const auto image = imageUse_.find(spec.image);
     if (image == imageUse_.end()) return 0;
     const auto uses = image->second.find(partition);
@@ -291,7 +296,7 @@
         if (j.spec.team != team) continue;
         for (const auto& slice : j.slices) {
             if (slice.partition != partition) continue;
-            for (std::size_t i = 0; i < slice.claims.size(); ++i) total += j.spec.each;
+            for (std::size_t i = 0; i < slice.allocations.size(); ++i) total += j.spec.each;
         }
     }
     return total;
--- a/src/bookkeeping/ledger.h
+++ b/src/bookkeeping/ledger.h
@@ -43,30 +43,30 @@
     bool retired = false;       // a release was or will be sent: never gets work again
     std::uint64_t version = 0;  // 0: no record yet, and so no work
 
-    // Not durable: learnt from reports and lists.
+    // Not durable: learnt from heartbeats and lists.
     std::string address;
-    std::uint64_t session = 0;
+    std::uint64_t agentEpoch = 0;
     std::uint64_t sequence = 0;
-    std::uint64_t endedSession = 0;  // its lease has surely run out
+    std::uint64_t expiredAgentEpoch = 0;  // its lease has surely run out
     std::uint64_t firstFencingToken =
         0;                           // of ours as its leader: who has seen it heeds no older leader
     std::uint64_t fencingToken = 0;  // what it is answered with; grows within a term
-    SteadyTime reportRequested{};    // when its worker was last made to report
-    // An answer sent is no answer received: a report that shows the expected token proves that the
-    // worker heard us. Until then the machine gets no work.
+    SteadyTime heartbeatRequested{};  // when its worker was last made to heartbeat
+    // An answer sent is no answer received: a heartbeat that shows the expected token proves that
+    // the worker heard us. Until then the machine gets no work.
     std::uint64_t expectedToken = 0;
     std::uint64_t acknowledgedToken = 0;
-    SteadyTime doubtedSince{};
-    int unacknowledged = 0;        // answered reports in a row that don't show it
+    SteadyTime unacknowledgedSince{};
+    int unacknowledged = 0;        // answered heartbeats in a row that don't show it
     SteadyTime unansweredUntil{};  // not answered, so that its lease runs out
 
-    std::optional<SteadyTime> lastReport;  // last newer report, by this process as its leader
-    SteadyTime silentSince{};              // leases can't have been renewed after this
-    SteadyTime known{};                    // when this process first knew of it
+    std::optional<SteadyTime> lastHeartbeat;  // last newer heartbeat, by this process as its leader
+    SteadyTime silentSince{};                 // leases can't have been renewed after this
+    SteadyTime known{};                       // when this process first knew of it
     SteadyTime idleSince{};
-    SteadyTime notBefore{};                // no new work before
-    std::optional<SteadyTime> noticeEnds;  // the cloud takes it then
-    std::optional<SteadyTime> listed;      // seen in a list, at its receipt
+    SteadyTime notBefore{};                    // no new work before
+    std::optional<SteadyTime> interruptionAt;  // the cloud takes it then
+    std::optional<SteadyTime> listed;          // seen in a list, at its receipt
     bool failedInList = false;
     bool transferring = false;  // its record is being changed to another partition
     // Its record already names another partition, although our own transaction has no outcome yet.
@@ -74,12 +74,12 @@
     bool emptying = false;    // its tasks move together with others, then it is given back
     std::string reservedFor;  // job that room is kept for: others were stopped, or it is a gang
     std::uint32_t reservedTasks = 0;
-    Resources reservedRoom;
+    Resources reservedCapacity;
     SteadyTime reservedUntil{};
-    std::size_t exited = 0;            // tasks in its last report that have ended
+    std::size_t exited = 0;            // tasks in its last heartbeat that have ended
     std::set<std::string> failedJobs;  // whose tasks have failed here since one was done
     std::deque<CachedImage> images;    // most recently used first
-    std::vector<TaskRef> claims;
+    std::vector<TaskRef> allocations;
     Resources used;
 
     [[nodiscard]] bool acknowledged() const { return acknowledgedToken >= expectedToken; }
@@ -92,17 +92,17 @@
 };
 
 // Limits over all: a partition's share of each team's limit.
-struct TeamShare {
+struct QuotaShare {
     double cpus = 0;
     double gpus = 0;
 };
 
-// A claim with what it belongs to; empty if it has ended.
-struct Held {
+// An allocation with what it belongs to; empty if it has ended.
+struct AllocationRef {
     Job* job = nullptr;
     Slice* slice = nullptr;
-    Claim* claim = nullptr;
-    explicit operator bool() const { return claim != nullptr; }
+    Allocation* allocation = nullptr;
+    explicit operator bool() const { return allocation != nullptr; }
 };
 
 // A slice's record that has outlived its job's.
@@ -136,12 +136,12 @@
 
 class ClusterState {
   public:
-    ClusterState() : dependencies(jobs) {}
+    ClusterState() : dependencyGraph(jobs) {}
     ClusterState(const ClusterState&) = delete;
     ClusterState& operator=(const ClusterState&) = delete;
 
     std::map<std::string, Job> jobs;
-    Dependencies dependencies;
+    DependencyGraph dependencyGraph;
     std::map<std::string, Machine> machines;
     std::map<std::uint32_t, Partition> partitions;
     std::map<std::string, std::uint64_t> nodes;  // alive, with the record's version
@@ -156,10 +156,10 @@
     std::uint64_t lastTerm = 0;
     std::uint64_t termVersion = 0;
     // team -> partition -> share
-    std::map<std::string, std::map<std::uint32_t, TeamShare>> shares;
-    std::map<std::string, std::uint64_t> shareVersions;
+    std::map<std::string, std::map<std::uint32_t, QuotaShare>> quotas;
+    std::map<std::string, std::uint64_t> quotaVersions;
     // Not durable: team -> what is being given away by a partition of ours.
-    std::map<std::string, std::pair<std::uint32_t, TeamShare>> sharesLeaving;
+    std::map<std::string, std::pair<std::uint32_t, QuotaShare>> outgoingQuotas;
     std::vector<protocol::MachineType> catalog;  // as last recorded
     std::uint64_t catalogVersion = 0;
     CancellationLog cancellations;
@@ -177,11 +177,11 @@
     bool recordCancellation(const std::string& id, std::uint64_t revision);
     // Its tasks may be started: it waits for no other job, is not cancelled and has not ended.
     [[nodiscard]] bool startable(const Job& job) const {
-        return !job.waiting && !job.doomed && !job.finishing && !knownCancelled(job);
+        return !job.waiting && !job.dependencyCancelled && !job.completing && !knownCancelled(job);
     }
     // Its tasks may have places, and what it lacks may be asked for.
     [[nodiscard]] bool schedulable(const Job& job) const {
-        return startable(job) && !job.failing();
+        return startable(job) && !job.crashLooping();
     }
     // Cancelled as far as anybody has told us, be it recorded here or not: its tasks are stopped
     // and none is started. What is recorded rests on `Job::cancelled` alone.
@@ -191,23 +191,24 @@
     [[nodiscard]] const std::vector<Machine*>& machinesOf(std::uint32_t partition) const;
     Machine& addMachine(const std::string& id, std::uint32_t partition);
     void assignPartition(Machine& machine, std::uint32_t partition);
-    // The partition whose slices have claims on the machine; none: no claim names it.
+    // The partition whose slices have allocations on the machine; none: no allocation names it.
     [[nodiscard]] std::optional<std::uint32_t> partitionOfAllocationsOn(
         const std::string& machine) const;
-    // A claim's record may have come before its machine's.
-    void attachClaims(Machine& machine) const;
-    // What this process knew of the tasks on the machine as a leader is void: only reports to its
-    // present leader tell.
+    // A allocation's record may have come before its machine's.
+    void attachAllocations(Machine& machine) const;
+    // What this process knew of the tasks on the machine as a leader is void: only heartbeats to
+    // its present leader tell.
     void forgetTaskStates(const Machine& machine);
-    [[nodiscard]] Held held(const TaskRef& ref);
+    [[nodiscard]] AllocationRef findAllocation(const TaskRef& ref);
 
     // The machine has the image, or will have it soon.
     void recordImage(Machine& machine, const JobSpec& spec);
-    void addClaim(Job& job, Slice& slice, Claim claim);
-    void removeClaim(Job& job, Slice& slice, std::uint32_t task);
+    void addAllocation(Job& job, Slice& slice, Allocation allocation);
+    void removeAllocation(Job& job, Slice& slice, std::uint32_t task);
     void dropJob(const std::string& id);
     void dropMachine(const std::string& id);
-    // Replaces a slice's content by that of a record, keeping what is known of claims that stay.
+    // Replaces a slice's content by that of a record, keeping what is known of allocations that
+    // stay.
     void replaceSlice(Job& job, Slice& slice, SliceContent content);
     // Whether a slice of the partition has changes that are not recorded.
     [[nodiscard]] bool hasUnrecorded(std::uint32_t partition) const;
@@ -223,18 +224,18 @@
 
     // How much of an image's demand a partition can serve from its machines' caches, 0 to 1: by the
     // tasks with this image that had a place there.
-    [[nodiscard]] double cachedShare(const JobSpec& spec, std::uint32_t partition) const;
+    [[nodiscard]] double cachedFraction(const JobSpec& spec, std::uint32_t partition) const;
 
     [[nodiscard]] Resources usedBy(const std::string& team, std::uint32_t partition) const;
 
   private:
-    void attach(const Job& job, const Claim& claim);
+    void attach(const Job& job, const Allocation& allocation);
     // Other slices that still cover these tasks end before them.
     void shortenOthers(Job& job, const Slice& slice, const TaskRange& range);
     // The range without the tasks that a piece divided off it holds.
     [[nodiscard]] static TaskRange withoutPieces(const Job& job, const Slice& slice,
                                                  TaskRange range);
-    void detach(const Job& job, const Claim& claim);
+    void detach(const Job& job, const Allocation& allocation);
 
     std::map<std::uint32_t, std::vector<Machine*>> byPartition_;
     std::map<std::string, std::map<std::uint32_t, std::uint32_t>> imageUse_;  // by partition
--- a/src/bookkeeping/records.cpp
+++ b/src/bookkeeping/records.cpp
@@ -18,7 +18,7 @@
 constexpr auto machineKey = "live/machine/";
 constexpr auto partitionKey = "live/part/";
 constexpr auto nodeKey = "live/node/";
-constexpr auto shareKey = "live/share/";
+constexpr auto quotaKey = "live/share/";
 constexpr auto upgradedKey = "live/upgraded/";
 constexpr auto transfersKey = "live/transfers/";
 constexpr auto partitionField = "part";
@@ -29,11 +29,11 @@
 constexpr auto rangeCount = "count";
 constexpr auto failuresField = "failures";
 constexpr auto finalAt = "at";
-constexpr double bytesPerTask = 52;  // a claim with long names, plus its done range
+constexpr double bytesPerTask = 52;  // an allocation with long names, plus its done range
 constexpr std::uint32_t smallSlice = 4;
 constexpr std::uint32_t handySlice = 40;  // small enough to be rewritten often
 constexpr std::uint32_t slicesWanted = 16;
-constexpr double writesPerSlice = 2;     // its claims and its ends, at the least
+constexpr double writesPerSlice = 2;     // its allocations and its ends, at the least
 constexpr double recordingSeconds = 10;  // for all slices of a job, at the full write rate
 
 std::optional<std::string> after(const std::string& key, const char* prefix) {
@@ -84,18 +84,18 @@
     return done;
 }
 
-std::vector<Claim> readClaims(const Json& value, const TaskRange& range) {
-    std::vector<Claim> claims;
+std::vector<Allocation> readAllocations(const Json& value, const TaskRange& range) {
+    std::vector<Allocation> allocations;
     for (const auto& entry : listOf(value, "claims")) {
         if (!entry.is_array() || entry.size() != 3) continue;
-        Claim claim;
-        claim.task = range.first + entry[0].get<std::uint32_t>();
-        claim.machine = entry[1].get<std::string>();
-        claim.attempt = entry[2].get<std::uint64_t>();
-        claim.durable = true;
-        claims.push_back(std::move(claim));
+        Allocation allocation;
+        allocation.task = range.first + entry[0].get<std::uint32_t>();
+        allocation.machine = entry[1].get<std::string>();
+        allocation.attempt = entry[2].get<std::uint64_t>();
+        allocation.durable = true;
+        allocations.push_back(std::move(allocation));
     }
-    return claims;
+    return allocations;
 }
 
 // The tasks that a slice's record covers: those that its index gives, unless it names them.
@@ -147,7 +147,7 @@
     m.emptying = false;
     m.transferring = false;
     m.departedTo.reset();
-    m.noticeEnds.reset();
+    m.interruptionAt.reset();
     m.unansweredUntil = {};
     m.known = m.silentSince = m.idleSince = now;
 }
@@ -155,12 +155,12 @@
 // Where its worker's tokens begin with the new leader.
 void startTokens(Machine& m, SteadyTime now) {
     if (m.minFencingToken <= m.firstFencingToken) return;
-    m.lastReport = now;
+    m.lastHeartbeat = now;
     m.firstFencingToken = m.fencingToken = m.expectedToken = m.minFencingToken;
     // Lent or given back: the partition it comes from has just heard it, and it is empty. With
     // tasks on it nothing is proved until the worker has shown the new leader's token.
     m.acknowledgedToken = m.movedBy.empty() ? m.minFencingToken : 0;
-    m.doubtedSince = now;
+    m.unacknowledgedSince = now;
     m.unacknowledged = 0;
 }
 
@@ -202,7 +202,7 @@
     m.spot = flagOf(value, "spot");
     m.retired = flagOf(value, "retired");
     m.version = event.version;
-    if (fresh) clusterState.attachClaims(m);
+    if (fresh) clusterState.attachAllocations(m);
 }
 
 void applyPartition(ClusterState& clusterState, std::uint32_t number,
@@ -214,17 +214,17 @@
     partition.version = event.version;
 }
 
-void applyShare(ClusterState& clusterState, const std::string& team, const protocol::Event& event) {
-    if (clusterState.shareVersions[team] >= event.version || !event.value) return;
-    auto& shares = clusterState.shares[team];
-    shares.clear();
+void applyQuota(ClusterState& clusterState, const std::string& team, const protocol::Event& event) {
+    if (clusterState.quotaVersions[team] >= event.version || !event.value) return;
+    auto& quotas = clusterState.quotas[team];
+    quotas.clear();
     std::uint32_t partition = 0;
     for (const auto& entry : listOf(*event.value, "shares")) {
         if (entry.is_array() && entry.size() == 2)
-            shares[partition] = {entry[0].get<double>(), entry[1].get<double>()};
+            quotas[partition] = {entry[0].get<double>(), entry[1].get<double>()};
         ++partition;
     }
-    clusterState.shareVersions[team] = event.version;
+    clusterState.quotaVersions[team] = event.version;
 }
 
 }  // namespace
@@ -246,7 +246,7 @@
     return nodeKey + name;
 }
 std::string quota(const std::string& team) {
-    return shareKey + team;
+    return quotaKey + team;
 }
 std::string jobDependenciesGate(const std::string& node) {
     return upgradedKey + node;
@@ -278,10 +278,12 @@
         else
             done.push_back({i, i});
     }
-    Json claims = Json::array();
-    for (const auto& claim : slice.claims)
-        claims.push_back({claim.task - slice.first, claim.machine, claim.attempt});
-    Json value{{"part", slice.partition}, {"done", std::move(done)}, {"claims", std::move(claims)}};
+    Json allocations = Json::array();
+    for (const auto& allocation : slice.allocations)
+        allocations.push_back(
+            {allocation.task - slice.first, allocation.machine, allocation.attempt});
+    Json value{
+        {"part", slice.partition}, {"done", std::move(done)}, {"claims", std::move(allocations)}};
     if (slice.failures > 0) value[failuresField] = slice.failures;
     if (slice.divided) {
         value[rangeFirst] = slice.first;
@@ -297,7 +299,7 @@
                         *range,
                         value.contains(rangeCount),
                         readDone(value, range->count),
-                        readClaims(value, *range),
+                        readAllocations(value, *range),
                         static_cast<std::uint32_t>(countOf(value, failuresField))};
 }
 
@@ -331,9 +333,9 @@
     return {{"owner", partition.leader}, {"term", partition.term}};
 }
 
-Json shareValue(const std::map<std::uint32_t, TeamShare>& shares) {
+Json quotaValue(const std::map<std::uint32_t, QuotaShare>& quotas) {
     Json list = Json::array();
-    for (const auto& [partition, share] : shares) list.push_back({share.cpus, share.gpus});
+    for (const auto& [partition, quota] : quotas) list.push_back({quota.cpus, quota.gpus});
     return {{"shares", std::move(list)}};
 }
 
@@ -369,7 +371,7 @@
     if (probe.undivided()) return std::min(most, spec.tasks);
     // With many small slices a job's tasks that change together took many writes, and the writes
     // that the state service allows held up the starts. An array that is so large that even its
-    // claims and ends take longer than this gets larger slices.
+    // allocations and ends take longer than this gets larger slices.
     if (divisible) {
         const auto quick = static_cast<std::uint32_t>(
             spec.tasks * writesPerSlice / std::max(1.0, bounds.writesPerSecond * recordingSeconds));
@@ -422,8 +424,8 @@
                 std::max(event.version, known == clusterState.nodes.end() ? 0 : known->second);
         else if (known != clusterState.nodes.end() && known->second < event.version)
             clusterState.nodes.erase(known);
-    } else if (const auto team = after(event.key, shareKey)) {
-        applyShare(clusterState, *team, event);
+    } else if (const auto team = after(event.key, quotaKey)) {
+        applyQuota(clusterState, *team, event);
     } else if (const auto jobDependenciesGate = after(event.key, upgradedKey)) {
         if (event.value) clusterState.nodesWithJobDependencies.insert(*jobDependenciesGate);
     } else if (const auto machineTransfersGate = after(event.key, transfersKey)) {
--- a/src/bookkeeping/records.h
+++ b/src/bookkeeping/records.h
@@ -38,7 +38,7 @@
 // Whether a machine's record can be read and names partitions that exist.
 bool machineValueValid(const Json& value, std::uint32_t partitionCount);
 Json partitionValue(const Partition& partition);
-Json shareValue(const std::map<std::uint32_t, TeamShare>& shares);
+Json quotaValue(const std::map<std::uint32_t, QuotaShare>& quotas);
 Json featureGateValue();
 Json catalogValue(const std::vector<protocol::MachineType>& types);
 Json terminalValue(const TerminalState& state);
@@ -50,7 +50,7 @@
     double writesPerSecond = 20;  // of all nodes
 };
 
-// How many tasks a slice may have so that its record, all tasks claimed, stays within a value.
+// How many tasks a slice may have so that its record, all tasks allocated, stays within a value.
 // Slices that can be divided later are as large as is handy; others are small enough to be pushed
 // whole.
 std::uint32_t sliceSizeFor(const JobSpec& spec, const RecordBounds& bounds, bool divisible);
--- a/src/coordination/admission.cpp
+++ b/src/coordination/admission.cpp
@@ -21,7 +21,7 @@
 constexpr int retryAfterSeconds = 1;
 constexpr double tolerance = 3.0;  // times the fastest
 constexpr double slackSeconds = 0.1;
-constexpr double shareSlack = 1e-9;
+constexpr double quotaTolerance = 1e-9;
 constexpr std::size_t ownConditions = 2;  // of a job that is created
 
 HttpResponse later() {
@@ -66,8 +66,8 @@
     if (!fits) return HttpResponse{422, {}, 0};
     if (team != nullptr) {
         const double at = spec.kind == protocol::JobKind::array ? 1 : spec.tasks;
-        if ((team->cpusMax > 0 && spec.each.cpus * at > team->cpusMax + shareSlack) ||
-            (team->gpusMax > 0 && spec.each.gpus * at > team->gpusMax + shareSlack))
+        if ((team->cpusMax > 0 && spec.each.cpus * at > team->cpusMax + quotaTolerance) ||
+            (team->gpusMax > 0 && spec.each.gpus * at > team->gpusMax + quotaTolerance))
             return HttpResponse{422, {}, 0};
     }
     return std::nullopt;
@@ -87,7 +87,7 @@
     Job job = newJob(spec);
     job.partition = context_.partitionCount();
     return bookkeeping::jobValue(job).dump().size() <= context_.settings.valueBytes() &&
-           spec.predecessors.size() + ownConditions <= context_.settings.transactionConditions();
+           spec.dependencies.size() + ownConditions <= context_.settings.transactionConditions();
 }
 
 void Admission::submit(const std::string& body, HttpReply reply) {
@@ -126,9 +126,9 @@
                                       const Submission& submission) const {
     Judgement judgement;
     // While a node of the version before may come back, nobody would keep the order for sure.
-    if (!submission.spec.predecessors.empty() && !context_.jobDependenciesEnabled(clusterState))
+    if (!submission.spec.dependencies.empty() && !context_.jobDependenciesEnabled(clusterState))
         judgement.refusal = later();
-    for (const auto& id : submission.spec.predecessors) {
+    for (const auto& id : submission.spec.dependencies) {
         if (const auto final = submission.terminals.find(id); final != submission.terminals.end()) {
             judgement.cancelled = judgement.cancelled || final->second;
             continue;
@@ -145,7 +145,8 @@
         // A service never ends; and who needs a cancelled job is cancelled first.
         if (live->spec.kind == protocol::JobKind::service)
             judgement.refusal = HttpResponse{422, {}, 0};
-        else if (!live->cancelled && (live->doomed || clusterState.knownCancelled(*live)))
+        else if (!live->cancelled &&
+                 (live->dependencyCancelled || clusterState.knownCancelled(*live)))
             judgement.refusal = later();
         judgement.cancelled = judgement.cancelled || live->cancelled;
         judgement.compares.push_back({bookkeeping::keys::job(id), live->version});
@@ -165,24 +166,25 @@
 }
 
 void Admission::lookUp(const SubmissionPtr& submission,
-                       const std::vector<std::string>& predecessors) {
-    struct Gather {
+                       const std::vector<std::string>& dependencies) {
+    struct Collection {
         std::size_t left = 0;
         std::optional<HttpResponse> refusal;
     };
-    auto gather = std::make_shared<Gather>();
-    gather->left = predecessors.size();
-    for (const auto& id : predecessors)
-        lookup_.find(id, LookupPurpose::decision, [this, submission, gather, id](JobStatus status) {
-            if (status == JobStatus::terminalDone || status == JobStatus::terminalCancelled)
-                submission->terminals[id] = status == JobStatus::terminalCancelled;
-            // Only the state service itself can say that a job was never accepted.
-            if (status == JobStatus::unknownJob) gather->refusal = HttpResponse{422, {}, 0};
-            if (status == JobStatus::noAnswer && !gather->refusal) gather->refusal = later();
-            if (--gather->left > 0) return;
-            if (gather->refusal) return submission->reply(*gather->refusal);
-            accept(submission);
-        });
+    auto collect = std::make_shared<Collection>();
+    collect->left = dependencies.size();
+    for (const auto& id : dependencies)
+        lookup_.find(
+            id, LookupPurpose::decision, [this, submission, collect, id](JobStatus status) {
+                if (status == JobStatus::terminalDone || status == JobStatus::terminalCancelled)
+                    submission->terminals[id] = status == JobStatus::terminalCancelled;
+                // Only the state service itself can say that a job was never accepted.
+                if (status == JobStatus::unknownJob) collect->refusal = HttpResponse{422, {}, 0};
+                if (status == JobStatus::noAnswer && !collect->refusal) collect->refusal = later();
+                if (--collect->left > 0) return;
+                if (collect->refusal) return submission->reply(*collect->refusal);
+                accept(submission);
+            });
 }
 
 void Admission::create(const SubmissionPtr& submission, const Judgement& judgement) {
@@ -237,11 +239,11 @@
 void Admission::onRefused(const SubmissionPtr& submission,
                           const protocol::CompareAndSwapResponse& answer) {
     const auto& id = submission->spec.id;
-    std::vector<std::string> moved;  // predecessors whose records have changed
-    for (const auto& predecessor : submission->spec.predecessors)
+    std::vector<std::string> moved;  // dependencies whose records have changed
+    for (const auto& dependency : submission->spec.dependencies)
         if (std::find(answer.failed.begin(), answer.failed.end(),
-                      bookkeeping::keys::job(predecessor)) != answer.failed.end())
-            moved.push_back(predecessor);
+                      bookkeeping::keys::job(dependency)) != answer.failed.end())
+            moved.push_back(dependency);
     const auto failedOwn = answer.failed.size() > moved.size();
     if (failedOwn || moved.empty()) return tellKnown(id, submission->reply);
     lookUp(submission, moved);
@@ -268,7 +270,7 @@
             auto clusterState = context_.clusterState.lock();
             if (const Job* job = clusterState->job(id)) {
                 done = job->doneTasks();
-                running = job->claimedTasks();
+                running = job->allocatedTasks();
                 if (running > 0) state = wire::stateRunning;
             }
         }
--- a/src/coordination/admission.h
+++ b/src/coordination/admission.h
@@ -48,10 +48,10 @@
         protocol::JobSpec spec;
         transport::HttpReply reply;
         int tries = 0;
-        std::map<std::string, bool> terminals;  // predecessors that have ended; cancelled?
+        std::map<std::string, bool> terminals;  // dependencies that have ended; cancelled?
     };
     using SubmissionPtr = std::shared_ptr<Submission>;
-    // What is known of a submission's predecessors.
+    // What is known of a submission's dependencies.
     struct Judgement {
         std::vector<std::string> unknown;         // to be looked up
         std::vector<protocol::Compare> compares;  // active records as they were judged
@@ -73,7 +73,7 @@
 
     [[nodiscard]] Judgement judge(ClusterState& clusterState, const Submission& submission) const;
     void accept(const SubmissionPtr& submission);
-    void lookUp(const SubmissionPtr& submission, const std::vector<std::string>& predecessors);
+    void lookUp(const SubmissionPtr& submission, const std::vector<std::string>& dependencies);
     void create(const SubmissionPtr& submission, const Judgement& judgement);
     void createCancelled(const SubmissionPtr& submission, const Judgement& judgement);
     void onRefused(const SubmissionPtr& submission, const protocol::CompareAndSwapResponse& answer);
--- a/src/coordination/committer.cpp
+++ b/src/coordination/committer.cpp
@@ -57,7 +57,7 @@
     // Guards against a late or stale transaction: a leader that has lost its partition, or an
     // earlier life of this process, can no longer change anything. The version is that of the
     // decision. With the one at the time of sending, what was decided under one term was once
-    // carried out under the next, against what a successor had done meanwhile
+    // carried out under the next, against what a dependent had done meanwhile
     // (WhatWasDecidedInAnEarlierTermIsNotSentInALaterOne).
     transaction.compares.push_back(
         {bookkeeping::keys::partition(partition), pending.partitionVersion});
@@ -114,29 +114,29 @@
     for (const auto& compare : pending.transaction.compares) wanted.insert(compare.key);
     for (const auto& write : pending.transaction.writes) wanted.insert(write.key);
 
-    struct Gather {
+    struct Collection {
         std::size_t left = 0;
         bool failed = false;
         std::vector<protocol::Item> items;
         std::map<std::string, std::uint64_t> missing;  // as of this revision
     };
-    auto gather = std::make_shared<Gather>();
-    gather->left = wanted.size();
+    auto collect = std::make_shared<Collection>();
+    collect->left = wanted.size();
     for (const auto& key : wanted) {
-        context_.state.read(key, [this, partition, key, gather,
+        context_.state.read(key, [this, partition, key, collect,
                                   id = pending.id](const protocol::ReadResponse& answer) {
             if (answer.result != protocol::StateResult::ok)
-                gather->failed = true;
+                collect->failed = true;
             else if (answer.items.empty())
-                gather->missing[key] = answer.revision;
+                collect->missing[key] = answer.revision;
             else
-                gather->items.push_back(answer.items.front());
-            if (--gather->left > 0) return;
+                collect->items.push_back(answer.items.front());
+            if (--collect->left > 0) return;
             const auto queue = queues_.find(partition);
             if (queue == queues_.end() || queue->second.empty() || queue->second.front().id != id)
                 return;
-            if (!gather->failed)
-                return finishReadBack(partition, std::move(gather->items), gather->missing);
+            if (!collect->failed)
+                return finishReadBack(partition, std::move(collect->items), collect->missing);
             context_.timers.after(context_.jittered(retryPause), [this, partition, id] {
                 const auto again = queues_.find(partition);
                 if (again != queues_.end() && !again->second.empty() &&
--- a/src/coordination/context.h
+++ b/src/coordination/context.h
@@ -16,7 +16,7 @@
 
 namespace fawnwheel::coordination {
 
-using bookkeeping::Claim;
+using bookkeeping::Allocation;
 using bookkeeping::ClusterState;
 using bookkeeping::Job;
 using bookkeeping::Machine;
@@ -43,9 +43,9 @@
           timers(clock),
           network(net),
           nodes(platform.nodeNames()),
-          state(clock, net, platform.state, stateShare()),
+          state(clock, net, platform.state, stateLimits()),
           cloud(clock, net, platform.cloud,
-                platform.cloudCalls * shareOfLimits / static_cast<double>(nodes.size())),
+                platform.cloudCalls * fractionOfLimits / static_cast<double>(nodes.size())),
           rng(seed) {
         for (std::uint32_t i = 0; i < nodes.size(); ++i)
             if (nodes[i] == settings.name) preferredPartition = i;
@@ -67,7 +67,7 @@
         return nullptr;
     }
     // An array of the lowest priority, of a team without a guarantee: it uses what is left over.
-    [[nodiscard]] bool isGuest(const Job& job) const {
+    [[nodiscard]] bool isBestEffort(const Job& job) const {
         const auto* teamSettings = team(job.spec.team);
         return job.priority == protocol::Priority::low &&
                job.spec.kind == protocol::JobKind::array &&
@@ -140,12 +140,12 @@
 
   private:
     static constexpr double goldenRatio = 0.6180339887498949;
-    static constexpr double shareOfLimits = 0.92;
+    static constexpr double fractionOfLimits = 0.92;
     static constexpr double shortenedByDrift = 0.998;  // of two clocks
     static constexpr double prolongedByDrift = 1.002;
     static constexpr Seconds cancelMargin{1};
 
-    [[nodiscard]] protocol::StateLimits stateShare() const {
+    [[nodiscard]] protocol::StateLimits stateLimits() const {
         const auto count = static_cast<double>(nodes.size());
         return {settings.stateRequests, settings.stateWrites, count};
     }
--- a/src/coordination/controller.cpp
+++ b/src/coordination/controller.cpp
@@ -22,27 +22,27 @@
                        transport::Timers& timers, transport::Network& network, std::uint64_t seed)
     : context_(settings, tuning, timers, network, seed),
       replica_(context_),
-      contact_(context_),
+      reachability_(context_),
       pipeline_(context_),
       membership_(context_),
       stateWriter_(context_, pipeline_),
       placement_(context_, membership_),
-      reports_(context_, membership_, stateWriter_),
-      fleet_(context_, membership_, pipeline_, placement_, reports_),
-      shares_(context_, membership_, pipeline_, placement_),
-      transfers_(context_, pipeline_, stateWriter_.writer(), shares_, reports_),
+      heartbeats_(context_, membership_, stateWriter_),
+      fleet_(context_, membership_, pipeline_, placement_, heartbeats_),
+      quotas_(context_, membership_, pipeline_, placement_),
+      transfers_(context_, pipeline_, stateWriter_.writer(), quotas_, heartbeats_),
       loans_(context_, membership_, placement_, transfers_),
       sharing_(context_, membership_, pipeline_, placement_, transfers_),
       moves_(context_, membership_, pipeline_, stateWriter_, placement_),
       lookup_(context_),
       admission_(context_, lookup_, moves_),
-      triggers_(context_, membership_) {
+      completionNotifier_(context_, membership_) {
     replica_.inFlight = [this](const std::string& key) { return pipeline_.inFlight(key); };
     replica_.onChange = [this] {
         fleet_.adoptCatalog();
         membership_.reconcile();
         stopCancelledJobs();
-        triggers_.review();
+        completionNotifier_.review();
         soon();
     };
     pipeline_.onDoubt = [this] { replica_.resync(); };
@@ -52,42 +52,42 @@
     membership_.recordsCurrentAsOf = [this] { return replica_.currentAsOf(); };
     membership_.onCancellations = [this] { stopCancelledJobs(); };
     membership_.ready = [this] {
-        return replica_.synced() && !context_.catalog.empty() && contact_.steady();
+        return replica_.synced() && !context_.catalog.empty() && reachability_.steady();
     };
-    membership_.workersLost = [this] { return contact_.lost(); };
-    contact_.onChange = [this] {
+    membership_.workersLost = [this] { return reachability_.lost(); };
+    reachability_.onChange = [this] {
         membership_.onReachabilityChanged();
         soon();
     };
     membership_.busy = [this](std::uint32_t partition) { return pipeline_.busy(partition); };
     membership_.onActive = [this](std::uint32_t partition) {
-        reports_.onPartitionAcquired(partition);
-        contact_.expectReports();
+        heartbeats_.onPartitionAcquired(partition);
+        reachability_.expectHeartbeats();
         soon();
     };
     membership_.onLost = [this](std::uint32_t partition) { discardUnrecorded(partition); };
     membership_.recordsComplete = [this] { return !replica_.anyDeferred(); };
     stateWriter_.onTerminal = [this](const std::string& id, bool cancelled) {
         lookup_.recordTerminal(id, cancelled);
-        triggers_.announce(id);
+        completionNotifier_.announce(id);
         stopping_.erase(id);
     };
     stateWriter_.onCancelled = [this] { membership_.spreadCancellations([] {}); };
-    triggers_.onRead = [this] { soon(); };
+    completionNotifier_.onRead = [this] { soon(); };
     lookup_.recordsCurrentAsOf = [this] { return replica_.currentAsOf(); };
-    context_.clusterState.lock()->dependencies.stepTime = [this](const protocol::JobSpec& spec) {
+    context_.clusterState.lock()->dependencyGraph.stepTime = [this](const protocol::JobSpec& spec) {
         return placement_.stepTime(spec);
     };
     stateWriter_.onDurable = [this](const std::set<std::string>& machines) {
-        reports_.requestReports(machines);
+        heartbeats_.requestHeartbeats(machines);
         soon();
     };
     transfers_.onDurable = stateWriter_.onDurable;
     sharing_.onChange = [this] { soon(); };
-    reports_.onUnassigned = [this](const protocol::WorkerReport& report) {
-        fleet_.noteReported(report);
+    heartbeats_.onUnassigned = [this](const protocol::Heartbeat& heartbeat) {
+        fleet_.onUnassignedHeartbeat(heartbeat);
     };
-    reports_.onChange = [this] { soon(); };
+    heartbeats_.onChange = [this] { soon(); };
     placement_.rentable = [this](const Job& job, const std::string& zone) {
         return fleet_.rentable(job, zone);
     };
@@ -112,7 +112,7 @@
 void Controller::soon() {
     if (workPlanned_) return;
     workPlanned_ = true;
-    // Reports, renewals and users' requests need most of a small share of a core: the longer a
+    // Heartbeats, renewals and users' requests need most of a small share of a core: the longer a
     // round takes, the longer the next one waits.
     const auto pause = std::max<Duration>(workDelay, workTook_ * workRest);
     context_.timers.after(pause, [this] {
@@ -126,23 +126,23 @@
 void Controller::work() {
     for (const auto partition : membership_.ledPartitions()) {
         // Starts would reach nobody: what waits is left to the next leader.
-        if (membership_.leaseStands() && !contact_.lost()) {
-            const auto unplaced = placement_.run(partition);
-            sharing_.recordUnplaced(partition, unplaced);
-            for (const auto& machine : placement_.preemptFor(partition, unplaced))
-                reports_.stopMarked(machine);
-            loans_.askFor(partition, unplaced);
-            shares_.askFor(partition, unplaced);
-            fleet_.rentFor(partition, unplaced);
+        if (membership_.leaseStands() && !reachability_.lost()) {
+            const auto unschedulable = placement_.run(partition);
+            sharing_.recordUnschedulable(partition, unschedulable);
+            for (const auto& machine : placement_.preemptFor(partition, unschedulable))
+                heartbeats_.stopMarked(machine);
+            loans_.askFor(partition, unschedulable);
+            quotas_.askFor(partition, unschedulable);
+            fleet_.rentFor(partition, unschedulable);
         }
         stateWriter_.flush(partition);
     }
 }
 
 void Controller::discardUnrecorded(std::uint32_t partition) {
-    // Kept over a loss, a claim that this leader had seen ended, and a successor had started once
-    // more by its record, was written off when the partition came back: the task then ran unknown
-    // to anybody, and once more elsewhere (scenario unrecorded_over_terms).
+    // Kept over a loss, an allocation that this leader had seen ended, and a dependent had started
+    // once more by its record, was written off when the partition came back: the task then ran
+    // unknown to anybody, and once more elsewhere (scenario unrecorded_over_terms).
     if (pipeline_.busy(partition)) {
         // The outcome of what is under way is unknown: only the records tell.
         pipeline_.abandon(partition);
@@ -156,36 +156,38 @@
     {
         auto clusterState = context_.clusterState.lock();
         for (const auto& [id, job] : clusterState->jobs)
-            if (clusterState->knownCancelled(job) && job.anyClaim() && stopping_.insert(id).second)
+            if (clusterState->knownCancelled(job) && job.anyAllocation() &&
+                stopping_.insert(id).second)
                 fresh.push_back(id);
     }
-    for (const auto& id : fresh) reports_.stopNow(id);
+    for (const auto& id : fresh) heartbeats_.stopNow(id);
 }
 
 void Controller::housekeeping() {
     for (const auto partition : membership_.ledPartitions()) {
-        if (membership_.leaseStands()) reports_.expireSilent(partition);
+        if (membership_.leaseStands()) heartbeats_.expireSilent(partition);
         fleet_.review(partition);
         if (membership_.leaseStands()) loans_.review(partition);
         if (membership_.leaseStands() && fleet_.mayEmpty(partition))
-            if (const auto machine = placement_.emptyOne(partition)) reports_.stopMarked(*machine);
+            if (const auto machine = placement_.emptyOne(partition))
+                heartbeats_.stopMarked(*machine);
     }
     std::erase_if(stopping_, [this](const std::string& id) {
         return context_.clusterState.lock()->job(id) == nullptr;
     });
-    triggers_.review();
-    contact_.review(membership_.ledPartitions());
+    completionNotifier_.review();
+    reachability_.review(membership_.ledPartitions());
     soon();
     context_.timers.after(housekeepingPeriod, [this] { housekeeping(); });
 }
 
-void Controller::onReport(const std::string& body, const transport::HttpReply& reply) {
+void Controller::handleHeartbeat(const std::string& body, const transport::HttpReply& reply) {
     const auto map = protocol::decodeCbor(body);
-    const auto report = map ? protocol::parseWorkerReport(*map) : std::nullopt;
-    if (!report) return reply({400, {}, 0});
-    contact_.noteReport();
+    const auto heartbeat = map ? protocol::parseHeartbeat(*map) : std::nullopt;
+    if (!heartbeat) return reply({400, {}, 0});
+    reachability_.onHeartbeat();
     if (!replica_.synced()) return reply({503, {}, 0});
-    auto answer = reports_.handle(*report);
+    auto answer = heartbeats_.handleHeartbeat(*heartbeat);
     reply({answer.status, std::move(answer.body), 0});
 }
 
@@ -194,7 +196,8 @@
     const bool get = request.method == "GET";
     const bool post = request.method == "POST";
     const transport::HttpResponse wrongMethod{405, {}, 0};
-    if (path == wire::pathReport) return post ? onReport(request.body, reply) : reply(wrongMethod);
+    if (path == wire::pathHeartbeat)
+        return post ? handleHeartbeat(request.body, reply) : reply(wrongMethod);
     if (path == wire::pathHealth)
         return reply(get ? transport::HttpResponse{healthy() ? 200 : 503, {}, 0} : wrongMethod);
     const std::string jobs = wire::pathJobs;
@@ -229,11 +232,11 @@
                 fleet_.onNoCapacity(message);
             else if constexpr (std::is_same_v<Message, protocol::LoanAsk>)
                 loans_.onAsk(peer, message);
-            else if constexpr (std::is_same_v<Message, protocol::ShareAsk>)
-                shares_.onAsk(peer, message);
+            else if constexpr (std::is_same_v<Message, protocol::QuotaRequest>)
+                quotas_.onAsk(peer, message);
             else if constexpr (std::is_same_v<Message, protocol::JobEnded>)
-                triggers_.onEnded(message);
-            else if constexpr (std::is_same_v<Message, protocol::DemandReport>)
+                completionNotifier_.onEnded(message);
+            else if constexpr (std::is_same_v<Message, protocol::DemandUpdate>)
                 sharing_.onDemand(peer, message);
             else if constexpr (std::is_same_v<Message, protocol::LeaderHeartbeat>)
                 membership_.onLeaderHeartbeat(peer, message);
--- a/src/coordination/controller.h
+++ b/src/coordination/controller.h
@@ -31,7 +31,7 @@
     [[nodiscard]] bool synced() const { return replica_.synced(); }
 
   private:
-    void onReport(const std::string& body, const transport::HttpReply& reply);
+    void handleHeartbeat(const std::string& body, const transport::HttpReply& reply);
     void soon();
     void work();
     void housekeeping();
@@ -40,21 +40,21 @@
 
     Context context_;
     Replica replica_;
-    WorkerContact contact_;
+    WorkerReachability reachability_;
     TransactionPipeline pipeline_;
     Membership membership_;
     StateWriter stateWriter_;
     Placement placement_;
-    Reports reports_;
+    HeartbeatHandler heartbeats_;
     Fleet fleet_;
-    Shares shares_;
+    QuotaExchange quotas_;
     MachineTransfers transfers_;
     Loans loans_;
     MachineSharing sharing_;
     Moves moves_;
     JobLookup lookup_;
     Admission admission_;
-    Triggers triggers_;
+    CompletionNotifier completionNotifier_;
     bool workPlanned_ = false;
     Duration workTook_{};
     std::set<std::string> stopping_;  // cancelled jobs whose stops have been sent
--- a/src/coordination/failure_review.cpp
+++ b/src/coordination/failure_review.cpp
@@ -17,14 +17,14 @@
 
 }  // namespace
 
-void FailureReview::noteError(ClusterState& clusterState, Machine& machine, Job& job, Slice& slice,
-                              const Claim& claim) {
+void FaultAttribution::onTaskFailed(ClusterState& clusterState, Machine& machine, Job& job,
+                                    Slice& slice, const Allocation& allocation) {
     const auto now = context_.now();
     auto& history = job.failures;
     history.any = true;
     history.disproved = false;
-    if (claim.ran) history.longestRun = std::max(history.longestRun, now - *claim.ran);
-    if (job.failing()) {
+    if (allocation.ran) history.longestRun = std::max(history.longestRun, now - *allocation.ran);
+    if (job.crashLooping()) {
         // Once for each probe, not for each task that was under way.
         if (now >= job.notBefore) {
             job.notBefore =
@@ -39,13 +39,13 @@
         slice.touch();
         ++slice.failures;
     }
-    if (job.failing())
+    if (job.crashLooping())
         blameJob(clusterState, job, slice.partition);
     else
         blameMachine(machine, job);
 }
 
-void FailureReview::blameJob(ClusterState& clusterState, Job& job, std::uint32_t partition) {
+void FaultAttribution::blameJob(ClusterState& clusterState, Job& job, std::uint32_t partition) {
     // Counted against the machines, one such job after the other had dozens of them replaced, with
     // all that ran there (incident inc-59fe).
     spdlog::info("job {}: fails on every machine, tried again now and then", job.spec.id);
@@ -55,12 +55,12 @@
     for (auto& [id, machine] : clusterState.machines) machine.failedJobs.erase(job.spec.id);
     for (auto& slice : job.slices) {
         if (slice.partition != partition) continue;
-        for (auto& claim : slice.claims)
-            if (!claim.seen) claim.giveUp = true;
+        for (auto& allocation : slice.allocations)
+            if (!allocation.seen) allocation.abandoned = true;
     }
 }
 
-void FailureReview::blameMachine(Machine& machine, const Job& job) {
+void FaultAttribution::blameMachine(Machine& machine, const Job& job) {
     machine.failedJobs.insert(job.spec.id);
     if (job.doneTasks() > 0 || machine.failedJobs.size() >= failedJobsToQuarantine)
         quarantine(machine);
@@ -68,12 +68,12 @@
         machine.notBefore = std::max(machine.notBefore, context_.now() + pauseAfterError);
 }
 
-void FailureReview::quarantine(Machine& machine) {
+void FaultAttribution::quarantine(Machine& machine) {
     spdlog::info("machine {}: quarantined", machine.id);
     machine.notBefore = context_.now() + quarantineTime;
 }
 
-void FailureReview::noteDone(ClusterState& clusterState, Machine& machine, Job& job) {
+void FaultAttribution::onTaskDone(ClusterState& clusterState, Machine& machine, Job& job) {
     machine.failedJobs.clear();
     // The job is sound: those that failed its tasks, and have done none since, are faulty.
     for (const auto& [id, when] : job.failures.machines)
@@ -83,10 +83,10 @@
     job.failures.machines.clear();
 }
 
-void FailureReview::noteRunning(Job& job, Slice& slice, const Claim& claim) {
-    if (!job.failures.any || !job.failing() || !claim.ran) return;
-    const auto proof = job.failures.longestRun * 2 + ticks(context_.settings.report * 2);
-    if (context_.now() - *claim.ran <= proof) return;
+void FaultAttribution::onTaskRunning(Job& job, Slice& slice, const Allocation& allocation) {
+    if (!job.failures.any || !job.crashLooping() || !allocation.ran) return;
+    const auto proof = job.failures.longestRun * 2 + ticks(context_.settings.heartbeatInterval * 2);
+    if (context_.now() - *allocation.ran <= proof) return;
     spdlog::info("job {}: runs after all", job.spec.id);
     job.failures.disproved = true;
     for (auto& other : job.slices) {
--- a/src/coordination/fleet.cpp
+++ b/src/coordination/fleet.cpp
@@ -16,14 +16,14 @@
 constexpr auto catalogPeriod = 60s;
 constexpr auto catalogRetry = 1s;
 constexpr auto listPeriod = 4s;
-constexpr double listShareOfCalls = 0.2;
+constexpr double listFractionOfCalls = 0.2;
 constexpr double lagMargin = 2.2;  // a list may lag by up to twice the stated time
 constexpr auto listMargin = 1s;
 constexpr auto renterFirst = 10s;   // a new machine's renter records it itself
 constexpr double neverBoots = 4.0;  // times the stated boot time
 constexpr auto silentRelease = 15s;
-constexpr double silentReports = 3.5;  // and no sooner than after so many missed reports
-constexpr double quietReports = 1.5;   // a report that is so late is overdue
+constexpr double silentHeartbeats = 3.5;  // and no sooner than after so many missed heartbeats
+constexpr double quietHeartbeats = 1.5;   // a heartbeat that is so late is overdue
 constexpr std::size_t maxReleaseAtOnce = 100;
 constexpr auto useLogPeriod = 20s;
 
@@ -109,17 +109,18 @@
                 const auto last = sofar.back().id;
                 return listPage(last, asked, std::move(sofar), pages + 1);
             }
-            takeInList(asked, sofar);
+            applyMachineList(asked, sofar);
         }
-        const auto share =
+        const auto fraction =
             context_.settings.cloudCalls / static_cast<double>(context_.nodes.size());
-        const auto pause =
-            std::max<Duration>(listPeriod, ticks(Seconds(pages / (share * listShareOfCalls))));
+        const auto pause = std::max<Duration>(
+            listPeriod, ticks(Seconds(pages / (fraction * listFractionOfCalls))));
         context_.timers.after(context_.jittered(pause), [this] { listMachines(); });
     });
 }
 
-void Fleet::takeInList(SteadyTime asked, const std::vector<protocol::CloudMachine>& machines) {
+void Fleet::applyMachineList(SteadyTime asked,
+                             const std::vector<protocol::CloudMachine>& machines) {
     const auto now = context_.now();
     const auto lag = ticks(context_.settings.listLag * lagMargin) + listMargin;
     std::set<std::string> present;
@@ -141,7 +142,7 @@
         const auto& found = unassigned_.try_emplace(listed.id, Found{listed, now}).first->second;
         if (asked - found.seen <= lag || now - found.seen <= renterFirst) continue;
         unassigned_.erase(listed.id);
-        note(listed.id, listed.type, listed.zone, listed.spot, partition);
+        ensureMachine(listed.id, listed.type, listed.zone, listed.spot, partition);
     }
     std::erase_if(unassigned_, [&](const auto& e) { return !present.contains(e.first); });
     std::vector<std::pair<std::uint32_t, std::string>> gone;
@@ -149,32 +150,32 @@
         if (!own.contains(machine.partition)) continue;
         if (machine.failedInList && !machine.retired) {
             // It has stopped on its own, with all that ran on it.
-            reports_.releaseClaims(machine, "failed");
+            heartbeats_.releaseAllocations(machine, "failed");
             retire(machine, "failed");
             continue;
         }
         // Once listed, a machine stays listed until it is gone; but this list may describe a
-        // moment before an earlier one did, and before the machine's latest report.
+        // moment before an earlier one did, and before the machine's latest heartbeat.
         if (present.contains(id) || !machine.listed || asked - *machine.listed <= lag ||
-            (machine.lastReport && asked - *machine.lastReport <= lag))
+            (machine.lastHeartbeat && asked - *machine.lastHeartbeat <= lag))
             continue;
-        reports_.releaseClaims(machine, "no longer listed");
+        heartbeats_.releaseAllocations(machine, "no longer listed");
         gone.emplace_back(machine.partition, id);
     }
     for (const auto& [partition, id] : gone) forgetMachine(partition, id);
 }
 
-void Fleet::noteReported(const protocol::WorkerReport& report) {
+void Fleet::onUnassignedHeartbeat(const protocol::Heartbeat& heartbeat) {
     const auto now = context_.now();
-    // A report that was held back on its way.
-    if (context_.clusterState.lock()->goneMachines.contains(report.machine)) return;
-    const auto [entry, fresh] = unassigned_.try_emplace(report.machine);
+    // A heartbeat that was held back on its way.
+    if (context_.clusterState.lock()->goneMachines.contains(heartbeat.machine)) return;
+    const auto [entry, fresh] = unassigned_.try_emplace(heartbeat.machine);
     if (fresh) entry->second.seen = now;
     // Its renter's record may be on its way; but machines that were there before us have none.
     if (fresh || now - entry->second.seen <= 1s) return;
     unassigned_.erase(entry);
-    note(report.machine, report.type, report.zone, report.spot,
-         partitionFor(*context_.clusterState.lock(), report.machine, report.zone));
+    ensureMachine(heartbeat.machine, heartbeat.type, heartbeat.zone, heartbeat.spot,
+                  partitionFor(*context_.clusterState.lock(), heartbeat.machine, heartbeat.zone));
 }
 
 std::uint32_t Fleet::partitionFor(const ClusterState& clusterState, const std::string& id,
@@ -193,7 +194,8 @@
         // cloud's list tells them.
         if (machine == nullptr && context_.type(type) != nullptr &&
             partitionFor(clusterState, id, zone) == partition)
-            machine = note(id, type, zone, protocol::flagOf(damaged.value, "spot"), partition);
+            machine =
+                ensureMachine(id, type, zone, protocol::flagOf(damaged.value, "spot"), partition);
         if (machine == nullptr || machine->partition != partition || machine->transferring)
             continue;
         if (recording_.pending.contains(id)) continue;
@@ -203,8 +205,8 @@
     }
 }
 
-Machine* Fleet::note(const std::string& id, const std::string& type, const std::string& zone,
-                     bool spot, std::uint32_t partition) {
+Machine* Fleet::ensureMachine(const std::string& id, const std::string& type,
+                              const std::string& zone, bool spot, std::uint32_t partition) {
     auto clusterState = context_.clusterState.lock();
     if (clusterState->machine(id) != nullptr || clusterState->goneMachines.contains(id))
         return nullptr;
@@ -216,7 +218,7 @@
     if (const auto damaged = clusterState->corruptMachines.find(id);
         damaged != clusterState->corruptMachines.end()) {
         machine.version = damaged->second.version;
-        clusterState->attachClaims(machine);
+        clusterState->attachAllocations(machine);
     }
     return &machine;
 }
@@ -228,9 +230,9 @@
 }
 
 void Fleet::writeSome(RecordWrites& writes, std::uint32_t partition) {
-    // Many in one transaction, and half of what it may hold, so that claims don't wait for long.
-    // With one write after the other a thousand machines took minutes to record, and idle ones
-    // to be given back.
+    // Many in one transaction, and half of what it may hold, so that allocations don't wait for
+    // long. With one write after the other a thousand machines took minutes to record, and idle
+    // ones to be given back.
     auto& queue = writes.queues[partition];
     if (queue.empty() || !writes.underWay.insert(partition).second) return;
     const auto most = std::max<std::size_t>(1, context_.settings.transactionChanges / 2);
@@ -308,13 +310,13 @@
 void Fleet::reviewUnrecorded(std::uint32_t partition, Machine& machine, const MachineType& type) {
     const auto now = context_.now();
     if (recording_.pending.contains(machine.id)) return;
-    // What only late copies of reports speak of, or can't hear, is of no use.
+    // What only late copies of heartbeats speak of, or can't hear, is of no use.
     const bool ghost =
         !machine.acknowledged() && now - machine.known > ticks(context_.settings.lease);
     if (machine.acknowledged() && wantedByAny(*context_.clusterState.lock(), machine, type)) {
         write(recording_, partition, machine.id);
     } else if (ghost || now - machine.idleSince > idleLimit(machine, type)) {
-        // It never had work, and no claim can name it: it needs no record to be given back.
+        // It never had work, and no allocation can name it: it needs no record to be given back.
         spdlog::debug("machine {}: giving back, never wanted", machine.id);
         machine.retired = true;
     }
@@ -325,7 +327,7 @@
     if (machine.transferring) return;
     if (machine.retired || retiring_.pending.contains(machine.id)) return;
     spdlog::info("machine {}: giving back, {}", machine.id, why);
-    machine.retired = true;  // no new claims from now on
+    machine.retired = true;  // no new allocations from now on
     write(retiring_, machine.partition, machine.id);
 }
 
@@ -351,7 +353,7 @@
             auto held = context_.clusterState.lock();
             Machine* machine = held->machine(id);
             if (machine == nullptr || !membership_.isLeader(machine->partition)) continue;
-            reports_.releaseClaims(*machine, "given back");
+            heartbeats_.releaseAllocations(*machine, "given back");
             forgetMachine(machine->partition, id);
         }
     });
@@ -360,8 +362,8 @@
 void Fleet::forgetMachine(std::uint32_t partition, const std::string& id) {
     auto clusterState = context_.clusterState.lock();
     const Machine* machine = clusterState->machine(id);
-    // While a claim on it is being written, its end can't be recorded.
-    if (machine == nullptr || !machine->claims.empty()) return;
+    // While an allocation on it is being written, its end can't be recorded.
+    if (machine == nullptr || !machine->allocations.empty()) return;
     if (machine->version == 0 && !recording_.pending.contains(id))
         return clusterState->dropMachine(id);
     write(dropping_, partition, id);
@@ -381,11 +383,11 @@
         const auto* type = context_.type(machine->type);
         if (type == nullptr) continue;
         auto& use = kinds[machine->type + " in " + machine->zone];
-        ++(machine->lastReport ? use.up : use.booting);
-        if (machine->lastReport && machine->claims.empty()) ++use.idle;
+        ++(machine->lastHeartbeat ? use.up : use.booting);
+        if (machine->lastHeartbeat && machine->allocations.empty()) ++use.idle;
         if (now < machine->reservedUntil) ++use.kept;
         use.used += machine->used;
-        if (machine->lastReport) use.all += type->capacity;
+        if (machine->lastHeartbeat) use.all += type->capacity;
     }
     for (const auto& [kind, use] : kinds)
         spdlog::debug(
@@ -398,7 +400,7 @@
 std::set<std::string> Fleet::quietZones(const ClusterState& clusterState,
                                         std::uint32_t partition) const {
     // Many at once are behind a cut rather than dead, and cuts go by zones: a partition with
-    // machines in two zones once gave back all of one. They are counted as soon as a report is
+    // machines in two zones once gave back all of one. They are counted as soon as a heartbeat is
     // overdue: counted only when it was time to give them up, each in turn was the only silent one,
     // and a partition gave back all its machines with all that ran there (incident inc-59fe).
     struct Count {
@@ -406,12 +408,12 @@
         std::size_t quiet = 0;
     };
     std::map<std::string, Count> zones;
-    const auto overdue = ticks(context_.settings.report * quietReports);
+    const auto overdue = ticks(context_.settings.heartbeatInterval * quietHeartbeats);
     for (const auto* machine : clusterState.machinesOf(partition)) {
-        if (!machine->lastReport) continue;
+        if (!machine->lastHeartbeat) continue;
         auto& count = zones[machine->zone];
         ++count.live;
-        if (context_.now() - *machine->lastReport > overdue) ++count.quiet;
+        if (context_.now() - *machine->lastHeartbeat > overdue) ++count.quiet;
     }
     std::set<std::string> quiet;
     for (const auto& [zone, count] : zones)
@@ -424,15 +426,15 @@
     if (!membership_.leaseStands()) return;
     const auto now = context_.now();
     auto clusterState = context_.clusterState.lock();
-    noteGuaranteed(*clusterState);
+    recordGuaranteed(*clusterState);
     logUse(*clusterState, partition);
     if (partition == 0 && clusterState->catalog.empty() && !context_.catalog.empty() &&
         !pipeline_.busy(0))
         recordCatalog();
     recordClasses(*clusterState);
     repairRecords(*clusterState, partition);
-    const auto silentLimit =
-        std::max<Duration>(silentRelease, ticks(context_.settings.report * silentReports));
+    const auto silentLimit = std::max<Duration>(
+        silentRelease, ticks(context_.settings.heartbeatInterval * silentHeartbeats));
     const auto behindCut = quietZones(*clusterState, partition);
     for (auto* entry : clusterState->machinesOf(partition)) {
         Machine& machine = *entry;
@@ -442,20 +444,21 @@
             reviewUnrecorded(partition, machine, *type);
             continue;
         }
-        if (!machine.lastReport) {
-            if (machine.claims.empty() &&
+        if (!machine.lastHeartbeat) {
+            if (machine.allocations.empty() &&
                 now - machine.known > ticks(type->bootTime * neverBoots) + bootGrace)
                 retire(machine, "never came up");
         } else if (machine.notBefore - now > 1min) {
             retire(machine, "faulty");
-        } else if (now - *machine.lastReport > silentLimit) {
+        } else if (now - *machine.lastHeartbeat > silentLimit) {
             if (!behindCut.contains(machine.zone)) retire(machine, "silent");
-        } else if (!machine.acknowledged() && machine.claims.empty() &&
-                   now - machine.doubtedSince > silentLimit + ticks(context_.settings.lease)) {
+        } else if (!machine.acknowledged() && machine.allocations.empty() &&
+                   now - machine.unacknowledgedSince >
+                       silentLimit + ticks(context_.settings.lease)) {
             retire(machine, "does not hear");
-        } else if (machine.emptying && machine.claims.empty()) {
+        } else if (machine.emptying && machine.allocations.empty()) {
             retire(machine, "emptied");
-        } else if (machine.claims.empty() && !machine.noticeEnds && !machine.lender &&
+        } else if (machine.allocations.empty() && !machine.interruptionAt && !machine.lender &&
                    !machine.transferring && now >= machine.reservedUntil &&
                    now - machine.idleSince > idleLimit(machine, *type)) {
             retire(machine, "idle");
--- a/src/coordination/fleet.h
+++ b/src/coordination/fleet.h
@@ -10,20 +10,20 @@
 class Fleet {
   public:
     Fleet(Context& context, Membership& membership, TransactionPipeline& pipeline,
-          Placement& placement, Reports& reports)
+          Placement& placement, HeartbeatHandler& heartbeats)
         : context_(context),
           membership_(membership),
           pipeline_(pipeline),
           placement_(placement),
-          reports_(reports) {}
+          heartbeats_(heartbeats) {}
 
     void start();
     // Before the cloud has answered, what was recorded of its machine types serves.
     void adoptCatalog();
-    // A worker reports that has no record yet, and whose default partition is ours.
-    void noteReported(const protocol::WorkerReport& report);
+    // A worker heartbeats that has no record yet, and whose default partition is ours.
+    void onUnassignedHeartbeat(const protocol::Heartbeat& heartbeat);
     std::function<void()> onAnswer = [] {};
-    void rentFor(std::uint32_t partition, const std::vector<Unplaced>& unplaced);
+    void rentFor(std::uint32_t partition, const std::vector<UnschedulableWork>& unschedulable);
     [[nodiscard]] bool rentable(const Job& job, const std::string& zone) const;
     void onNoCapacity(const protocol::NoCapacity& message);
     void recordClasses(ClusterState& clusterState);
@@ -51,9 +51,9 @@
     void listMachines();
     void listPage(const std::string& after, SteadyTime asked,
                   std::vector<protocol::CloudMachine> sofar, int pages);
-    void takeInList(SteadyTime asked, const std::vector<protocol::CloudMachine>& machines);
-    Machine* note(const std::string& id, const std::string& type, const std::string& zone,
-                  bool spot, std::uint32_t partition);
+    void applyMachineList(SteadyTime asked, const std::vector<protocol::CloudMachine>& machines);
+    Machine* ensureMachine(const std::string& id, const std::string& type, const std::string& zone,
+                           bool spot, std::uint32_t partition);
     // Machines' records of one kind of change, written many at a time.
     struct RecordWrites {
         std::map<std::uint32_t, std::deque<std::string>> queues;  // by partition
@@ -73,17 +73,18 @@
         int count = 0;
         std::vector<std::pair<std::string, int>> gangs;  // in the queue's order
     };
-    void orderForGang(const Unplaced& entry, const Job& job, std::map<Kind, Order>& wanted) const;
+    void orderForGang(const UnschedulableWork& entry, const Job& job,
+                      std::map<Kind, Order>& wanted) const;
     void rent(std::uint32_t partition, const Kind& kind, const Order& order);
     void sendRental(std::uint32_t partition, const Kind& kind, const Order& order,
                     const std::string& name, int tries);
-    void takeRented(std::uint32_t partition, const Kind& kind, const Order& order,
-                    const std::vector<std::string>& machines);
-    void noteRefusal(const Kind& kind);
+    void onProvisioned(std::uint32_t partition, const Kind& kind, const Order& order,
+                       const std::vector<std::string>& machines);
+    void recordRefusal(const Kind& kind);
     [[nodiscard]] bool asking(const Kind& kind) const;
     void retire(Machine& machine, const char* why);
     void release();
-    // Where most of the partition's machines miss their reports at the same time.
+    // Where most of the partition's machines miss their heartbeats at the same time.
     [[nodiscard]] std::set<std::string> quietZones(const ClusterState& clusterState,
                                                    std::uint32_t partition) const;
     // The partition that a machine without a record that can be read belongs to.
@@ -92,7 +93,7 @@
     // Writes records anew that can't be read or are impossible.
     void repairRecords(ClusterState& clusterState, std::uint32_t partition);
     void logUse(const ClusterState& clusterState, std::uint32_t partition);
-    void noteGuaranteed(const ClusterState& clusterState);
+    void recordGuaranteed(const ClusterState& clusterState);
     [[nodiscard]] bool withinGuarantee(const Machine& machine) const;
     [[nodiscard]] bool standsReady(const Machine& machine) const;
     [[nodiscard]] Duration idleLimit(const Machine& machine, const MachineType& type) const;
@@ -107,7 +108,7 @@
     Membership& membership_;
     TransactionPipeline& pipeline_;
     Placement& placement_;
-    Reports& reports_;
+    HeartbeatHandler& heartbeats_;
     struct Refusal {
         SteadyTime until{};
         Duration pause{};
--- a/src/coordination/gathering.cpp
+++ b/src/coordination/gathering.cpp
@@ -9,8 +9,8 @@
 
 using protocol::JobKind;
 
-constexpr auto gatherRenewal = std::chrono::seconds(3);
-constexpr auto gatherPatience = std::chrono::seconds(90);  // in one zone
+constexpr auto assemblyRenewal = std::chrono::seconds(3);
+constexpr auto assemblyPatience = std::chrono::seconds(90);  // in one zone
 
 }  // namespace
 
@@ -18,8 +18,8 @@
                         Duration length) const {
     machine.reservedFor = job.spec.id;
     machine.reservedTasks = tasks;
-    machine.reservedRoom = {};
-    for (std::uint32_t i = 0; i < tasks; ++i) machine.reservedRoom += job.spec.each;
+    machine.reservedCapacity = {};
+    for (std::uint32_t i = 0; i < tasks; ++i) machine.reservedCapacity += job.spec.each;
     machine.reservedUntil = context_.now() + length;
 }
 
@@ -32,17 +32,18 @@
         // holds what completes an earlier one.
         const bool gang = job != nullptr && job->spec.kind == JobKind::gang;
         // A peer's gang asks again and again for what is kept for it.
-        const bool peers = gang && job->partition != partition && !job->anyClaim();
+        const bool peers = gang && job->partition != partition && !job->anyAllocation();
         if (job == nullptr || job->cancelled || (job->partition != partition && !peers) ||
             (gang && !peers &&
-             (job->anyClaim() || (machine->lastReport && now >= job->preemptedUntil))))
+             (job->anyAllocation() || (machine->lastHeartbeat && now >= job->preemptedUntil))))
             machine->reservedUntil = now;
     }
 }
 
 void Placement::chooseZone(ClusterState& clusterState, std::uint32_t partition, Job& job) {
     const auto now = context_.now();
-    if (!job.spec.oneZone || (!job.gatherZone.empty() && now - job.gatherSince < gatherPatience))
+    if (!job.spec.oneZone ||
+        (!job.assemblyZone.empty() && now - job.assemblySince < assemblyPatience))
         return;
     // Where most of it could start now; else where the partition has most machines for it. A zone
     // that did not get it together for long gives way to the next best.
@@ -64,7 +65,7 @@
     std::string best;
     std::tuple<std::uint32_t, bool, std::uint32_t> bestScore{};
     for (const auto& [zone, counts] : zones) {
-        if (zone == job.gatherZone && zones.size() > 1) continue;
+        if (zone == job.assemblyZone && zones.size() > 1) continue;
         const std::tuple score{std::min(counts.first, job.spec.tasks),
                                zone == context_.settings.zone, counts.second};
         if (best.empty() || score > bestScore) {
@@ -72,14 +73,14 @@
             bestScore = score;
         }
     }
-    job.gatherZone = best;
-    job.gatherSince = now;
+    job.assemblyZone = best;
+    job.assemblySince = now;
 }
 
-void Placement::keep(Opening& opening, const Job& job, std::uint32_t tasks) const {
-    reserve(*opening.machine, job, tasks, gatherRenewal);
-    opening.open = opening.free;
-    opening.open -= opening.machine->reservedRoom;
+void Placement::keep(MachineCapacity& machineCapacity, const Job& job, std::uint32_t tasks) const {
+    reserve(*machineCapacity.machine, job, tasks, assemblyRenewal);
+    machineCapacity.open = machineCapacity.free;
+    machineCapacity.open -= machineCapacity.machine->reservedCapacity;
 }
 
 std::uint32_t Placement::heldFor(const ClusterState& clusterState, std::uint32_t partition,
@@ -89,29 +90,30 @@
     std::uint32_t held = 0;
     for (const auto* machine : clusterState.machinesOf(partition))
         if (now < machine->reservedUntil && machine->reservedFor == job.spec.id &&
-            (job.gatherZone.empty() || machine->zone == job.gatherZone))
+            (job.assemblyZone.empty() || machine->zone == job.assemblyZone))
             held += machine->reservedTasks;
     return held;
 }
 
-std::uint32_t Placement::gather(ClusterState& clusterState, std::uint32_t partition, Job& job,
-                                Openings& openings, std::set<std::string>& blockedZones,
-                                std::uint32_t& lacking) {
+std::uint32_t Placement::assembleGang(ClusterState& clusterState, std::uint32_t partition, Job& job,
+                                      CapacityIndex& capacityIndex,
+                                      std::set<std::string>& blockedZones, std::uint32_t& lacking) {
     // A gang would wait for ever behind small work that takes each machine as it comes free. In
     // the queue's order, each keeps what is free until it has enough; one that lacks machines
-    // keeps later ones from gathering in its zone, so that no two hold half of what both need.
-    const auto& zone = job.gatherZone;
+    // keeps later ones from assembling in its zone, so that no two hold half of what both need.
+    const auto& zone = job.assemblyZone;
     const auto now = context_.now();
     auto held = heldFor(clusterState, partition, job);
     lacking = 0;
-    for (auto& kind : openings) {
+    for (auto& kind : capacityIndex) {
         if ((!zone.empty() && kind.zone != zone) || !kindAllowed(job, kind, {})) continue;
-        for (auto& opening : kind.machines) {
+        for (auto& machineCapacity : kind.machines) {
             if (held >= job.spec.tasks) return 0;
-            if (now < opening.machine->reservedUntil) continue;
-            const auto fit = fitsIn(job, roomOn(opening, job), job.spec.tasks - held);
+            if (now < machineCapacity.machine->reservedUntil) continue;
+            const auto fit =
+                countThatFit(job, capacityOn(machineCapacity, job), job.spec.tasks - held);
             if (fit == 0) continue;
-            keep(opening, job, fit);
+            keep(machineCapacity, job, fit);
             held += fit;
         }
     }
@@ -119,36 +121,40 @@
     auto missing = job.spec.tasks - held;
     lacking = missing;
     blockedZones.insert(zone);
-    if (!rentable(job, zone)) missing -= drainFor(openings, job, missing);
+    if (!rentable(job, zone)) missing -= drainFor(capacityIndex, job, missing);
     return missing;
 }
 
-std::uint32_t Placement::drainFor(Openings& openings, const Job& job, std::uint32_t missing) {
+std::uint32_t Placement::drainFor(CapacityIndex& capacityIndex, const Job& job,
+                                  std::uint32_t missing) {
     struct Busy {
         double used = 0;
-        Opening* opening = nullptr;
+        MachineCapacity* machineCapacity = nullptr;
         const MachineType* type = nullptr;
     };
     std::vector<Busy> busy;
     const auto now = context_.now();
-    for (auto& kind : openings) {
-        if ((!job.gatherZone.empty() && kind.zone != job.gatherZone) || !kindAllowed(job, kind, {}))
+    for (auto& kind : capacityIndex) {
+        if ((!job.assemblyZone.empty() && kind.zone != job.assemblyZone) ||
+            !kindAllowed(job, kind, {}))
             continue;
-        for (auto& opening : kind.machines) {
-            if (now < opening.machine->reservedUntil) continue;
+        for (auto& machineCapacity : kind.machines) {
+            if (now < machineCapacity.machine->reservedUntil) continue;
             // Less used ones come free sooner.
-            busy.push_back({opening.machine->used.cpus / std::max(1.0, kind.type->capacity.cpus),
-                            &opening, kind.type});
+            busy.push_back(
+                {machineCapacity.machine->used.cpus / std::max(1.0, kind.type->capacity.cpus),
+                 &machineCapacity, kind.type});
         }
     }
     std::sort(busy.begin(), busy.end(), [](const Busy& a, const Busy& b) {
-        return std::tie(a.used, a.opening->machine->id) < std::tie(b.used, b.opening->machine->id);
+        return std::tie(a.used, a.machineCapacity->machine->id) <
+               std::tie(b.used, b.machineCapacity->machine->id);
     });
     std::uint32_t kept = 0;
     for (const auto& entry : busy) {
         if (kept >= missing) break;
-        const auto fit = fitsIn(job, entry.type->capacity, missing - kept);
-        keep(*entry.opening, job, fit);
+        const auto fit = countThatFit(job, entry.type->capacity, missing - kept);
+        keep(*entry.machineCapacity, job, fit);
         kept += fit;
     }
     return kept;
--- a/src/coordination/job_lookup.cpp
+++ b/src/coordination/job_lookup.cpp
@@ -13,8 +13,8 @@
 // About 100 bytes each; what is asked about again after more jobs have ended costs a read.
 constexpr std::size_t maxFinals = 20'000;
 constexpr int maxTries = 4;
-constexpr double pollsShareOfRequests = 0.3;
-constexpr Seconds longestGathering{0.25};
+constexpr double pollsFractionOfRequests = 0.3;
+constexpr Seconds maxBatchDelay{0.25};
 constexpr std::size_t conditionsPerQuestion = 2;
 
 }  // namespace
@@ -45,9 +45,9 @@
     if (flushing_) return;
     flushing_ = true;
     // Questions are gathered for a moment: one comparing request answers many of them.
-    const double share = context_.settings.stateRequests /
-                         static_cast<double>(context_.nodes.size()) * pollsShareOfRequests;
-    context_.timers.after(ticks(std::min(longestGathering, Seconds(1.0 / share))), [this] {
+    const double fraction = context_.settings.stateRequests /
+                            static_cast<double>(context_.nodes.size()) * pollsFractionOfRequests;
+    context_.timers.after(ticks(std::min(maxBatchDelay, Seconds(1.0 / fraction))), [this] {
         flushing_ = false;
         flush();
     });
@@ -119,13 +119,13 @@
     if (!job.waiting) return JobStatus::active;
     // A job that it needs, directly or through others, may have been called off. All that anybody
     // was told before the records known here were read is in them; what may have been told after
-    // that was told less than `cancel_s` ago. A job whose predecessors have all left the live
+    // that was told less than `cancel_s` ago. A job whose dependencies have all left the live
     // records is still held to be waiting by a node that owns none of it: they are done, or it
     // would be cancelled, since the record of a cancelled job outlives the last of those that name
     // it.
     const bool current =
         context_.now() - recordsCurrentAsOf() < ticks(context_.settings.cancel / 2);
-    return job.doomed || !current ? JobStatus::noAnswer : JobStatus::active;
+    return job.dependencyCancelled || !current ? JobStatus::noAnswer : JobStatus::active;
 }
 
 void JobLookup::readTerminal(const Question& question) {
--- a/src/coordination/loans.cpp
+++ b/src/coordination/loans.cpp
@@ -17,9 +17,9 @@
 
 }  // namespace
 
-void Loans::askFor(std::uint32_t partition, const std::vector<Unplaced>& unplaced) {
+void Loans::askFor(std::uint32_t partition, const std::vector<UnschedulableWork>& unschedulable) {
     auto clusterState = context_.clusterState.lock();
-    for (const auto& entry : unplaced) {
+    for (const auto& entry : unschedulable) {
         // In the queue's order one gang of a zone is served before the next.
         if (!entry.gang || entry.waitsTurn || entry.lacking == 0) continue;
         const Job* job = clusterState->job(entry.job);
@@ -43,7 +43,7 @@
                     (!entry.zone.empty() && machine->zone != entry.zone) ||
                     !Placement::typeAllowed(job->spec, *type, machine->zone, machine->spot))
                     continue;
-                ++(machine->claims.empty() ? lender.idle : lender.busy);
+                ++(machine->allocations.empty() ? lender.idle : lender.busy);
             }
             lenders.push_back(lender);
         }
@@ -91,7 +91,7 @@
     return std::any_of(clusterState.jobs.begin(), clusterState.jobs.end(), [&](const auto& entry) {
         const Job& job = entry.second;
         if (&job == &gang || !clusterState.schedulable(job) || job.partition != machine.partition ||
-            job.claimedTasks() + job.doneTasks() >= job.spec.tasks)
+            job.allocatedTasks() + job.doneTasks() >= job.spec.tasks)
             return false;
         return Placement::typeAllowed(job.spec, *type, machine.zone, machine.spot) &&
                placement_.before(job, gang);
@@ -104,7 +104,7 @@
         auto clusterState = context_.clusterState.lock();
         const Job* gang = clusterState->job(ask.job);
         if (gang == nullptr || gang->cancelled || gang->partition != ask.borrower ||
-            gang->anyClaim() || ask.borrower >= context_.partitionCount() ||
+            gang->anyAllocation() || ask.borrower >= context_.partitionCount() ||
             ask.borrower == ask.lender || clusterState->partitions[ask.borrower].leader != peer ||
             !membership_.isLeader(ask.lender) || !membership_.leaseStands())
             return;
@@ -117,7 +117,7 @@
                 !Placement::typeAllowed(gang->spec, *type, machine->zone, machine->spot) ||
                 neededHere(*clusterState, *machine, *gang))
                 continue;
-            if (!machine->claims.empty()) {
+            if (!machine->allocations.empty()) {
                 const Job* keeps = clusterState->job(machine->reservedFor);
                 if (now >= machine->reservedUntil || machine->reservedFor == ask.job ||
                     (keeps != nullptr && placement_.before(*gang, *keeps)))
@@ -171,9 +171,9 @@
             if (!machine->lender || machine->transferring || machine->retired) continue;
             const bool kept = now < machine->reservedUntil;
             const bool inTheWay =
-                kept && machine->claims.empty() && keepsOthersWaiting(*clusterState, *machine);
+                kept && machine->allocations.empty() && keepsOthersWaiting(*clusterState, *machine);
             if (inTheWay) restUntil_[machine->reservedFor] = now + pauseAfterReturn;
-            if (!machine->claims.empty() || (kept && !inTheWay)) {
+            if (!machine->allocations.empty() || (kept && !inTheWay)) {
                 machine->idleSince = now;
                 continue;
             }
--- a/src/coordination/loans.h
+++ b/src/coordination/loans.h
@@ -1,7 +1,7 @@
 // Lends machines between partitions: a gang too large for what its own partition has free starts on
 // machines that peers lend its leader for that start. A loan is one guarded change of the machine's
 // record, made by the lender while the machine is empty; from then on the borrower answers its
-// worker, holds its claims and their proofs, and gives it back when the gang has ended.
+// worker, holds its allocations and their proofs, and gives it back when the gang has ended.
 #pragma once
 
 #include "coordination/machine_transfers.h"
@@ -20,7 +20,7 @@
           transfers_(transfers) {}
 
     // Asks peers, those with most idle machines first, for what the partition's gangs lack.
-    void askFor(std::uint32_t partition, const std::vector<Unplaced>& unplaced);
+    void askFor(std::uint32_t partition, const std::vector<UnschedulableWork>& unschedulable);
     void onAsk(const std::string& peer, const protocol::LoanAsk& ask);
     // Gives back what is no longer needed.
     void review(std::uint32_t partition);
--- a/src/coordination/machine_sharing.cpp
+++ b/src/coordination/machine_sharing.cpp
@@ -16,7 +16,7 @@
 constexpr double thousandth = 0.001;
 constexpr auto retryPause = 100ms;  // while records that go first are written
 constexpr auto logPeriod = 60s;
-constexpr double silentReports = 2.5;  // no machine that has missed so many goes
+constexpr double silentHeartbeats = 2.5;  // no machine that has missed so many goes
 constexpr std::uint32_t placesCounted = 64;
 
 std::uint64_t toThousandths(double amount) {
@@ -69,23 +69,23 @@
            context_.machineTransfersEnabled(*context_.clusterState.lock());
 }
 
-void MachineSharing::recordUnplaced(std::uint32_t partition,
-                                    const std::vector<Unplaced>& unplaced) {
-    if (context_.tuning.sharing.enabled) unplaced_[partition] = unplaced;
+void MachineSharing::recordUnschedulable(std::uint32_t partition,
+                                         const std::vector<UnschedulableWork>& unschedulable) {
+    if (context_.tuning.sharing.enabled) unschedulable_[partition] = unschedulable;
 }
 
 std::vector<sharing::Demand> MachineSharing::demandsOf(
-    const std::vector<Unplaced>& unplaced) const {
+    const std::vector<UnschedulableWork>& unschedulable) const {
     std::vector<sharing::Demand> demands;
     auto clusterState = context_.clusterState.lock();
-    for (const auto& entry : unplaced) {
+    for (const auto& entry : unschedulable) {
         const Job* job = clusterState->job(entry.job);
         const auto tasks = entry.gang ? entry.lacking : entry.tasks;
-        if (job == nullptr || entry.overShare || entry.waitsTurn || tasks == 0) continue;
+        if (job == nullptr || entry.overQuota || entry.waitsTurn || tasks == 0) continue;
         // Work that can be divided, or is a single task, goes to the machines: a push takes one
-        // change. With machines moved for it too, the arrays of guests took them from all other
-        // work and the changes from its records (docs/results.md).
-        if (!job->undivided() || job->spec.tasks < 2 || context_.isGuest(*job)) continue;
+        // change. With machines moved for it too, the arrays of best-effort jobs took them from all
+        // other work and the changes from its records (docs/results.md).
+        if (!job->undivided() || job->spec.tasks < 2 || context_.isBestEffort(*job)) continue;
         const auto urgency =
             sharing::urgencyOf(job->priority, placement_.withinGuarantee(*clusterState, *job));
         const auto zone = entry.gang ? entry.zone : job->spec.zone.value_or(std::string());
@@ -95,9 +95,9 @@
     return demands;
 }
 
-void MachineSharing::subtractRoom(const ClusterState& clusterState, std::uint32_t partition,
-                                  const std::function<bool(const Machine&)>& counts,
-                                  std::vector<sharing::Demand>& demands) const {
+void MachineSharing::subtractCapacity(const ClusterState& clusterState, std::uint32_t partition,
+                                      const std::function<bool(const Machine&)>& counts,
+                                      std::vector<sharing::Demand>& demands) const {
     for (const auto* machine : clusterState.machinesOf(partition)) {
         const auto* type = context_.type(machine->type);
         if (type == nullptr || machine->retired || !counts(*machine)) continue;
@@ -123,8 +123,8 @@
     std::erase_if(averages_, [&own](const auto& entry) {
         return std::find(own.begin(), own.end(), entry.first) == own.end();
     });
-    for (const auto partition : own) report(partition);
-    const auto input = gatherInput();
+    for (const auto partition : own) announceDemand(partition);
+    const auto input = collectInput();
     if (input.wants.empty()) return;
     const auto plan = sharing::makePlan(input, context_.tuning.sharing.solverSteps);
     logPlan(input, plan);
@@ -136,28 +136,28 @@
                 {supply.partition, want.partition, supply, want.demand, move.machines, {}});
     }
     const auto& tuning = context_.tuning.sharing;
-    budget_.fill(context_.now(),
-                 {tuning.movesPerMinute / 60, context_.state.writeRate() * tuning.shareOfWrites});
+    budget_.fill(context_.now(), {tuning.movesPerMinute / 60,
+                                  context_.state.writeRate() * tuning.fractionOfWrites});
     if (!carryingOut_) carryOut();
 }
 
-void MachineSharing::report(std::uint32_t partition) {
+void MachineSharing::announceDemand(std::uint32_t partition) {
     const auto& tuning = context_.tuning.sharing;
     const sharing::DemandThresholds thresholds{tuning.low, tuning.high, tuning.weight};
     auto& average = averages_.try_emplace(partition, thresholds).first->second;
-    auto demands = demandsOf(unplaced_[partition]);
+    auto demands = demandsOf(unschedulable_[partition]);
     // What was rented for a gang has been counted as no longer lacking.
     const auto isComing = [now = context_.now()](const Machine& machine) {
-        return (!machine.lastReport || !machine.acknowledged()) && now >= machine.reservedUntil;
+        return (!machine.lastHeartbeat || !machine.acknowledged()) && now >= machine.reservedUntil;
     };
-    subtractRoom(*context_.clusterState.lock(), partition, isComing, demands);
+    subtractCapacity(*context_.clusterState.lock(), partition, isComing, demands);
     average.sample(demands);
     auto asked = average.asked();
     std::stable_sort(asked.begin(), asked.end(), [](const auto& one, const auto& other) {
         return one.urgency > other.urgency;
     });
     if (asked.size() > mostDemands) asked.resize(mostDemands);
-    protocol::DemandReport message{partition, {}};
+    protocol::DemandUpdate message{partition, {}};
     for (const auto& demand : asked) message.demands.push_back(encode(demand));
     for (const auto& peer : context_.settings.peers)
         context_.network.sendFrame(peer.name,
@@ -165,25 +165,25 @@
     demands_[partition] = {std::move(asked), context_.now()};
 }
 
-void MachineSharing::onDemand(const std::string& peer, const protocol::DemandReport& report) {
-    if (!context_.tuning.sharing.enabled || report.partition >= context_.partitionCount()) return;
+void MachineSharing::onDemand(const std::string& peer, const protocol::DemandUpdate& update) {
+    if (!context_.tuning.sharing.enabled || update.partition >= context_.partitionCount()) return;
     // Whoever is not the leader any more, or not yet, would ask for another's partition.
-    if (context_.clusterState.lock()->partitions[report.partition].leader != peer) return;
+    if (context_.clusterState.lock()->partitions[update.partition].leader != peer) return;
     PartitionDemand demand{{}, context_.now()};
-    for (const auto& entry : report.demands) {
+    for (const auto& entry : update.demands) {
         if (demand.demands.size() >= mostDemands) break;
         demand.demands.push_back(decode(entry));
     }
-    demands_[report.partition] = std::move(demand);
+    demands_[update.partition] = std::move(demand);
 }
 
 bool MachineSharing::spare(const ClusterState& clusterState, const Machine& machine,
                            const sharing::Taker& taker) const {
     return machine.version != 0 && !machine.retired && !machine.lender && !machine.transferring &&
-           !machine.emptying && !machine.noticeEnds &&
+           !machine.emptying && !machine.interruptionAt &&
            !sharing::keptForOthers(clusterState, machine, taker, context_.now()) &&
            context_.now() - machine.known >= ticks(context_.tuning.sharing.minTenure) &&
-           (context_.tuning.sharing.busyMachines || machine.claims.empty());
+           (context_.tuning.sharing.busyMachines || machine.allocations.empty());
 }
 
 sharing::Taker MachineSharing::takerOf(const Gift& gift) {
@@ -206,7 +206,7 @@
                                machine->type,
                                machine->zone,
                                machine->spot,
-                               !machine->claims.empty(),
+                               !machine->allocations.empty(),
                                type->capacity,
                                1};
         supply.free -= machine->used;
@@ -230,7 +230,7 @@
     }
 }
 
-sharing::PlanInput MachineSharing::gatherInput() const {
+sharing::PlanInput MachineSharing::collectInput() const {
     sharing::PlanInput input;
     auto clusterState = context_.clusterState.lock();
     const auto fresh = ticks(context_.tuning.sharing.period * heardRounds);
@@ -245,7 +245,7 @@
         const auto isNew = [heard = demand.heard](const Machine& machine) {
             return machine.known > heard;
         };
-        subtractRoom(*clusterState, partition, isNew, lacking);
+        subtractCapacity(*clusterState, partition, isNew, lacking);
         for (auto& entry : lacking) input.wants.push_back({partition, std::move(entry)});
     }
     if (input.wants.empty()) return input;
@@ -277,8 +277,8 @@
     std::set<std::uint32_t> sent;
     for (auto& gift : gifts_) {
         if (gift.machines == 0 || !membership_.isLeader(gift.from) || !budget_.allows()) continue;
-        // Claims, ends and cancellations go first: the transaction pipeline rests only when none is
-        // left.
+        // Allocations, ends and cancellations go first: the transaction pipeline rests only when
+        // none is left.
         if (pipeline_.busy(gift.from) || sent.contains(gift.from)) {
             waits = true;
             continue;
@@ -302,7 +302,7 @@
             !spare(*clusterState, *machine, takerOf(gift)) ||
             std::tie(machine->type, machine->zone, machine->spot) !=
                 std::tie(gift.kind.type, gift.kind.zone, gift.kind.spot) ||
-            machine->claims.empty() == gift.kind.busy)
+            machine->allocations.empty() == gift.kind.busy)
             continue;
         auto free = type->capacity;
         free -= machine->used;
@@ -312,7 +312,8 @@
     }
     // Those whose tasks are few first: less changes hands with them.
     std::sort(found.begin(), found.end(), [](const Machine* one, const Machine* other) {
-        return std::pair(one->claims.size(), one->id) < std::pair(other->claims.size(), other->id);
+        return std::pair(one->allocations.size(), one->id) <
+               std::pair(other->allocations.size(), other->id);
     });
     std::vector<std::string> names;
     names.reserve(found.size());
@@ -322,13 +323,14 @@
 
 bool MachineSharing::giveSome(Gift& gift) {
     const auto& tuning = context_.tuning.sharing;
-    const sharing::HandoverRules rules{gift.from,
-                                       takerOf(gift),
-                                       context_.settings.transactionChanges,
-                                       context_.now(),
-                                       ticks(tuning.minTenure),
-                                       ticks(context_.settings.report * silentReports),
-                                       tuning.busyMachines};
+    const sharing::HandoverRules rules{
+        gift.from,
+        takerOf(gift),
+        context_.settings.transactionChanges,
+        context_.now(),
+        ticks(tuning.minTenure),
+        ticks(context_.settings.heartbeatInterval * silentHeartbeats),
+        tuning.busyMachines};
     for (const auto& machine : candidates(gift)) {
         gift.refused.insert(machine);
         const auto plan = sharing::planHandover(*context_.clusterState.lock(), machine, rules);
@@ -352,7 +354,7 @@
         }
         const auto moved = static_cast<std::uint32_t>(handover.machines.size());
         gift.machines -= std::min(gift.machines, moved);
-        budget_.take(moved, handover.writes);
+        budget_.consume(moved, handover.writes);
         return true;
     }
     // Nothing of it can go in this round.
--- a/src/coordination/machine_sharing.h
+++ b/src/coordination/machine_sharing.h
@@ -22,8 +22,9 @@
 
     void start();
     // What a partition of ours had no place for when it was last looked at.
-    void recordUnplaced(std::uint32_t partition, const std::vector<Unplaced>& unplaced);
-    void onDemand(const std::string& peer, const protocol::DemandReport& report);
+    void recordUnschedulable(std::uint32_t partition,
+                             const std::vector<UnschedulableWork>& unschedulable);
+    void onDemand(const std::string& peer, const protocol::DemandUpdate& announceDemand);
 
     std::function<void()> onChange = [] {};
 
@@ -44,16 +45,16 @@
 
     [[nodiscard]] bool usable() const;
     void round();
-    void report(std::uint32_t partition);
-    [[nodiscard]] sharing::PlanInput gatherInput() const;
+    void announceDemand(std::uint32_t partition);
+    [[nodiscard]] sharing::PlanInput collectInput() const;
     void addSupplies(const ClusterState& clusterState, std::uint32_t partition,
                      sharing::PlanInput& input) const;
     [[nodiscard]] std::vector<sharing::Demand> demandsOf(
-        const std::vector<Unplaced>& unplaced) const;
+        const std::vector<UnschedulableWork>& unschedulable) const;
     // Without what such machines of the partition have room for.
-    void subtractRoom(const ClusterState& clusterState, std::uint32_t partition,
-                      const std::function<bool(const Machine&)>& counts,
-                      std::vector<sharing::Demand>& demands) const;
+    void subtractCapacity(const ClusterState& clusterState, std::uint32_t partition,
+                          const std::function<bool(const Machine&)>& counts,
+                          std::vector<sharing::Demand>& demands) const;
     // Whether the machine could serve the taker by what is known of it here.
     [[nodiscard]] bool spare(const ClusterState& clusterState, const Machine& machine,
                              const sharing::Taker& taker) const;
@@ -71,9 +72,9 @@
     TransactionPipeline& pipeline_;
     Placement& placement_;
     MachineTransfers& transfers_;
-    std::map<std::uint32_t, std::vector<Unplaced>> unplaced_;   // by partition of ours
-    std::map<std::uint32_t, sharing::DemandAverage> averages_;  // the same
-    std::map<std::uint32_t, PartitionDemand> demands_;          // of all partitions
+    std::map<std::uint32_t, std::vector<UnschedulableWork>> unschedulable_;  // by partition of ours
+    std::map<std::uint32_t, sharing::DemandAverage> averages_;               // the same
+    std::map<std::uint32_t, PartitionDemand> demands_;                       // of all partitions
     std::vector<Gift> gifts_;
     sharing::MoveBudget budget_;
     bool carryingOut_ = false;
--- a/src/coordination/machine_transfers.cpp
+++ b/src/coordination/machine_transfers.cpp
@@ -41,7 +41,7 @@
     transfer.batch.transaction.writes.push_back(transfer.records.back());
 }
 
-bool MachineTransfers::addShares(Transfer& transfer, ClusterState& clusterState,
+bool MachineTransfers::addQuotas(Transfer& transfer, ClusterState& clusterState,
                                  const sharing::Handover& handover, std::uint32_t from,
                                  std::uint32_t to) {
     // The tasks count for the taker from now on. Without their share of the limit the giver would
@@ -49,14 +49,14 @@
     for (const auto& [name, used] : handover.used) {
         const auto* team = context_.team(name);
         if (team == nullptr || (team->cpusMax <= 0 && team->gpusMax <= 0)) continue;
-        bookkeeping::TeamShare moved;
+        bookkeeping::QuotaShare moved;
         if (team->cpusMax > 0) moved.cpus = used.cpus;
         if (team->gpusMax > 0) moved.gpus = used.gpus;
-        auto share = shares_.begin(clusterState, *team, from, to, moved);
-        if (!share) return false;
-        transfer.batch.transaction.compares.push_back(share->compare);
-        transfer.batch.transaction.writes.push_back(share->change);
-        transfer.shares.push_back(std::move(*share));
+        auto quota = quotas_.begin(clusterState, *team, from, to, moved);
+        if (!quota) return false;
+        transfer.batch.transaction.compares.push_back(quota->compare);
+        transfer.batch.transaction.writes.push_back(quota->change);
+        transfer.quotas.push_back(std::move(*quota));
     }
     return transfer.batch.transaction.writes.size() <= writer_.mostChanges();
 }
@@ -109,13 +109,13 @@
             addMachine(transfer, machine, next);
         }
         fits =
-            fits && addShares(transfer, *clusterState, handover, from, to) &&
+            fits && addQuotas(transfer, *clusterState, handover, from, to) &&
             transfer.batch.transaction.compares.size() < context_.settings.transactionConditions();
         if (!fits) {
             for (const auto& id : handover.machines)
                 clusterState->machine(id)->transferring = false;
-            for (const auto& share : transfer.shares)
-                shares_.settle(*clusterState, share, CommitResult::conflict, 0);
+            for (const auto& quota : transfer.quotas)
+                quotas_.settle(*clusterState, quota, CommitResult::conflict, 0);
             return sharing::Refusal::tooLarge;
         }
     }
@@ -137,8 +137,8 @@
         for (const auto& id : transfer.machines)
             if (Machine* machine = clusterState->machine(id)) machine->transferring = false;
         durable = writer_.finish(*clusterState, transfer.batch, result, revision);
-        for (const auto& share : transfer.shares)
-            shares_.settle(*clusterState, share, result, revision);
+        for (const auto& quota : transfer.quotas)
+            quotas_.settle(*clusterState, quota, result, revision);
         if (result == CommitResult::done)
             for (const auto& record : transfer.records)
                 bookkeeping::applyEvent(*clusterState, {record.key, record.value, revision},
@@ -146,7 +146,7 @@
     }
     if (!durable.empty()) onDurable(durable);
     if (result != CommitResult::done) return;
-    for (const auto& id : transfer.machines) reports_.sendOn(id);
+    for (const auto& id : transfer.machines) heartbeats_.redirectWorker(id);
 }
 
 }  // namespace fawnwheel::coordination
--- a/src/coordination/machine_transfers.h
+++ b/src/coordination/machine_transfers.h
@@ -12,12 +12,12 @@
 class MachineTransfers {
   public:
     MachineTransfers(Context& context, TransactionPipeline& pipeline, SliceWriter& writer,
-                     Shares& shares, Reports& reports)
+                     QuotaExchange& quotas, HeartbeatHandler& heartbeats)
         : context_(context),
           pipeline_(pipeline),
           writer_(writer),
-          shares_(shares),
-          reports_(reports) {}
+          quotas_(quotas),
+          heartbeats_(heartbeats) {}
 
     // Machines without tasks, until they are lent back.
     void lend(std::uint32_t from, std::uint32_t to, const std::vector<std::string>& machines);
@@ -26,7 +26,7 @@
                                                        const sharing::Handover& handover,
                                                        std::function<void(bool given)> done);
 
-    // Claims on these machines have become durable with a transfer.
+    // Allocations on these machines have become durable with a transfer.
     std::function<void(const std::set<std::string>& machines)> onDurable =
         [](const std::set<std::string>&) {};
 
@@ -35,14 +35,14 @@
         std::vector<std::string> machines;
         SliceBatch batch;
         std::vector<protocol::Write> records;  // of machines and jobs
-        std::vector<Shares::QuotaTransfer> shares;
+        std::vector<QuotaExchange::QuotaTransfer> quotas;
     };
 
     // From now on the machine gets no new work and its token stands still.
     static Machine leaving(Machine& machine, std::uint32_t to);
     void addMachine(Transfer& transfer, const Machine& machine, const Machine& next) const;
     void addJob(Transfer& transfer, const Job& job, std::uint32_t to) const;
-    [[nodiscard]] bool addShares(Transfer& transfer, ClusterState& clusterState,
+    [[nodiscard]] bool addQuotas(Transfer& transfer, ClusterState& clusterState,
                                  const sharing::Handover& handover, std::uint32_t from,
                                  std::uint32_t to);
     void finish(const Transfer& transfer, CommitResult result, std::uint64_t revision);
@@ -50,8 +50,8 @@
     Context& context_;
     TransactionPipeline& pipeline_;
     SliceWriter& writer_;
-    Shares& shares_;
-    Reports& reports_;
+    QuotaExchange& quotas_;
+    HeartbeatHandler& heartbeats_;
 };
 
 }  // namespace fawnwheel::coordination
--- a/src/coordination/membership.cpp
+++ b/src/coordination/membership.cpp
@@ -66,10 +66,10 @@
     if (leaseStands()) return true;
     if (!joined_ || context_.state.reachable()) return false;
     // Every peer must have said so after `now - confirmationLasts`: one that reaches the state
-    // service again stops saying it before it can take anything over, so a successor has to wait
+    // service again stops saying it before it can take anything over, so a dependent has to wait
     // this much longer for our workers' leases and no more.
     // One may also have taken the partition over before the outage, while we were cut off: back
-    // among our peers in the outage, we once renewed leases that the successor had counted down
+    // among our peers in the outage, we once renewed leases that the dependent had counted down
     // (back_in_outage).
     const auto now = context_.now();
     const auto acquiredTerm = acquiredTerms_.find(partition);
@@ -245,7 +245,7 @@
         transaction.compares.push_back({bookkeeping::keys::node(name),
                                         known == clusterState->nodes.end() ? 0 : known->second});
         // While we were out, a peer may have taken our partitions. Answering their workers once
-        // more would prolong leases that the successor counts down. Of very many partitions those
+        // more would prolong leases that the dependent counts down. Of very many partitions those
         // that don't fit are taken anew.
         while (acquiredTerms_.size() + 1 > context_.settings.transactionConditions())
             acquiredTerms_.erase(std::prev(acquiredTerms_.end()));
--- a/src/coordination/moves.cpp
+++ b/src/coordination/moves.cpp
@@ -20,7 +20,7 @@
 constexpr auto longWait = 30s;
 // The thresholds' upper bounds come from the settings; a partition that runs few tasks at a time is
 // congested by a shorter queue.
-constexpr double lowShareOfRunning = 0.1;
+constexpr double lowFractionOfRunning = 0.1;
 
 }  // namespace
 
@@ -45,12 +45,12 @@
     {
         auto clusterState = context_.clusterState.lock();
         for (const auto* machine : clusterState->machinesOf(partition))
-            running += static_cast<double>(machine->claims.size());
+            running += static_cast<double>(machine->allocations.size());
     }
     QueueWatch::Tuning tuning;
     tuning.weight = context_.tuning.weight;
     tuning.probability = context_.tuning.probability;
-    tuning.low = std::min(context_.tuning.low, std::max(1.0, running * lowShareOfRunning));
+    tuning.low = std::min(context_.tuning.low, std::max(1.0, running * lowFractionOfRunning));
     tuning.high = std::min(context_.tuning.high, std::max(tuning.low + 1, running));
     return tuning;
 }
@@ -92,25 +92,27 @@
     const auto now = context_.now();
     for (const auto& id : waiting) {
         bool stranded = now - since.try_emplace(id, now).first->second > longWait;
-        bool atRisk = false;
+        bool isSloAtRisk = false;
         double free = 0;
         {
             auto clusterState = context_.clusterState.lock();
             const Job* job = clusterState->job(id);
             if (job == nullptr) continue;
             // Work that no machine here could ever run counts as above high, and so does what
-            // will miss its aim unless it starts about now: the average lags behind it.
-            stranded = stranded || !placement_.everFits(*job, partition);
+            // will miss its objective unless it starts about now: the average lags behind it.
+            stranded = stranded || !placement_.isFeasible(*job, partition);
             free = freedom(*job, partition);
             // Elsewhere its image may have to be fetched: what has it here waits here for as long
             // as that would take.
             const Seconds waited = context_.timers.wallNow() - job->readySince;
-            atRisk = placement_.atRisk(*job) && (free > 0 || waited >= placement_.fetchTime(*job));
+            isSloAtRisk =
+                placement_.isSloAtRisk(*job) && (free > 0 || waited >= placement_.fetchTime(*job));
         }
         queue.considered();
         const double chance = queue.moveProbability(free, tuning);
-        if (stranded || atRisk || std::uniform_real_distribution<>(0, 1)(context_.rng) < chance)
-            consider(partition, id, stranded || atRisk || queue.aboveHigh(tuning));
+        if (stranded || isSloAtRisk ||
+            std::uniform_real_distribution<>(0, 1)(context_.rng) < chance)
+            consider(partition, id, stranded || isSloAtRisk || queue.aboveHigh(tuning));
     }
 }
 
@@ -163,29 +165,30 @@
     next.tasks = wholeJob ? job.spec.tasks : next.range.count;
     std::vector<std::pair<double, std::uint32_t>>
         order;  // partition, by room, with the image first
-    std::uint32_t mostRoom = 0;
+    std::uint32_t maxCapacity = 0;
     {
         auto clusterState = context_.clusterState.lock();
         for (std::uint32_t other = 0; other < context_.partitionCount(); ++other) {
             if (other == partition ||
                 !clusterState->nodes.contains(clusterState->partitions[other].leader))
                 continue;
-            const auto room = placement_.roomFor(job, other, next.tasks);
-            mostRoom = std::max(mostRoom, room);
-            if (room > 0)
-                order.emplace_back(room * (1 + clusterState->cachedShare(job.spec, other)), other);
+            const auto capacity = placement_.capacityFor(job, other, next.tasks);
+            maxCapacity = std::max(maxCapacity, capacity);
+            if (capacity > 0)
+                order.emplace_back(capacity * (1 + clusterState->cachedFraction(job.spec, other)),
+                                   other);
         }
         if (!job.undivided() && context_.jobDependenciesEnabled(*clusterState) &&
-            mostRoom < next.tasks) {
+            maxCapacity < next.tasks) {
             // The last tasks only, as many as a peer has room for.
-            const auto count = std::min(mostRoom, next.range.count);
+            const auto count = std::min(maxCapacity, next.range.count);
             next.wholeJob = false;
             next.range = {next.range.end() - count, count};
             next.tasks = count;
         }
     }
     std::sort(order.rbegin(), order.rend());
-    for (const auto& [room, other] : order) next.peersLeft.push_back(other);
+    for (const auto& [capacity, other] : order) next.peersLeft.push_back(other);
     if (next.peersLeft.empty()) return;
     setLeaving(next, true);
     const auto ask = nextAsk_++;
@@ -248,9 +251,9 @@
             // The queue that counts is the one for the machines this work could use: what waits
             // here although they have room waits for others.
             const auto coming = ask.tasks + promised(ask.partition);
-            const auto room = placement_.roomFor(*job, ask.partition, coming);
-            answer.accepted =
-                room > promised(ask.partition) && coming - room < tuningFor(ask.partition).low;
+            const auto capacity = placement_.capacityFor(*job, ask.partition, coming);
+            answer.accepted = capacity > promised(ask.partition) &&
+                              coming - capacity < tuningFor(ask.partition).low;
         }
         if (answer.accepted)
             promises_.push_back({ask.partition, ask.tasks, context_.now() + promiseLasts});
@@ -326,11 +329,11 @@
 std::optional<std::uint32_t> Moves::partitionOfDependencies(const Job& job) {
     // Parents with children, as DESIGN maps them: its trigger comes from the same process.
     auto clusterState = context_.clusterState.lock();
-    for (auto id = job.spec.predecessors.rbegin(); id != job.spec.predecessors.rend(); ++id) {
+    for (auto id = job.spec.dependencies.rbegin(); id != job.spec.dependencies.rend(); ++id) {
         const Job* live = clusterState->job(*id);
         if (live != nullptr &&
             clusterState->nodes.contains(clusterState->partitions[live->partition].leader) &&
-            placement_.everFits(job, live->partition))
+            placement_.isFeasible(job, live->partition))
             return live->partition;
     }
     return std::nullopt;
@@ -350,18 +353,18 @@
         const auto partition = (context_.preferredPartition + i) % context_.partitionCount();
         if (!clusterState->nodes.contains(clusterState->partitions[partition].leader)) continue;
         const auto queue = queues[partition];
-        const auto room = placement_.roomFor(job, partition, job.spec.tasks + queue);
-        const auto startNow = std::min(room > queue ? room - queue : 0, job.spec.tasks);
+        const auto capacity = placement_.capacityFor(job, partition, job.spec.tasks + queue);
+        const auto startNow = std::min(capacity > queue ? capacity - queue : 0, job.spec.tasks);
         double running = 1;
         for (const auto* machine : clusterState->machinesOf(partition))
-            running += static_cast<double>(machine->claims.size());
+            running += static_cast<double>(machine->allocations.size());
         const double waiting = startNow >= job.spec.tasks
                                    ? 0
                                    : (queue + job.spec.tasks - startNow) / running *
                                          std::max(1.0, job.spec.estimate.count());
         const std::tuple score{
-            placement_.everFits(job, partition) ? 1 : 0,
-            -waiting - fetch * (1 - clusterState->cachedShare(job.spec, partition))};
+            placement_.isFeasible(job, partition) ? 1 : 0,
+            -waiting - fetch * (1 - clusterState->cachedFraction(job.spec, partition))};
         if (score > bestScore) {
             bestScore = score;
             best = partition;
--- a/src/coordination/placement.cpp
+++ b/src/coordination/placement.cpp
@@ -11,9 +11,9 @@
 
 using protocol::JobKind;
 
-constexpr double silentReports = 2.5;  // no new work after so many missed reports
+constexpr double silentHeartbeats = 2.5;  // no new work after so many missed heartbeats
 constexpr double unlimited = 1e12;
-constexpr double shareSlack = 1e-6;
+constexpr double quotaTolerance = 1e-6;
 constexpr double fetchThatCounts = 0.25;  // of the time that a task runs
 constexpr double fetchesPassedOver = 3;
 
@@ -22,9 +22,9 @@
 std::map<std::string, std::uint32_t> zoneUseOf(const ClusterState& clusterState, const Job& job) {
     std::map<std::string, std::uint32_t> use;
     for (const auto& slice : job.slices) {
-        for (const auto& claim : slice.claims) {
+        for (const auto& allocation : slice.allocations) {
             // A machine we have lost sight of still counts, wherever it is.
-            const auto found = clusterState.machines.find(claim.machine);
+            const auto found = clusterState.machines.find(allocation.machine);
             ++use[found == clusterState.machines.end() ? std::string() : found->second.zone];
         }
     }
@@ -47,8 +47,10 @@
 
 bool Placement::takesWork(const Machine& machine, SteadyTime now) const {
     return machine.version != 0 && machine.acknowledged() && !machine.transferring &&
-           !machine.retired && !machine.emptying && !machine.noticeEnds && machine.lastReport &&
-           now - *machine.lastReport < ticks(context_.settings.report * silentReports) &&
+           !machine.retired && !machine.emptying && !machine.interruptionAt &&
+           machine.lastHeartbeat &&
+           now - *machine.lastHeartbeat <
+               ticks(context_.settings.heartbeatInterval * silentHeartbeats) &&
            now >= machine.notBefore;
 }
 
@@ -57,13 +59,14 @@
     return (membership_.term(partition) << taskBits) | (++sequence_ & ((1U << taskBits) - 1));
 }
 
-bookkeeping::TeamShare Placement::shareOf(const ClusterState& clusterState, const app::Team& team,
-                                          std::uint32_t partition) const {
+bookkeeping::QuotaShare Placement::quotaShareOf(const ClusterState& clusterState,
+                                                const app::Team& team,
+                                                std::uint32_t partition) const {
     const auto partitions = static_cast<double>(context_.partitionCount());
-    bookkeeping::TeamShare share{team.cpusMax / partitions, team.gpusMax / partitions};
-    const auto known = clusterState.shares.find(team.name);
-    if (known == clusterState.shares.end() || !known->second.contains(partition)) return share;
-    bookkeeping::TeamShare total;
+    bookkeeping::QuotaShare quota{team.cpusMax / partitions, team.gpusMax / partitions};
+    const auto known = clusterState.quotas.find(team.name);
+    if (known == clusterState.quotas.end() || !known->second.contains(partition)) return quota;
+    bookkeeping::QuotaShare total;
     for (const auto& [number, recorded] : known->second) {
         total.cpus += recorded.cpus;
         total.gpus += recorded.gpus;
@@ -71,27 +74,27 @@
     const auto& mine = known->second.at(partition);
     // Recorded for another limit or other partitions: the lesser of both never exceeds the limit.
     const bool fits = known->second.size() == context_.partitionCount() &&
-                      std::abs(total.cpus - team.cpusMax) < shareSlack &&
-                      std::abs(total.gpus - team.gpusMax) < shareSlack;
+                      std::abs(total.cpus - team.cpusMax) < quotaTolerance &&
+                      std::abs(total.gpus - team.gpusMax) < quotaTolerance;
     return fits ? mine
-                : bookkeeping::TeamShare{std::min(share.cpus, mine.cpus),
-                                         std::min(share.gpus, mine.gpus)};
+                : bookkeeping::QuotaShare{std::min(quota.cpus, mine.cpus),
+                                          std::min(quota.gpus, mine.gpus)};
 }
 
-Resources Placement::teamLeft(ClusterState& clusterState, const std::string& name,
-                              std::uint32_t partition) const {
+Resources Placement::remainingQuota(ClusterState& clusterState, const std::string& name,
+                                    std::uint32_t partition) const {
     Resources left{unlimited, unlimited, unlimited};
     const auto* team = context_.team(name);
     if (team == nullptr) return left;
     const auto used = clusterState.usedBy(name, partition);
-    auto share = shareOf(clusterState, *team, partition);
-    if (const auto leaving = clusterState.sharesLeaving.find(name);
-        leaving != clusterState.sharesLeaving.end() && leaving->second.first == partition) {
-        share.cpus -= leaving->second.second.cpus;
-        share.gpus -= leaving->second.second.gpus;
+    auto quota = quotaShareOf(clusterState, *team, partition);
+    if (const auto leaving = clusterState.outgoingQuotas.find(name);
+        leaving != clusterState.outgoingQuotas.end() && leaving->second.first == partition) {
+        quota.cpus -= leaving->second.second.cpus;
+        quota.gpus -= leaving->second.second.gpus;
     }
-    if (team->cpusMax > 0) left.cpus = share.cpus - used.cpus;
-    if (team->gpusMax > 0) left.gpus = share.gpus - used.gpus;
+    if (team->cpusMax > 0) left.cpus = quota.cpus - used.cpus;
+    if (team->gpusMax > 0) left.gpus = quota.gpus - used.gpus;
     return left;
 }
 
@@ -103,28 +106,30 @@
     const auto fetch = fetchTime(job);
     const Seconds waited = context_.timers.wallNow() - job.readySince;
     return fetch > job.spec.estimate * fetchThatCounts &&
-           (job.anyClaim() || waited < fetch * fetchesPassedOver);
+           (job.anyAllocation() || waited < fetch * fetchesPassedOver);
 }
 
-void Placement::useSpare(Rivals& rivals, const Opening& opening, const Job& job) const {
-    const Machine& machine = *opening.machine;
+void Placement::useSpare(FragmentationGuard& fragmentationGuard,
+                         const MachineCapacity& machineCapacity, const Job& job) const {
+    const Machine& machine = *machineCapacity.machine;
     const auto* type = context_.type(machine.type);
-    for (auto& rival : rivals)
-        rival.spare -= std::min(
-            rival.spare, placesClosed(rival, *type, machine.zone, machine.spot, opening.free, job));
+    for (auto& largerTask : fragmentationGuard)
+        largerTask.spare -= std::min(
+            largerTask.spare,
+            slotsLost(largerTask, *type, machine.zone, machine.spot, machineCapacity.free, job));
 }
 
 Placement::Placed Placement::placeArray(ClusterState& clusterState, std::uint32_t partition,
-                                        Job& job, Openings& openings, Rivals& rivals,
-                                        Resources& left, bool& overShare, bool cachedOnly,
-                                        std::uint32_t most) {
+                                        Job& job, CapacityIndex& capacityIndex,
+                                        FragmentationGuard& fragmentationGuard, Resources& left,
+                                        bool& overQuota, bool cachedOnly, std::uint32_t most) {
     // Counted in each round, the places of thousands of tasks took half of a round's time.
     ZoneUse zoneUse;
     if (job.spec.oneZone || job.spec.spread) zoneUse = zoneUseOf(clusterState, job);
-    // The hosts' places stay open for what comes next. What finds no other place takes a few of
-    // them, so that a guest never waits for good.
-    const bool guest = context_.isGuest(job);
-    auto allowance = guest ? guestAllowance(job, partition) : 0;
+    // The entitled jobs' places stay open for what comes next. What finds no other place takes a
+    // few of them, so that a best-effort job never waits for good.
+    const bool bestEffort = context_.isBestEffort(job);
+    auto allowance = bestEffort ? bestEffortAllowance(job, partition) : 0;
     Placed placed;
     std::optional<std::uint32_t> mayWait;  // worked out when the first would have to fetch
     for (auto& slice : job.slices) {
@@ -134,38 +139,40 @@
             if (!slice.unstarted(task) || slice.isLeaving(task)) continue;
             if (placed.tasks >= most) return placed;
             if (!job.spec.each.fits(left)) {
-                overShare = true;
+                overQuota = true;
                 return placed;
             }
-            Opening* opening = choose(clusterState, openings, job, rivals, zoneUse, guest);
-            if (opening == nullptr && allowance > 0) {
+            MachineCapacity* machineCapacity =
+                choose(clusterState, capacityIndex, job, fragmentationGuard, zoneUse, bestEffort);
+            if (machineCapacity == nullptr && allowance > 0) {
                 --allowance;
-                opening = choose(clusterState, openings, job, rivals, zoneUse, false);
+                machineCapacity =
+                    choose(clusterState, capacityIndex, job, fragmentationGuard, zoneUse, false);
             }
-            if (opening == nullptr) return placed;
-            const Machine* machine = opening->machine;
+            if (machineCapacity == nullptr) return placed;
+            const Machine* machine = machineCapacity->machine;
             if (!hasImage(clusterState, *machine, job)) {
                 if (cachedOnly) return placed;
-                if (!mayWait) mayWait = worthWaiting(openings, job);
+                if (!mayWait) mayWait = worthWaiting(capacityIndex, job);
                 if (*mayWait > 0) {
                     --*mayWait;
                     ++placed.waiting;
                     continue;
                 }
             }
-            Claim claim;
-            claim.task = task;
-            claim.machine = machine->id;
-            claim.attempt = nextAttempt(partition);
-            claim.made = context_.now();
+            Allocation allocation;
+            allocation.task = task;
+            allocation.machine = machine->id;
+            allocation.attempt = nextAttempt(partition);
+            allocation.made = context_.now();
             ++zoneUse[machine->zone];
             left -= job.spec.each;
             spdlog::debug("task {}/{}: to {} ({}), class {}, {:.1f} s after submission",
                           job.spec.id, task, machine->id, machine->type, job.spec.jobClass,
                           Seconds(context_.timers.wallNow() - job.submitted).count());
-            clusterState.addClaim(job, slice, std::move(claim));
-            if (guest) useSpare(rivals, *opening, job);
-            take(*opening, job.spec.each);
+            clusterState.addAllocation(job, slice, std::move(allocation));
+            if (bestEffort) useSpare(fragmentationGuard, *machineCapacity, job);
+            consume(*machineCapacity, job.spec.each);
             ++placed.tasks;
         }
     }
@@ -173,55 +180,57 @@
 }
 
 bool Placement::placeGang(ClusterState& clusterState, std::uint32_t partition, Job& job,
-                          Openings& openings, Resources& left, bool& overShare) {
+                          CapacityIndex& capacityIndex, Resources& left, bool& overQuota) {
     Resources all;
     for (std::uint32_t i = 0; i < job.spec.tasks; ++i) all += job.spec.each;
     if (!all.fits(left)) {
-        overShare = true;
+        overQuota = true;
         return false;
     }
     // One zone after the other for a gang that must stay together; else all at once.
     std::vector<std::string> zones{std::string()};
     if (job.spec.oneZone) {
         std::set<std::string> found;
-        for (const auto& kind : openings) found.insert(kind.zone);
+        for (const auto& kind : capacityIndex) found.insert(kind.zone);
         zones.clear();
         for (const auto& zone : found) zones.push_back(zone);
     }
     for (const auto& zone : zones) {
         ZoneUse use;
         if (!zone.empty()) use[zone] = 1;  // holds the choice to this zone
-        if (placesFor(openings, job, use) < job.spec.tasks) continue;
+        if (placesFor(capacityIndex, job, use) < job.spec.tasks) continue;
         const auto attempt = nextAttempt(partition);
-        std::vector<Opening*> taken;
+        std::vector<MachineCapacity*> chosen;
         std::vector<bool> dirty;
         for (auto& slice : job.slices) {
             dirty.push_back(slice.dirty);
             for (std::uint32_t i = 0; i < slice.done.size(); ++i) {
-                Opening* opening = choose(clusterState, openings, job, {}, use, false);
-                if (opening == nullptr) break;
-                Claim claim;
-                claim.task = slice.first + i;
-                claim.machine = opening->machine->id;
-                claim.attempt = attempt;
-                claim.made = context_.now();
-                ++use[opening->machine->zone];
-                clusterState.addClaim(job, slice, std::move(claim));
-                take(*opening, job.spec.each);
-                taken.push_back(opening);
+                MachineCapacity* machineCapacity =
+                    choose(clusterState, capacityIndex, job, {}, use, false);
+                if (machineCapacity == nullptr) break;
+                Allocation allocation;
+                allocation.task = slice.first + i;
+                allocation.machine = machineCapacity->machine->id;
+                allocation.attempt = attempt;
+                allocation.made = context_.now();
+                ++use[machineCapacity->machine->zone];
+                clusterState.addAllocation(job, slice, std::move(allocation));
+                consume(*machineCapacity, job.spec.each);
+                chosen.push_back(machineCapacity);
             }
         }
-        if (taken.size() == job.spec.tasks) {
+        if (chosen.size() == job.spec.tasks) {
             left -= all;
             spdlog::debug("gang {}: placed, first on {}, class {}, {:.1f} s after submission",
-                          job.spec.id, job.slices.front().claims.front().machine, job.spec.jobClass,
+                          job.spec.id, job.slices.front().allocations.front().machine,
+                          job.spec.jobClass,
                           Seconds(context_.timers.wallNow() - job.submitted).count());
             return true;
         }
-        for (auto* opening : taken) giveBack(*opening, job.spec.each);
+        for (auto* machineCapacity : chosen) restore(*machineCapacity, job.spec.each);
         for (auto& slice : job.slices) {
-            while (!slice.claims.empty())
-                clusterState.removeClaim(job, slice, slice.claims.front().task);
+            while (!slice.allocations.empty())
+                clusterState.removeAllocation(job, slice, slice.allocations.front().task);
             // As it was: the ends of the attempt before may still wait to be recorded. Once they
             // never were, and peers took the gang for running (scenario gang_lending).
             slice.dirty = dirty[slice.index];
@@ -230,73 +239,76 @@
     return false;
 }
 
-std::vector<Unplaced> Placement::run(std::uint32_t partition) {
-    std::vector<Unplaced> unplaced;
+std::vector<UnschedulableWork> Placement::run(std::uint32_t partition) {
+    std::vector<UnschedulableWork> unschedulable;
     auto clusterState = context_.clusterState.lock();
     std::map<std::string, Resources> left;
     std::set<std::string> blockedZones;
     dropReservations(*clusterState, partition);
-    auto openings = openingsOf(*clusterState, partition);
-    auto rivals = largestOfClasses(*clusterState);
+    auto capacityIndex = capacityIndexOf(*clusterState, partition);
+    auto fragmentationGuard = largestOfClasses(*clusterState);
     auto queue = readyJobs(*clusterState, partition);
     const auto leftFor = [&](const Job& job) -> Resources& {
         const auto [entry, fresh] = left.try_emplace(job.spec.team);
-        if (fresh) entry->second = teamLeft(*clusterState, job.spec.team, partition);
+        if (fresh) entry->second = remainingQuota(*clusterState, job.spec.team, partition);
         return entry->second;
     };
     std::vector<Ready> toFetch;
     bool spareCounted = false;
-    const bool recordsLag = claimsWait(*clusterState, partition);
+    const bool recordsLag = allocationsPending(*clusterState, partition);
     for (auto& ready : queue) {
         Job& job = *ready.job;
-        bool overShare = false;
+        bool overQuota = false;
         if (job.spec.kind != JobKind::gang) {
-            const bool guest = context_.isGuest(job);
-            if (guest && recordsLag) continue;
-            // Guests come last, so that what the hosts have just taken counts.
-            if (guest && !std::exchange(spareCounted, true))
-                countSpare(rivals, openings, *clusterState, partition);
+            const bool bestEffort = context_.isBestEffort(job);
+            if (bestEffort && recordsLag) continue;
+            // Best-effort jobs come last, so that what the entitled jobs have just taken counts.
+            if (bestEffort && !std::exchange(spareCounted, true))
+                countSpare(fragmentationGuard, capacityIndex, *clusterState, partition);
             const bool cachedOnly = !ready.probe && letsCachedGoFirst(job);
-            const auto placed = placeArray(*clusterState, partition, job, openings, rivals,
-                                           leftFor(job), overShare, cachedOnly, mostToPlace(ready));
+            const auto placed =
+                placeArray(*clusterState, partition, job, capacityIndex, fragmentationGuard,
+                           leftFor(job), overQuota, cachedOnly, mostToPlace(ready));
             ready.tasks -= placed.tasks + placed.waiting;
             if (ready.tasks == 0) continue;
             if (ready.probe) continue;
-            if (cachedOnly && !overShare)
+            if (cachedOnly && !overQuota)
                 toFetch.push_back(ready);
             else
-                unplaced.push_back({job.spec.id, ready.tasks, overShare, false, {}, false, 0});
+                unschedulable.push_back({job.spec.id, ready.tasks, overQuota, false, {}, false, 0});
             continue;
         }
-        if (placeGang(*clusterState, partition, job, openings, leftFor(job), overShare) ||
+        if (placeGang(*clusterState, partition, job, capacityIndex, leftFor(job), overQuota) ||
             ready.probe)
             continue;
         // One task alone gathers nothing and lies in one zone anyway.
-        if (job.spec.tasks == 1 || overShare) {
-            unplaced.push_back({job.spec.id, ready.tasks, overShare, false, {}, false, 0});
+        if (job.spec.tasks == 1 || overQuota) {
+            unschedulable.push_back({job.spec.id, ready.tasks, overQuota, false, {}, false, 0});
             continue;
         }
         chooseZone(*clusterState, partition, job);
-        const bool waitsTurn = blockedZones.contains(job.gatherZone);
+        const bool waitsTurn = blockedZones.contains(job.assemblyZone);
         // What waits for its turn has machines rented for it, but only once: each round it once
         // asked for all of them again.
         auto lacking = job.spec.tasks;
         const auto missing =
             waitsTurn
                 ? job.spec.tasks - std::min(job.spec.tasks, heldFor(*clusterState, partition, job))
-                : gather(*clusterState, partition, job, openings, blockedZones, lacking);
-        unplaced.push_back({job.spec.id, missing, false, true, job.gatherZone, waitsTurn, lacking});
+                : assembleGang(*clusterState, partition, job, capacityIndex, blockedZones, lacking);
+        unschedulable.push_back(
+            {job.spec.id, missing, false, true, job.assemblyZone, waitsTurn, lacking});
     }
     for (auto& ready : toFetch) {
         Job& job = *ready.job;
-        bool overShare = false;
-        const auto placed = placeArray(*clusterState, partition, job, openings, rivals,
-                                       leftFor(job), overShare, false, mostToPlace(ready));
+        bool overQuota = false;
+        const auto placed =
+            placeArray(*clusterState, partition, job, capacityIndex, fragmentationGuard,
+                       leftFor(job), overQuota, false, mostToPlace(ready));
         ready.tasks -= placed.tasks + placed.waiting;
         if (ready.tasks > 0)
-            unplaced.push_back({job.spec.id, ready.tasks, overShare, false, {}, false, 0});
+            unschedulable.push_back({job.spec.id, ready.tasks, overQuota, false, {}, false, 0});
     }
-    return unplaced;
+    return unschedulable;
 }
 
 }  // namespace fawnwheel::coordination
--- a/src/coordination/queue_order.cpp
+++ b/src/coordination/queue_order.cpp
@@ -11,9 +11,10 @@
 using protocol::JobKind;
 
 constexpr std::uint32_t placementsPerRun = 64;
-constexpr std::chrono::seconds longestRecording{30};  // of claims, for more of guests to be made
+constexpr std::chrono::seconds longestRecording{
+    30};  // of allocations, for more of best-effort jobs to be made
 constexpr std::uint32_t unprovenTasks = 256;  // at a time, of a job that has shown no task to run
-// What has no aim (left) is served as if it had to start this long after its submission.
+// What has no objective (left) is served as if it had to start this long after its submission.
 constexpr Seconds patience{600};
 constexpr Seconds largestBegin{240};  // what the operators ask of a class's largest jobs
 constexpr Seconds largestLead{120};   // to gather for them
@@ -22,8 +23,8 @@
 }  // namespace
 
 transport::WallTime Placement::latestStart(const Job& job) const {
-    // The next of the job's aims that can still be met. What has missed all of them goes behind,
-    // since hurrying it helps nobody, but it grows old and is not passed over for ever.
+    // The next of the job's objectives that can still be met. What has missed all of them goes
+    // behind, since hurrying it helps nobody, but it grows old and is not passed over for ever.
     const auto now = context_.timers.wallNow();
     std::optional<transport::WallTime> next;
     const auto consider = [&](transport::WallTime latest) {
@@ -54,9 +55,9 @@
 }
 
 Seconds Placement::stepTime(const protocol::JobSpec& spec) const {
-    // A start waits for a worker's report, and so may an end that was reported while one was under
-    // way.
-    return spec.estimate + fetchTime(spec) + context_.settings.report;
+    // A start waits for a worker's heartbeat, and so may an end that was reported while one was
+    // under way.
+    return spec.estimate + fetchTime(spec) + context_.settings.heartbeatInterval;
 }
 
 Seconds Placement::fetchTime(const protocol::JobSpec& spec) const {
@@ -69,8 +70,8 @@
     return Seconds(fetch.value_or(0));
 }
 
-bool Placement::atRisk(const Job& job) const {
-    const Seconds needed = fetchTime(job) + context_.settings.report * 2 + riskMargin;
+bool Placement::isSloAtRisk(const Job& job) const {
+    const Seconds needed = fetchTime(job) + context_.settings.heartbeatInterval * 2 + riskMargin;
     return latestStart(job) < plus(context_.timers.wallNow(), needed);
 }
 
@@ -90,11 +91,11 @@
         }
     for (auto& [id, job] : clusterState.jobs) {
         if (!clusterState.startable(job) || now < job.notBefore) continue;
-        if (job.spec.kind == JobKind::gang && job.anyClaim()) {
+        if (job.spec.kind == JobKind::gang && job.anyAllocation()) {
             if (job.partition == partition) stopBrokenGang(job);
             continue;
         }
-        if (job.failing()) {
+        if (job.crashLooping()) {
             if (mayProbe(job, partition)) ready.push_back({&job, 1, latestStart(job), true});
             continue;
         }
@@ -112,7 +113,7 @@
 
 bool Placement::mayProbe(const Job& job, std::uint32_t partition) {
     // One task at a time for the whole job, wherever its slices lie: by the first that waits.
-    if (job.anyClaim()) return false;
+    if (job.anyAllocation()) return false;
     const auto first = std::find_if(job.slices.begin(), job.slices.end(),
                                     [](const Slice& slice) { return slice.waiting() > 0; });
     return first != job.slices.end() && first->partition == partition;
@@ -126,8 +127,9 @@
     const auto now = context_.now();
     std::uint32_t claimed = 0;
     for (const auto& slice : job.slices)
-        for (const auto& claim : slice.claims) {
-            if (claim.ran && now - *claim.ran > ticks(context_.settings.report * 2))
+        for (const auto& allocation : slice.allocations) {
+            if (allocation.ran &&
+                now - *allocation.ran > ticks(context_.settings.heartbeatInterval * 2))
                 return placementsPerRun;
             ++claimed;
         }
@@ -135,28 +137,30 @@
 }
 
 void Placement::stopBrokenGang(Job& job) {
-    if (job.complete() || job.claimedTasks() == job.spec.tasks) return;
+    if (job.complete() || job.allocatedTasks() == job.spec.tasks) return;
     // The rest would wait for a task that does not come back under this attempt.
     for (auto& slice : job.slices) {
-        for (auto& claim : slice.claims) {
-            claim.giveUp = true;
-            claim.stopGrace = Seconds(0);
+        for (auto& allocation : slice.allocations) {
+            allocation.abandoned = true;
+            allocation.stopGrace = Seconds(0);
         }
     }
 }
 
-bool Placement::claimsWait(const ClusterState& clusterState, std::uint32_t partition) const {
-    // Beyond what the state service writes, the claims of a guest's thousands of short tasks once
-    // waited for 150 s for their records and held their machines, and those of the hosts behind
-    // them (day fresh-5728 of vatback).
+bool Placement::allocationsPending(const ClusterState& clusterState,
+                                   std::uint32_t partition) const {
+    // Beyond what the state service writes, the allocations of a best-effort job's thousands of
+    // short tasks once waited for 150 s for their records and held their machines, and those of the
+    // hosts behind them (day fresh-5728 of vatback).
     const auto oldest = context_.now() - longestRecording;
     return std::any_of(clusterState.jobs.begin(), clusterState.jobs.end(), [&](const auto& entry) {
         const auto& slices = entry.second.slices;
         return std::any_of(slices.begin(), slices.end(), [&](const Slice& slice) {
             return slice.partition == partition && slice.dirty &&
-                   std::any_of(slice.claims.begin(), slice.claims.end(), [&](const Claim& claim) {
-                       return !claim.durable && claim.made < oldest;
-                   });
+                   std::any_of(slice.allocations.begin(), slice.allocations.end(),
+                               [&](const Allocation& allocation) {
+                                   return !allocation.durable && allocation.made < oldest;
+                               });
         });
     });
 }
@@ -167,7 +171,7 @@
     auto clusterState = context_.clusterState.lock();
     for (const auto& [id, job] : clusterState->jobs) {
         if (!clusterState->schedulable(job) || now < job.notBefore ||
-            (job.spec.kind == JobKind::gang && job.anyClaim()))
+            (job.spec.kind == JobKind::gang && job.anyAllocation()))
             continue;
         for (const auto& slice : job.slices)
             if (slice.partition < lengths.size()) lengths[slice.partition] += slice.waiting();
--- a/src/coordination/recorder.cpp
+++ b/src/coordination/recorder.cpp
@@ -12,17 +12,18 @@
 
 using namespace std::chrono_literals;
 
-constexpr std::size_t hostsPerGuest = 3;  // slices in one transaction
+constexpr std::size_t entitledPerBestEffort = 3;  // slices in one transaction
 constexpr auto pauseAfterRejection = 500ms;
 // Under the write limit; the more ends one record then tells of, the fewer are written.
 constexpr auto endsPatience = 10s;
 constexpr auto patiencePerRank = 1s;  // a slice waits so much longer for each step down in priority
 
-// Starts wait for claims to become durable, and a job's end for its last tasks. Nobody waits for
-// the other ends: until they are recorded their workers go on reporting them.
+// Starts wait for allocations to become durable, and a job's end for its last tasks. Nobody waits
+// for the other ends: until they are recorded their workers go on reporting them.
 bool somebodyWaitsFor(const Slice& slice) {
-    return slice.complete() || std::any_of(slice.claims.begin(), slice.claims.end(),
-                                           [](const Claim& claim) { return !claim.durable; });
+    return slice.complete() ||
+           std::any_of(slice.allocations.begin(), slice.allocations.end(),
+                       [](const Allocation& allocation) { return !allocation.durable; });
 }
 
 bool allUnstarted(const Slice& slice, const bookkeeping::TaskRange& range) {
@@ -54,17 +55,18 @@
 
 bool StateWriter::over(ClusterState& clusterState, const Job& job) const {
     if (!job.cancelled) return job.complete();
-    // A cancelled job ends when the last of its tasks is proved gone. Claims by other partitions
-    // are known up to `applied`, but for slices that are under way here; later ones fail on the
-    // job's version.
-    if (job.anyClaim() || clusterState.applied < job.version || sliceUnderWay(job)) return false;
+    // A cancelled job ends when the last of its tasks is proved gone. Allocations by other
+    // partitions are known up to `applied`, but for slices that are under way here; later ones fail
+    // on the job's version.
+    if (job.anyAllocation() || clusterState.applied < job.version || sliceUnderWay(job))
+        return false;
     // Its active record stays until no live job that names it could be taken to wait for a job that
     // is done. Later ones can't be created as if it were not cancelled: they fail on its version.
-    const auto& successors = clusterState.dependencies.successors(job.spec.id);
-    return std::all_of(successors.begin(), successors.end(),
+    const auto& dependents = clusterState.dependencyGraph.dependents(job.spec.id);
+    return std::all_of(dependents.begin(), dependents.end(),
                        [&clusterState](const std::string& id) {
-                           const Job* successor = clusterState.job(id);
-                           return successor == nullptr || successor->cancelled;
+                           const Job* dependent = clusterState.job(id);
+                           return dependent == nullptr || dependent->cancelled;
                        });
 }
 
@@ -73,7 +75,9 @@
     // Whoever owns the partition finishes it: what is left to do shows in the records.
     for (const auto& [id, job] : clusterState.jobs) {
         if (writer_.full(batch)) return;
-        if (!job.doomed || job.cancelled || job.finishing || job.partition != partition) continue;
+        if (!job.dependencyCancelled || job.cancelled || job.completing ||
+            job.partition != partition)
+            continue;
         const auto key = bookkeeping::keys::job(id);
         Job next = job;
         next.cancelled = true;
@@ -97,7 +101,7 @@
                 {bookkeeping::keys::partition(other), clusterState.partitions.at(other).version});
     writes.push_back({bookkeeping::keys::job(job.spec.id), std::nullopt, 0});
     bookkeeping::TerminalState state{job.cancelled, std::nullopt};
-    // Those that wait for it count their time from now on, also with a successor of this leader.
+    // Those that wait for it count their time from now on, also with a dependent of this leader.
     if (context_.jobDependenciesEnabled(clusterState)) state.at = context_.timers.wallNow();
     writes.push_back(
         {bookkeeping::keys::terminal(job.spec.id), bookkeeping::terminalValue(state), 0});
@@ -111,7 +115,7 @@
     }
     batch.bytes += SliceWriter::bytesPerChange * 2;
     batch.terminals.push_back({job.spec.id, state});
-    job.finishing = true;
+    job.completing = true;
 }
 
 bool StateWriter::addPush(Batch& batch, Job& job, const SlicePush& push) {
@@ -126,11 +130,11 @@
         const auto& next = waiting.front();
         Job* job = clusterState.job(next.job);
         const bool possible = context_.now() < next.until && job != nullptr &&
-                              !clusterState.knownCancelled(*job) && !job->finishing &&
+                              !clusterState.knownCancelled(*job) && !job->completing &&
                               next.slice < job->slices.size() &&
                               job->slices[next.slice].partition == partition &&
                               allUnstarted(job->slices[next.slice], next.range) &&
-                              // Two divisions of one job would claim the same new indexes.
+                              // Two divisions of one job would allocation the same new indexes.
                               !batch.jobs.contains(next.job);
         if (!possible) {
             next.done(false);
@@ -142,11 +146,12 @@
 }
 
 void StateWriter::addTerminals(Batch& batch, ClusterState& clusterState, std::uint32_t partition,
-                               bool guests, std::size_t mostChanges) {
+                               bool bestEffort, std::size_t mostChanges) {
     for (auto& [id, job] : clusterState.jobs) {
         if (writer_.full(batch) || batch.transaction.writes.size() >= mostChanges) return;
-        if (job.partition == partition && !job.finishing && context_.isGuest(job) == guests &&
-            !batch.jobs.contains(id) && over(clusterState, job))
+        if (job.partition == partition && !job.completing &&
+            context_.isBestEffort(job) == bestEffort && !batch.jobs.contains(id) &&
+            over(clusterState, job))
             addTerminal(batch, clusterState, job);
     }
 }
@@ -155,14 +160,14 @@
                                                          std::uint32_t partition,
                                                          const Batch& batch) const {
     const auto now = context_.now();
-    std::vector<Dirty> hosts;
-    std::vector<Dirty> guests;
+    std::vector<Dirty> entitled;
+    std::vector<Dirty> bestEffort;
     for (auto& [id, job] : clusterState.jobs) {
         // What a job's end will say needs no record of its own.
-        if (job.finishing || batch.jobs.contains(id) ||
+        if (job.completing || batch.jobs.contains(id) ||
             (job.partition == partition && over(clusterState, job)))
             continue;
-        auto& same = context_.isGuest(job) ? guests : hosts;
+        auto& same = context_.isBestEffort(job) ? bestEffort : entitled;
         for (auto& slice : job.slices) {
             if (!slice.dirty || slice.partition != partition) continue;
             if (!slice.dirtySince) slice.dirtySince = now;
@@ -177,21 +182,23 @@
         return std::tie(one.due, one.job->spec.id, one.slice->index) <
                std::tie(other.due, other.job->spec.id, other.slice->index);
     };
-    std::sort(hosts.begin(), hosts.end(), earlier);
-    std::sort(guests.begin(), guests.end(), earlier);
-    return interleaved(hosts, guests);
+    std::sort(entitled.begin(), entitled.end(), earlier);
+    std::sort(bestEffort.begin(), bestEffort.end(), earlier);
+    return interleaved(entitled, bestEffort);
 }
 
-std::vector<StateWriter::Dirty> StateWriter::interleaved(const std::vector<Dirty>& hosts,
-                                                         const std::vector<Dirty>& guests) {
-    // A guest's thousands of slices, each older than a host's latest, would keep that waiting.
+std::vector<StateWriter::Dirty> StateWriter::interleaved(const std::vector<Dirty>& entitled,
+                                                         const std::vector<Dirty>& bestEffort) {
+    // A best-effort job's thousands of slices, each older than a host's latest, would keep that
+    // waiting.
     std::vector<Dirty> all;
-    auto guest = guests.begin();
-    for (std::size_t i = 0; i < hosts.size(); ++i) {
-        all.push_back(hosts[i]);
-        if ((i + 1) % hostsPerGuest == 0 && guest != guests.end()) all.push_back(*guest++);
+    auto next = bestEffort.begin();
+    for (std::size_t i = 0; i < entitled.size(); ++i) {
+        all.push_back(entitled[i]);
+        if ((i + 1) % entitledPerBestEffort == 0 && next != bestEffort.end())
+            all.push_back(*next++);
     }
-    all.insert(all.end(), guest, guests.end());
+    all.insert(all.end(), next, bestEffort.end());
     return all;
 }
 
@@ -242,10 +249,10 @@
                 bookkeeping::applyEvent(*clusterState, {write.key, write.value, revision},
                                         context_.now());
         for (const auto& [id, state] : batch.terminals) {
-            if (Job* job = clusterState->job(id)) job->finishing = false;
+            if (Job* job = clusterState->job(id)) job->completing = false;
             if (result != CommitResult::done) continue;
             spdlog::debug("job {}: {}", id, state.cancelled ? "cancelled" : "done");
-            clusterState->dependencies.recordTerminal(id, state);
+            clusterState->dependencyGraph.recordTerminal(id, state);
             clusterState->dropJob(id);
             onTerminal(id, state.cancelled);
         }
--- a/src/coordination/recorder.h
+++ b/src/coordination/recorder.h
@@ -33,7 +33,7 @@
                                                                                 bool) {};
     // Jobs that needed a cancelled one are cancelled now, durably.
     std::function<void()> onCancelled = [] {};
-    // Claims on these machines have become durable: their starts may be sent.
+    // Allocations on these machines have become durable: their starts may be sent.
     std::function<void(const std::set<std::string>& machines)> onDurable =
         [](const std::set<std::string>&) {};
 
@@ -58,14 +58,14 @@
         Job* job = nullptr;
         const Slice* slice = nullptr;
     };
-    // Those of guests or of all others, while the batch has fewer changes than this.
+    // Those of best-effort jobs or of all others, while the batch has fewer changes than this.
     void addTerminals(Batch& batch, ClusterState& clusterState, std::uint32_t partition,
-                      bool guests, std::size_t mostChanges);
+                      bool bestEffort, std::size_t mostChanges);
     // In the order in which they are to be written.
     [[nodiscard]] std::vector<Dirty> dirtySlices(ClusterState& clusterState,
                                                  std::uint32_t partition, const Batch& batch) const;
-    [[nodiscard]] static std::vector<Dirty> interleaved(const std::vector<Dirty>& hosts,
-                                                        const std::vector<Dirty>& guests);
+    [[nodiscard]] static std::vector<Dirty> interleaved(const std::vector<Dirty>& entitled,
+                                                        const std::vector<Dirty>& bestEffort);
     void addSlices(Batch& batch, ClusterState& clusterState, std::uint32_t partition);
     void addTerminal(Batch& batch, const ClusterState& clusterState, Job& job);
     // Whether the job has ended and its active record may go.
--- a/src/coordination/renting.cpp
+++ b/src/coordination/renting.cpp
@@ -35,7 +35,7 @@
                 const Kind kind{type.name, zone, spot};
                 const auto refused = refused_.find(kind);
                 if (refused != refused_.end() && now < refused->second.until) continue;
-                const double fit = Placement::fitsIn(job, type.capacity, tasks);
+                const double fit = Placement::countThatFit(job, type.capacity, tasks);
                 double price = (spot ? type.spotPrice : type.price) / std::max(1.0, fit);
                 // Near the partition's own node, so that a cut between zones separates fewer of
                 // them.
@@ -50,13 +50,13 @@
     return best;
 }
 
-void Fleet::rentFor(std::uint32_t partition, const std::vector<Unplaced>& unplaced) {
+void Fleet::rentFor(std::uint32_t partition, const std::vector<UnschedulableWork>& unschedulable) {
     // Calls are few: none is queued behind others, and each rests on the answers before it.
-    if (unplaced.empty() || !membership_.leaseStands() || context_.cloud.waiting() > 0) return;
+    if (unschedulable.empty() || !membership_.leaseStands() || context_.cloud.waiting() > 0) return;
     const auto now = context_.now();
     struct Coming {
         Kind kind;
-        Resources room;
+        Resources available;
     };
     std::vector<Coming> coming;
     std::map<Kind, Order> wanted;
@@ -64,7 +64,8 @@
     for (const auto* machine : clusterState->machinesOf(partition)) {
         const auto* type = context_.type(machine->type);
         // Those that are up and not yet recorded or proved are as good as booting.
-        const bool inUse = machine->lastReport && machine->version != 0 && machine->acknowledged();
+        const bool inUse =
+            machine->lastHeartbeat && machine->version != 0 && machine->acknowledged();
         if (machine->retired || inUse || type == nullptr ||
             now - machine->known > ticks(type->bootTime * lateBoot) + bootGrace)
             continue;
@@ -74,9 +75,9 @@
         for (int i = 0; i < count; ++i)
             if (const auto* type = context_.type(kind.type))
                 coming.push_back({kind, type->capacity});
-    for (const auto& entry : unplaced) {
+    for (const auto& entry : unschedulable) {
         const Job* job = clusterState->job(entry.job);
-        if (job == nullptr || entry.overShare) continue;
+        if (job == nullptr || entry.overQuota) continue;
         if (entry.gang) {
             orderForGang(entry, *job, wanted);
             continue;
@@ -85,10 +86,10 @@
             const auto fits = std::find_if(coming.begin(), coming.end(), [&](const Coming& c) {
                 return Placement::typeAllowed(job->spec, *context_.type(c.kind.type), c.kind.zone,
                                               c.kind.spot) &&
-                       job->spec.each.fits(c.room);
+                       job->spec.each.fits(c.available);
             });
             if (fits != coming.end()) {
-                fits->room -= job->spec.each;
+                fits->available -= job->spec.each;
                 continue;
             }
             const auto kind = cheapest(*job, left, {});
@@ -96,24 +97,25 @@
             if (!kind || asking(*kind) || wanted[*kind].count >= maxRentAtOnce) break;
             ++wanted[*kind].count;
             coming.push_back({*kind, context_.type(kind->type)->capacity});
-            coming.back().room -= job->spec.each;
+            coming.back().available -= job->spec.each;
         }
     }
     for (const auto& [kind, order] : wanted)
         if (order.count > 0) rent(partition, kind, order);
 }
 
-void Fleet::orderForGang(const Unplaced& entry, const Job& job,
+void Fleet::orderForGang(const UnschedulableWork& entry, const Job& job,
                          std::map<Kind, Order>& wanted) const {
     // What it lacks, in the zone where it gathers, and kept for it from the start: machines rented
     // task by task lay in several zones and went to other work as they came up.
     // Peers are asked for idle machines first.
     if (entry.tasks == 0 || rentingFor_.contains(entry.job) ||
-        context_.now() - job.gatherSince < loansFirst)
+        context_.now() - job.assemblySince < loansFirst)
         return;
     const auto kind = cheapest(job, entry.tasks, entry.zone);
     if (!kind || asking(*kind)) return;
-    const auto each = Placement::fitsIn(job, context_.type(kind->type)->capacity, entry.tasks);
+    const auto each =
+        Placement::countThatFit(job, context_.type(kind->type)->capacity, entry.tasks);
     const auto machines =
         std::min(maxRentAtOnce, static_cast<int>((entry.tasks + each - 1) / each));
     // Many gangs in one call: with a call for each, a morning's gangs took a minute to rent for.
@@ -142,12 +144,12 @@
                             protocol::RentResult result, const std::vector<std::string>& machines) {
                             if (result == protocol::RentResult::unknown && tries > 1)
                                 return sendRental(partition, kind, order, name, tries - 1);
-                            takeRented(partition, kind, order, machines);
+                            onProvisioned(partition, kind, order, machines);
                         });
 }
 
-void Fleet::takeRented(std::uint32_t partition, const Kind& kind, const Order& order,
-                       const std::vector<std::string>& machines) {
+void Fleet::onProvisioned(std::uint32_t partition, const Kind& kind, const Order& order,
+                          const std::vector<std::string>& machines) {
     asked_[partition][kind] -= order.count;
     onAnswer();
     auto clusterState = context_.clusterState.lock();
@@ -157,18 +159,19 @@
         rentingFor_.erase(gang);
         const Job* job = clusterState->job(gang);
         for (int i = 0; i < count && next != machines.end(); ++i, ++next) {
-            Machine* machine = note(*next, kind.type, kind.zone, kind.spot, partition);
+            Machine* machine = ensureMachine(*next, kind.type, kind.zone, kind.spot, partition);
             if (machine == nullptr || job == nullptr || type == nullptr) continue;
             placement_.reserve(*machine, *job,
-                               Placement::fitsIn(*job, type->capacity, job->spec.tasks),
+                               Placement::countThatFit(*job, type->capacity, job->spec.tasks),
                                ticks(type->bootTime * lateBoot) + bootGrace);
         }
     }
-    for (; next != machines.end(); ++next) note(*next, kind.type, kind.zone, kind.spot, partition);
+    for (; next != machines.end(); ++next)
+        ensureMachine(*next, kind.type, kind.zone, kind.spot, partition);
     for (const auto& id : machines)
         if (clusterState->machine(id) != nullptr) write(recording_, partition, id);
     if (static_cast<int>(machines.size()) < order.count)
-        noteRefusal(kind);
+        recordRefusal(kind);
     else
         refused_.erase(kind);
 }
@@ -188,7 +191,7 @@
     return false;
 }
 
-void Fleet::noteRefusal(const Kind& kind) {
+void Fleet::recordRefusal(const Kind& kind) {
     auto& refusal = refused_[kind];
     refusal.pause = std::clamp<Duration>(refusal.pause * 2, firstRefusalPause, longestRefusalPause);
     refusal.until = context_.now() + context_.jittered(refusal.pause);
