--- a/src/coordination/replica.cpp
+++ b/src/coordination/replica.cpp
@@ -16,7 +16,7 @@
 constexpr Duration shortestWatch = 500ms;
 constexpr int watchesPerCancellationSlack = 3;
 // Between two watch requests, so that a stream of changes comes in batches. Small beside a worker's
-// report period; large enough to leave most requests of a node's share to others.
+// heartbeat interval; large enough to leave most requests of a node's share to others.
 constexpr double watchFractionOfRequests = 0.35;
 
 }  // namespace
@@ -102,7 +102,7 @@
 }
 
 void Replica::catchUp() {
-    // Until the watch has passed the last page, a claim may be known and its machine not.
+    // Until the watch has passed the last page, an allocation may be known and its machine not.
     if (synced_ || context_.clusterState.lock()->applied < lastRevision_) return;
     synced_ = everSynced_ = true;
     currentAsOf_ = std::max(currentAsOf_, readBegan_);
@@ -138,8 +138,8 @@
                     bookkeeping::recordCancellation(*clusterState, event);
                     // From here on its new leader counts how long its worker has been silent.
                     bookkeeping::recordDeparture(*clusterState, event);
-                    // Dropped, the claims that a new leader had recorded in a pushed slice before
-                    // the pusher had its answer were never known to it
+                    // Dropped, the allocations that a new leader had recorded in a pushed slice
+                    // before the pusher had its answer were never known to it
                     // (ClaimsThatOvertakeTheAnswerToAPushAreKnown).
                     deferred_[event.key] = event;
                 }
@@ -148,9 +148,9 @@
             if (synced_) currentAsOf_ = std::max(currentAsOf_, asked);
             catchUp();
             if (!answer.events.empty()) onChange();
-            const auto share =
+            const auto fraction =
                 context_.settings.stateRequests / static_cast<double>(context_.nodes.size());
-            const Seconds pause(1.0 / (share * watchFractionOfRequests));
+            const Seconds pause(1.0 / (fraction * watchFractionOfRequests));
             context_.timers.after(ticks(pause), [this, generation] {
                 if (generation == generation_) watch(generation);
             });
--- a/src/coordination/room.cpp
+++ b/src/coordination/room.cpp
@@ -17,7 +17,7 @@
     // A loan is for a gang's start only. But beside the gang's tasks there may be the only room
     // that is left, and work that waits on and on beside it is not served (slice_left_behind).
     if (!machine.lender || job.spec.kind == JobKind::gang) return true;
-    return !machine.claims.empty() &&
+    return !machine.allocations.empty() &&
            context_.timers.wallNow() > plus(job.readySince, loanClosedToOthers);
 }
 
@@ -26,26 +26,27 @@
     if (type == nullptr || !typeAllowed(job.spec, *type, machine.zone, machine.spot)) return false;
     if (job.avoids(machine.id, context_.now())) return false;
     if (!mayUseLoan(job, machine)) return false;
-    Resources room = type->capacity;
-    room -= machine.used;
+    Resources capacity = type->capacity;
+    capacity -= machine.used;
     if (context_.now() < machine.reservedUntil && machine.reservedFor != job.spec.id)
-        room -= machine.reservedRoom;
-    return job.spec.each.fits(room);
+        capacity -= machine.reservedCapacity;
+    return job.spec.each.fits(capacity);
 }
 
-std::uint32_t Placement::fitsIn(const Job& job, Resources room, std::uint32_t most) {
+std::uint32_t Placement::countThatFit(const Job& job, Resources capacity, std::uint32_t most) {
     std::uint32_t count = 0;
-    for (; count < most && job.spec.each.fits(room); ++count) room -= job.spec.each;
+    for (; count < most && job.spec.each.fits(capacity); ++count) capacity -= job.spec.each;
     return count;
 }
 
-std::uint32_t Placement::roomFor(const Job& job, std::uint32_t partition, std::uint32_t most) {
+std::uint32_t Placement::capacityFor(const Job& job, std::uint32_t partition, std::uint32_t most) {
     auto clusterState = context_.clusterState.lock();
-    if (job.spec.kind == JobKind::gang) return gangRoom(*clusterState, partition, job);
-    std::uint32_t room = 0;
-    // Of a peer's machines only the records are known, not whether they report.
+    if (job.spec.kind == JobKind::gang) return gangCapacity(*clusterState, partition, job);
+    std::uint32_t capacity = 0;
+    // Of a peer's machines only the records are known, not whether they heartbeat.
     const bool own = membership_.isLeader(partition);
-    const auto rivals = context_.isGuest(job) ? largestOfClasses(*clusterState) : Rivals();
+    const auto fragmentationGuard =
+        context_.isBestEffort(job) ? largestOfClasses(*clusterState) : FragmentationGuard();
     for (const auto* machine : clusterState->machinesOf(partition)) {
         if (machine->retired || (own && !takesWork(*machine)) || !mayUseLoan(job, *machine))
             continue;
@@ -54,18 +55,19 @@
             continue;
         Resources free = type->capacity;
         free -= machine->used;
-        const auto fits = fitsIn(job, free, most - room);
-        for (std::uint32_t i = 0; i < fits; ++i, free -= job.spec.each, ++room)
-            if (!rivals.empty() &&
-                placesClosed(rivals, *type, machine->zone, machine->spot, free, job).ofHosts > 0)
+        const auto fits = countThatFit(job, free, most - capacity);
+        for (std::uint32_t i = 0; i < fits; ++i, free -= job.spec.each, ++capacity)
+            if (!fragmentationGuard.empty() &&
+                slotsLost(fragmentationGuard, *type, machine->zone, machine->spot, free, job)
+                        .ofEntitled > 0)
                 break;
-        if (room >= most) break;
+        if (capacity >= most) break;
     }
-    return room;
+    return capacity;
 }
 
-std::uint32_t Placement::gangRoom(ClusterState& clusterState, std::uint32_t partition,
-                                  const Job& job) {
+std::uint32_t Placement::gangCapacity(ClusterState& clusterState, std::uint32_t partition,
+                                      const Job& job) {
     // All of it or nothing: a partition with room for some of its tasks is of no use to it.
     const bool own = membership_.isLeader(partition);
     std::map<std::string, std::uint32_t> zones;
@@ -77,9 +79,9 @@
         Resources free = type->capacity;
         free -= machine->used;
         if (context_.now() < machine->reservedUntil && machine->reservedFor != job.spec.id)
-            free -= machine->reservedRoom;
+            free -= machine->reservedCapacity;
         zones[job.spec.oneZone ? machine->zone : std::string()] +=
-            fitsIn(job, free, job.spec.tasks);
+            countThatFit(job, free, job.spec.tasks);
     }
     const bool fits = std::any_of(zones.begin(), zones.end(), [&](const auto& entry) {
         return entry.second >= job.spec.tasks;
@@ -87,7 +89,7 @@
     return fits ? job.spec.tasks : 0;
 }
 
-bool Placement::everFits(const Job& job, std::uint32_t partition) {
+bool Placement::isFeasible(const Job& job, std::uint32_t partition) {
     auto clusterState = context_.clusterState.lock();
     const auto& machines = clusterState->machinesOf(partition);
     return std::any_of(machines.begin(), machines.end(), [&](const Machine* machine) {
--- a/src/coordination/shares.cpp
+++ b/src/coordination/shares.cpp
@@ -8,18 +8,19 @@
 
 namespace fawnwheel::coordination {
 
-void Shares::askFor(std::uint32_t partition, const std::vector<Unplaced>& unplaced) {
+void QuotaExchange::askFor(std::uint32_t partition,
+                           const std::vector<UnschedulableWork>& unschedulable) {
     auto clusterState = context_.clusterState.lock();
-    for (const auto& entry : unplaced) {
-        if (!entry.overShare) continue;
+    for (const auto& entry : unschedulable) {
+        if (!entry.overQuota) continue;
         const Job* job = clusterState->job(entry.job);
         if (job == nullptr || !throttle_.due(entry.job, context_.now())) continue;
         for (std::uint32_t other = 0; other < context_.partitionCount(); ++other) {
             const auto& leader = clusterState->partitions[other].leader;
             if (other == partition || !clusterState->nodes.contains(leader)) continue;
-            const auto left = placement_.teamLeft(*clusterState, job->spec.team, other);
+            const auto left = placement_.remainingQuota(*clusterState, job->spec.team, other);
             if (left.cpus <= 0 && left.gpus <= 0) continue;
-            const protocol::ShareAsk ask{other, partition, entry.job};
+            const protocol::QuotaRequest ask{other, partition, entry.job};
             if (leader == context_.settings.name)
                 onAsk(leader, ask);
             else
@@ -31,7 +32,7 @@
     }
 }
 
-void Shares::onAsk(const std::string& peer, const protocol::ShareAsk& ask) {
+void QuotaExchange::onAsk(const std::string& peer, const protocol::QuotaRequest& ask) {
     auto clusterState = context_.clusterState.lock();
     const Job* job = clusterState->job(ask.job);
     const auto partitions = context_.partitionCount();
@@ -41,15 +42,15 @@
         !membership_.isLeader(ask.lender) || !membership_.leaseStands())
         return;
     const auto* team = context_.team(job->spec.team);
-    if (team == nullptr || clusterState->sharesLeaving.contains(team->name)) return;
+    if (team == nullptr || clusterState->outgoingQuotas.contains(team->name)) return;
     const std::uint32_t tasks =
-        job->spec.tasks - std::min(job->spec.tasks, job->doneTasks() + job->claimedTasks());
-    const auto theirs = placement_.teamLeft(*clusterState, team->name, ask.borrower);
-    const auto ours = placement_.teamLeft(*clusterState, team->name, ask.lender);
+        job->spec.tasks - std::min(job->spec.tasks, job->doneTasks() + job->allocatedTasks());
+    const auto theirs = placement_.remainingQuota(*clusterState, team->name, ask.borrower);
+    const auto ours = placement_.remainingQuota(*clusterState, team->name, ask.lender);
     const auto given = [tasks](double each, double has, double left) {
         return std::clamp(each * tasks - std::max(0.0, has), 0.0, std::max(0.0, left));
     };
-    bookkeeping::TeamShare moved;
+    bookkeeping::QuotaShare moved;
     if (team->cpusMax > 0) moved.cpus = given(job->spec.each.cpus, theirs.cpus, ours.cpus);
     if (team->gpusMax > 0) moved.gpus = given(job->spec.each.gpus, theirs.gpus, ours.gpus);
     // Work of this partition that comes earlier keeps its share.
@@ -58,49 +59,51 @@
             const Job& other = entry.second;
             return &other != job && other.partition == ask.lender &&
                    other.spec.team == team->name && clusterState->schedulable(other) &&
-                   other.claimedTasks() + other.doneTasks() < other.spec.tasks &&
+                   other.allocatedTasks() + other.doneTasks() < other.spec.tasks &&
                    placement_.before(other, *job);
         });
     if (needed || (moved.cpus <= 0 && moved.gpus <= 0)) return;
 
-    const auto share = begin(*clusterState, *team, ask.lender, ask.borrower, moved);
-    if (!share) return;
+    const auto quota = begin(*clusterState, *team, ask.lender, ask.borrower, moved);
+    if (!quota) return;
     spdlog::debug("share: of {} for job {}, {} CPUs, {} GPUs, part {} to {}", team->name, ask.job,
                   moved.cpus, moved.gpus, ask.lender, ask.borrower);
     pipeline_.commit(ask.lender,
-                     {{share->compare,
+                     {{quota->compare,
                        {bookkeeping::keys::partition(ask.borrower),
                         clusterState->partitions[ask.borrower].version}},
-                      {share->change}},
-                     [this, share = *share](CommitResult result, std::uint64_t revision) {
-                         settle(*context_.clusterState.lock(), share, result, revision);
+                      {quota->change}},
+                     [this, quota = *quota](CommitResult result, std::uint64_t revision) {
+                         settle(*context_.clusterState.lock(), quota, result, revision);
                      });
 }
 
-std::optional<Shares::QuotaTransfer> Shares::begin(ClusterState& clusterState,
-                                                   const app::Team& team, std::uint32_t from,
-                                                   std::uint32_t to, bookkeeping::TeamShare moved) {
-    if (clusterState.sharesLeaving.contains(team.name)) return std::nullopt;
-    std::map<std::uint32_t, bookkeeping::TeamShare> next;
+std::optional<QuotaExchange::QuotaTransfer> QuotaExchange::begin(ClusterState& clusterState,
+                                                                 const app::Team& team,
+                                                                 std::uint32_t from,
+                                                                 std::uint32_t to,
+                                                                 bookkeeping::QuotaShare moved) {
+    if (clusterState.outgoingQuotas.contains(team.name)) return std::nullopt;
+    std::map<std::uint32_t, bookkeeping::QuotaShare> next;
     for (std::uint32_t partition = 0; partition < context_.partitionCount(); ++partition)
-        next[partition] = placement_.shareOf(clusterState, team, partition);
+        next[partition] = placement_.quotaShareOf(clusterState, team, partition);
     next[from].cpus -= moved.cpus;
     next[from].gpus -= moved.gpus;
     next[to].cpus += moved.cpus;
     next[to].gpus += moved.gpus;
-    clusterState.sharesLeaving[team.name] = {from, moved};
+    clusterState.outgoingQuotas[team.name] = {from, moved};
     const auto key = bookkeeping::keys::quota(team.name);
     return QuotaTransfer{team.name,
-                         {key, clusterState.shareVersions[team.name]},
-                         {key, bookkeeping::shareValue(next), 0}};
+                         {key, clusterState.quotaVersions[team.name]},
+                         {key, bookkeeping::quotaValue(next), 0}};
 }
 
-void Shares::settle(ClusterState& clusterState, const QuotaTransfer& change, CommitResult result,
-                    std::uint64_t revision) {
+void QuotaExchange::settle(ClusterState& clusterState, const QuotaTransfer& change,
+                           CommitResult result, std::uint64_t revision) {
     if (result == CommitResult::done)
         bookkeeping::applyEvent(clusterState, {change.change.key, change.change.value, revision},
                                 context_.now());
-    clusterState.sharesLeaving.erase(change.team);
+    clusterState.outgoingQuotas.erase(change.team);
 }
 
 }  // namespace fawnwheel::coordination
--- a/src/coordination/shares.h
+++ b/src/coordination/shares.h
@@ -1,6 +1,6 @@
-// Moves shares of a team's limit between partitions. The shares always add up to the limit: the
-// partition that gives reduces its own before the change is sent, the one that gets uses it once it
-// is recorded.
+// Moves quota shares of a team's limit between partitions. The shares always add up to the limit:
+// the partition that gives reduces its own before the change is sent, the one that gets uses it
+// once it is recorded.
 #pragma once
 
 #include "coordination/committer.h"
@@ -9,28 +9,29 @@
 
 namespace fawnwheel::coordination {
 
-class Shares {
+class QuotaExchange {
   public:
-    Shares(Context& context, Membership& membership, TransactionPipeline& pipeline,
-           Placement& placement)
+    QuotaExchange(Context& context, Membership& membership, TransactionPipeline& pipeline,
+                  Placement& placement)
         : context_(context), membership_(membership), pipeline_(pipeline), placement_(placement) {}
 
     // Asks peers for what only the partition's share keeps from starting.
-    void askFor(std::uint32_t partition, const std::vector<Unplaced>& unplaced);
-    void onAsk(const std::string& peer, const protocol::ShareAsk& ask);
+    void askFor(std::uint32_t partition, const std::vector<UnschedulableWork>& unschedulable);
+    void onAsk(const std::string& peer, const protocol::QuotaRequest& ask);
 
-    // A change of a team's shares, to be carried out in some transaction of the giving partition.
+    // A change of a team's quota shares, to be carried out in some transaction of the giving
+    // partition.
     struct QuotaTransfer {
         std::string team;
         protocol::Compare compare;
         protocol::Write change;
     };
     // From now on the giving partition does not use what is moved, whatever becomes of the change;
-    // none: another change of the team's shares has no outcome yet.
+    // none: another change of the team's quota shares has no outcome yet.
     [[nodiscard]] std::optional<QuotaTransfer> begin(ClusterState& clusterState,
                                                      const app::Team& team, std::uint32_t from,
                                                      std::uint32_t to,
-                                                     bookkeeping::TeamShare moved);
+                                                     bookkeeping::QuotaShare moved);
     // The transaction has its outcome.
     void settle(ClusterState& clusterState, const QuotaTransfer& change, CommitResult result,
                 std::uint64_t revision);
--- a/src/coordination/slice_writer.cpp
+++ b/src/coordination/slice_writer.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr std::size_t maxBytes = std::size_t{40} * 1024;  // of the 64 KiB a transaction may have
-constexpr std::size_t bytesPerClaim = 56;
+constexpr std::size_t bytesPerAllocation = 56;
 constexpr std::size_t leastChanges = 2;  // the end of a job drops one record and writes another
 constexpr std::size_t leastValueBytes = 512;
 
@@ -28,10 +28,12 @@
     return cuts;
 }
 
-bool contains(const bookkeeping::SliceContent& content, const Claim& claim) {
-    return std::any_of(content.claims.begin(), content.claims.end(), [&claim](const Claim& other) {
-        return other.task == claim.task && other.attempt == claim.attempt;
-    });
+bool contains(const bookkeeping::SliceContent& content, const Allocation& allocation) {
+    return std::any_of(content.allocations.begin(), content.allocations.end(),
+                       [&allocation](const Allocation& other) {
+                           return other.task == allocation.task &&
+                                  other.attempt == allocation.attempt;
+                       });
 }
 
 }  // namespace
@@ -47,7 +49,7 @@
     while (!open.empty()) {
         const auto range = open.back();
         open.pop_back();
-        if (range.count * bytesPerClaim + bytesPerChange < mostValueBytes_ || range.count < 2)
+        if (range.count * bytesPerAllocation + bytesPerChange < mostValueBytes_ || range.count < 2)
             continue;
         const auto pieces = bookkeeping::cutSlice(slice, cutsAround(slice, {range}), 0);
         const auto& piece = range.first == slice.first ? pieces.front() : pieces[1];
@@ -77,7 +79,7 @@
     const auto pieces = bookkeeping::cutSlice(slice, written.cuts, written.nextIndex);
     if (writes.size() + pieces.size() > mostChanges_ && !writes.empty()) return false;
     added += static_cast<std::uint32_t>(pieces.size() - 1);
-    // The job's version fails a claim made while a user cancels the job.
+    // The job's version fails an allocation made while a user cancels the job.
     if (batch.jobs.insert(job.spec.id).second)
         compares.push_back({bookkeeping::keys::job(job.spec.id), job.version});
     for (auto piece : pieces) {
@@ -87,7 +89,7 @@
         written.writes.push_back({key, bookkeeping::sliceValue(piece), 0});
         writes.push_back(written.writes.back());
     }
-    batch.bytes += bytesPerChange * pieces.size() + bytesPerClaim * slice.claims.size();
+    batch.bytes += bytesPerChange * pieces.size() + bytesPerAllocation * slice.allocations.size();
     batch.slices.push_back(std::move(written));
     return true;
 }
@@ -120,11 +122,11 @@
         piece.dirty = value != bookkeeping::sliceValue(piece);
         piece.dirtySince.reset();
         auto recorded = bookkeeping::readSlice(job, piece.index, value);
-        for (auto& claim : piece.claims)
-            // Only what this transaction carried; a later claim waits for the next.
-            if (!claim.durable && recorded && contains(*recorded, claim)) {
-                claim.durable = true;
-                machines.insert(claim.machine);
+        for (auto& allocation : piece.allocations)
+            // Only what this transaction carried; a later allocation waits for the next.
+            if (!allocation.durable && recorded && contains(*recorded, allocation)) {
+                allocation.durable = true;
+                machines.insert(allocation.machine);
             }
         piece.recorded = {};
         if (piece.dirty && recorded) piece.recorded = std::move(*recorded);
@@ -139,15 +141,15 @@
     }
 }
 
-void SliceWriter::undoClaims(ClusterState& clusterState, const WrittenSlice& written) {
+void SliceWriter::undoAllocations(ClusterState& clusterState, const WrittenSlice& written) {
     // What did not become durable was never sent: forget it and decide anew.
     Job& job = *clusterState.job(written.job);
     Slice& slice = job.sliceAt(written.index);
     std::vector<std::uint32_t> undone;
-    for (const auto& claim : slice.claims)
+    for (const auto& allocation : slice.allocations)
         // But one that was found running: a second place for its task would let it run twice.
-        if (!claim.durable && !claim.seen) undone.push_back(claim.task);
-    for (const auto task : undone) clusterState.removeClaim(job, slice, task);
+        if (!allocation.durable && !allocation.seen) undone.push_back(allocation.task);
+    for (const auto task : undone) clusterState.removeAllocation(job, slice, task);
 }
 
 void SliceWriter::onRejected(std::uint32_t partition, std::size_t writes) {
@@ -167,7 +169,7 @@
         if (result == CommitResult::done)
             finishSlice(clusterState, batch, written, revision, machines);
         else if (batch.generation == clusterState.generation)
-            undoClaims(clusterState, written);
+            undoAllocations(clusterState, written);
     }
     return machines;
 }
--- a/src/coordination/slice_writer.h
+++ b/src/coordination/slice_writer.h
@@ -47,7 +47,7 @@
 
     // Whether there was room for it.
     bool add(SliceBatch& batch, Job& job, const Slice& slice, LeavingTasks leaving = {});
-    // The machines on which claims have become durable.
+    // The machines on which allocations have become durable.
     std::set<std::string> finish(ClusterState& clusterState, const SliceBatch& batch,
                                  CommitResult result, std::uint64_t revision) const;
     // The state service has rejected so many changes: its limits are lower than announced. Divided
@@ -65,7 +65,7 @@
     void finishSlice(ClusterState& clusterState, const SliceBatch& batch,
                      const WrittenSlice& written, std::uint64_t revision,
                      std::set<std::string>& machines) const;
-    static void undoClaims(ClusterState& clusterState, const WrittenSlice& written);
+    static void undoAllocations(ClusterState& clusterState, const WrittenSlice& written);
 
     Context& context_;
     std::size_t mostChanges_;
--- a/src/coordination/standby.cpp
+++ b/src/coordination/standby.cpp
@@ -16,7 +16,7 @@
 }  // namespace
 
 void Fleet::recordClasses(ClusterState& clusterState) {
-    // A class most of whose jobs have aims that leave no time to boot a machine and fetch the
+    // A class most of whose jobs have objectives that leave no time to boot a machine and fetch the
     // image needs machines that stand ready between its jobs.
     for (auto& [id, job] : clusterState.jobs) {
         const auto& spec = job.spec;
@@ -44,7 +44,7 @@
     }
 }
 
-void Fleet::noteGuaranteed(const ClusterState& clusterState) {
+void Fleet::recordGuaranteed(const ClusterState& clusterState) {
     guaranteed_ = {};
     for (const auto& team : context_.settings.teams) {
         guaranteed_.cpus += team.cpus;
--- a/src/coordination/takeover.cpp
+++ b/src/coordination/takeover.cpp
@@ -14,7 +14,7 @@
 using namespace std::chrono_literals;
 
 constexpr auto retryPause = 300ms;  // after a refusal
-constexpr auto rankPause = 1s;      // between successors in line
+constexpr auto rankPause = 1s;      // between dependents in line
 constexpr auto handBackAfter = 2s;  // the preferred leader must have been back this long
 
 }  // namespace
@@ -133,7 +133,7 @@
         return;
     }
     const auto since = leaderlessSince_.try_emplace(partition, now).first->second;
-    // Successors stand in line from the partition's preferred leader on; whoever hears no workers
+    // Dependents stand in line from the partition's preferred leader on; whoever hears no workers
     // comes after all others.
     auto rank = (context_.preferredPartition + context_.partitionCount() - partition) %
                 context_.partitionCount();
--- a/src/coordination/triggers.cpp
+++ b/src/coordination/triggers.cpp
@@ -17,10 +17,10 @@
 
 }  // namespace
 
-bool Triggers::concerns(ClusterState& clusterState, const std::string& predecessor,
-                        const Partitions& partitions) {
-    const auto& successors = clusterState.dependencies.successors(predecessor);
-    return std::any_of(successors.begin(), successors.end(), [&](const std::string& id) {
+bool CompletionNotifier::concerns(ClusterState& clusterState, const std::string& dependency,
+                                  const Partitions& partitions) {
+    const auto& dependents = clusterState.dependencyGraph.dependents(dependency);
+    return std::any_of(dependents.begin(), dependents.end(), [&](const std::string& id) {
         const Job* job = clusterState.job(id);
         if (job == nullptr || job->cancelled) return false;
         return partitions.contains(job->partition) ||
@@ -31,19 +31,19 @@
     });
 }
 
-Triggers::Partitions Triggers::ledPartitions() {
+CompletionNotifier::Partitions CompletionNotifier::ledPartitions() {
     const auto partitions = membership_.ledPartitions();
     return {partitions.begin(), partitions.end()};
 }
 
-void Triggers::review() {
+void CompletionNotifier::review() {
     const auto now = context_.now();
     std::erase_if(notBefore_, [now](const auto& entry) { return entry.second <= now; });
     std::vector<std::string> wanted;
     const auto partitions = ledPartitions();
     {
         auto clusterState = context_.clusterState.lock();
-        for (const auto& id : clusterState->dependencies.unresolved()) {
+        for (const auto& id : clusterState->dependencyGraph.unresolved()) {
             if (reading_.size() + wanted.size() >= mostReads) break;
             if (!reading_.contains(id) && !notBefore_.contains(id) &&
                 concerns(*clusterState, id, partitions))
@@ -53,34 +53,34 @@
     for (const auto& id : wanted) read(id);
 }
 
-void Triggers::read(const std::string& predecessor) {
-    reading_.insert(predecessor);
+void CompletionNotifier::read(const std::string& dependency) {
+    reading_.insert(dependency);
     context_.state.read(
-        bookkeeping::keys::terminal(predecessor),
-        [this, predecessor](const protocol::ReadResponse& answer) {
-            reading_.erase(predecessor);
+        bookkeeping::keys::terminal(dependency),
+        [this, dependency](const protocol::ReadResponse& answer) {
+            reading_.erase(dependency);
             if (answer.result != protocol::StateResult::ok || answer.items.empty()) {
                 // Without a record the message was early, or the cluster state lags; it is asked
                 // again.
-                notBefore_[predecessor] = context_.now() + context_.jittered(pauseAfterFailure);
+                notBefore_[dependency] = context_.now() + context_.jittered(pauseAfterFailure);
                 return;
             }
             const auto state = bookkeeping::readTerminal(answer.items.front().value);
-            spdlog::debug("job {}: read to be {}", predecessor,
+            spdlog::debug("job {}: read to be {}", dependency,
                           state.cancelled ? "cancelled" : "done");
-            context_.clusterState.lock()->dependencies.recordTerminal(predecessor, state);
+            context_.clusterState.lock()->dependencyGraph.recordTerminal(dependency, state);
             onRead();
         },
         protocol::RequestPriority::userRequest);
 }
 
-void Triggers::announce(const std::string& job) {
+void CompletionNotifier::announce(const std::string& job) {
     std::set<std::string> leaders;
     {
         auto clusterState = context_.clusterState.lock();
-        for (const auto& id : clusterState->dependencies.successors(job))
-            if (const Job* successor = clusterState->job(id))
-                leaders.insert(clusterState->partitions[successor->partition].leader);
+        for (const auto& id : clusterState->dependencyGraph.dependents(job))
+            if (const Job* dependent = clusterState->job(id))
+                leaders.insert(clusterState->partitions[dependent->partition].leader);
     }
     for (const auto& leader : leaders)
         if (leader != context_.settings.name && !leader.empty())
@@ -88,10 +88,10 @@
                 leader, protocol::encodePeer({context_.settings.name, protocol::JobEnded{job}}));
 }
 
-void Triggers::onEnded(const protocol::JobEnded& message) {
+void CompletionNotifier::onEnded(const protocol::JobEnded& message) {
     {
         auto clusterState = context_.clusterState.lock();
-        if (clusterState->dependencies.isTerminalKnown(message.job) ||
+        if (clusterState->dependencyGraph.isTerminalKnown(message.job) ||
             reading_.contains(message.job) || reading_.size() >= mostReads ||
             !concerns(*clusterState, message.job, ledPartitions()))
             return;
--- a/src/coordination/triggers.h
+++ b/src/coordination/triggers.h
@@ -1,4 +1,4 @@
-// The trigger of a dependent job: its predecessors' ends, told by their leaders and proved by their
+// The trigger of a dependent job: its dependencies' ends, told by their leaders and proved by their
 // terminal records.
 //
 // A message about an end only saves time. A job is released by terminal records that were read here
@@ -12,9 +12,9 @@
 
 namespace fawnwheel::coordination {
 
-class Triggers {
+class CompletionNotifier {
   public:
-    Triggers(Context& context, Membership& membership)
+    CompletionNotifier(Context& context, Membership& membership)
         : context_(context), membership_(membership) {}
 
     // Reads the terminal records that jobs of our partitions wait for.
@@ -30,10 +30,10 @@
     using Partitions = std::set<std::uint32_t>;
 
     // Whether a job that waits for it has its home or a slice in one of these partitions.
-    [[nodiscard]] static bool concerns(ClusterState& clusterState, const std::string& predecessor,
+    [[nodiscard]] static bool concerns(ClusterState& clusterState, const std::string& dependency,
                                        const Partitions& partitions);
     [[nodiscard]] Partitions ledPartitions();
-    void read(const std::string& predecessor);
+    void read(const std::string& dependency);
 
     Context& context_;
     Membership& membership_;
--- a/src/coordination/worker_contact.cpp
+++ b/src/coordination/worker_contact.cpp
@@ -15,10 +15,10 @@
 constexpr std::size_t inspectedAtOnce = 3;
 constexpr int roundsToLose = 2;
 constexpr auto inspectTimeout = 1s;
-// Reports of many workers come at random moments: a gap of so many mean intervals is no chance.
+// Heartbeats of many workers come at random moments: a gap of so many mean intervals is no chance.
 constexpr double unlikelyGaps = 20;
-constexpr double leastReportPeriods = 0.5;
-constexpr double mostReportPeriods = 2.5;
+constexpr double minHeartbeatIntervals = 0.5;
+constexpr double maxHeartbeatIntervals = 2.5;
 constexpr Duration leastSilence = 3s;
 constexpr auto steadyAfter = 4s;
 // Those that were inspected may be gone rather than cut off: contact is then taken to be back.
@@ -26,17 +26,17 @@
 
 }  // namespace
 
-bool WorkerContact::steady() const {
+bool WorkerReachability::steady() const {
     return !lost_ && (!regained_ || context_.now() - *regained_ >= steadyAfter);
 }
 
-void WorkerContact::noteHeard() {
+void WorkerReachability::recordContact() {
     heard_ = context_.now();
     silentRounds_ = 0;
     if (lost_) setLost(false);
 }
 
-void WorkerContact::setLost(bool lost) {
+void WorkerReachability::setLost(bool lost) {
     if (lost_ == lost) return;
     lost_ = lost;
     if (lost)
@@ -47,22 +47,24 @@
     onChange();
 }
 
-std::optional<Duration> WorkerContact::longestSilence(
+std::optional<Duration> WorkerReachability::longestSilence(
     const std::vector<std::uint32_t>& partitions) {
     std::size_t machines = 0;
     auto clusterState = context_.clusterState.lock();
     for (const auto partition : partitions)
         for (const auto* machine : clusterState->machinesOf(partition))
-            if (!machine->retired && (machine->lastReport || !machine->claims.empty())) ++machines;
+            if (!machine->retired && (machine->lastHeartbeat || !machine->allocations.empty()))
+                ++machines;
     if (machines == 0) return std::nullopt;
-    const auto period = context_.settings.report;
+    const auto period = context_.settings.heartbeatInterval;
     const Seconds unlikely = period * unlikelyGaps / static_cast<double>(machines);
-    const auto silence =
-        std::clamp<Seconds>(unlikely, period * leastReportPeriods, period * mostReportPeriods);
+    const auto silence = std::clamp<Seconds>(unlikely, period * minHeartbeatIntervals,
+                                             period * maxHeartbeatIntervals);
     return std::max(leastSilence, ticks(silence));
 }
 
-std::vector<std::string> WorkerContact::addressesOf(const std::vector<std::uint32_t>& partitions) {
+std::vector<std::string> WorkerReachability::addressesOf(
+    const std::vector<std::uint32_t>& partitions) {
     std::vector<std::string> addresses;
     auto clusterState = context_.clusterState.lock();
     for (const auto partition : partitions)
@@ -73,14 +75,14 @@
     return addresses;
 }
 
-void WorkerContact::review(const std::vector<std::uint32_t>& partitions) {
+void WorkerReachability::review(const std::vector<std::uint32_t>& partitions) {
     if (open_ > 0) return;
     if (!lost_) {
         const auto silence = longestSilence(partitions);
         if (!silence || context_.now() - heard_ <= *silence) return;
         return inspect(addressesOf(partitions));
     }
-    if (context_.now() - lostSince_ > presumedBack) return noteHeard();
+    if (context_.now() - lostSince_ > presumedBack) return recordContact();
     auto addresses = addressesOf(partitions);
     // Its partitions are with peers now: the machines of the partition that it owns by preference
     // will do.
@@ -88,7 +90,7 @@
     inspect(addresses);
 }
 
-void WorkerContact::inspect(const std::vector<std::string>& addresses) {
+void WorkerReachability::inspect(const std::vector<std::string>& addresses) {
     // A single machine may just be dead. To give its partition to a peer does no harm then: if it
     // is alive it is heard there, and else the peer finds out as well.
     const auto count = std::min(addresses.size(), inspectedAtOnce);
@@ -103,8 +105,8 @@
                               });
 }
 
-void WorkerContact::finishRound() {
-    if (answered_) return noteHeard();
+void WorkerReachability::finishRound() {
+    if (answered_) return recordContact();
     if (!lost_ && ++silentRounds_ >= roundsToLose) setLost(true);
 }
 
--- a/src/coordination/worker_contact.h
+++ b/src/coordination/worker_contact.h
@@ -14,14 +14,14 @@
 
 namespace fawnwheel::coordination {
 
-class WorkerContact {
+class WorkerReachability {
   public:
-    explicit WorkerContact(Context& context) : context_(context), heard_(context.now()) {}
+    explicit WorkerReachability(Context& context) : context_(context), heard_(context.now()) {}
 
-    // A report has arrived, from any worker.
-    void noteReport() { noteHeard(); }
+    // A heartbeat has arrived, from any worker.
+    void onHeartbeat() { recordContact(); }
     // Partitions have come to this process: their workers need time to find it.
-    void expectReports() { heard_ = std::max(heard_, context_.now()); }
+    void expectHeartbeats() { heard_ = std::max(heard_, context_.now()); }
     // To be called periodically, with the partitions that this process acts for.
     void review(const std::vector<std::uint32_t>& partitions);
 
@@ -34,10 +34,10 @@
     std::function<void()> onChange = [] {};
 
   private:
-    void noteHeard();
+    void recordContact();
     void setLost(bool lost);
     // How long all workers of the partitions may be silent before some of them are inspected; none:
-    // no worker is expected to report.
+    // no worker is expected to heartbeat.
     [[nodiscard]] std::optional<Duration> longestSilence(
         const std::vector<std::uint32_t>& partitions);
     // Addresses of machines of these partitions, in random order.
--- a/src/protocol/cbor.cpp
+++ b/src/protocol/cbor.cpp
@@ -6,7 +6,7 @@
 
 constexpr std::size_t maxDepth = 32;
 
-// The library parses containers recursively, so a body of nothing but opening bytes could
+// The library parses containers recursively, so a body of nothing but machine capacity bytes could
 // exhaust the stack. This bounds the nesting before the library sees it.
 bool depthBounded(const std::string& bytes) {
     struct Open {
--- a/src/protocol/messages.cpp
+++ b/src/protocol/messages.cpp
@@ -38,7 +38,7 @@
                             Word<ExitCause>{wire::causePeers, ExitCause::peersGone},
                             Word<ExitCause>{wire::causeAlone, ExitCause::alone},
                             Word<ExitCause>{wire::causeError, ExitCause::error},
-                            Word<ExitCause>{wire::causeNoRoom, ExitCause::noRoom},
+                            Word<ExitCause>{wire::causeNoCapacity, ExitCause::noCapacity},
                             Word<ExitCause>{wire::causeBusy, ExitCause::busy},
                             Word<ExitCause>{wire::causeUnknown, ExitCause::unknown}};
 
@@ -133,16 +133,16 @@
 namespace {
 
 void readPredecessors(FieldReader& read, JobSpec& spec) {
-    const Json* list = read.find(wire::predecessors);
+    const Json* list = read.find(wire::dependencies);
     if (list == nullptr) return;
-    if (!list->is_array()) return read.fail(wire::predecessors);
+    if (!list->is_array()) return read.fail(wire::dependencies);
     std::set<std::string> named;
     for (const auto& entry : *list) {
         if (!entry.is_string() || !validJobId(entry.get_ref<const std::string&>()) ||
             entry.get_ref<const std::string&>() == spec.id)
-            return read.fail(wire::predecessors);
+            return read.fail(wire::dependencies);
         if (named.insert(entry.get<std::string>()).second)
-            spec.predecessors.push_back(entry.get<std::string>());
+            spec.dependencies.push_back(entry.get<std::string>());
     }
 }
 
@@ -178,8 +178,8 @@
     spec.spread = read.flag(wire::spread);
     spec.spot = read.flag(wire::spot);
     spec.estimate = Seconds(read.amount(wire::estimate));
-    spec.checkpoint = Seconds(read.amount(wire::checkpoint));
-    spec.save = Seconds(read.amount(wire::save));
+    spec.checkpointInterval = Seconds(read.amount(wire::checkpointInterval));
+    spec.checkpointDuration = Seconds(read.amount(wire::checkpointDuration));
     if (read.find(wire::deadline) != nullptr) spec.deadline = Seconds(read.amount(wire::deadline));
     readPredecessors(read, spec);
     if (!read.error().empty()) return read.error();
@@ -202,42 +202,43 @@
              {wire::spread, spec.spread},
              {wire::spot, spec.spot},
              {wire::estimate, spec.estimate.count()},
-             {wire::checkpoint, spec.checkpoint.count()},
-             {wire::save, spec.save.count()}};
+             {wire::checkpointInterval, spec.checkpointInterval.count()},
+             {wire::checkpointDuration, spec.checkpointDuration.count()}};
     if (spec.types) out[wire::types] = *spec.types;
     if (spec.zone) out[wire::zone] = *spec.zone;
     if (spec.deadline) out[wire::deadline] = spec.deadline->count();
-    if (!spec.predecessors.empty()) out[wire::predecessors] = spec.predecessors;
+    if (!spec.dependencies.empty()) out[wire::dependencies] = spec.dependencies;
     return out;
 }
 
-std::optional<WorkerReport> parseWorkerReport(const Json& body) {
+std::optional<Heartbeat> parseHeartbeat(const Json& body) {
     if (!body.is_object()) return std::nullopt;
-    WorkerReport report;
-    report.machine = textOf(body, wire::machine);
-    report.address = textOf(body, wire::address);
-    report.type = textOf(body, wire::type);
-    report.zone = textOf(body, wire::zone);
-    report.spot = flagOf(body, wire::spot);
-    report.session = countOf(body, wire::session);
-    report.sequence = countOf(body, wire::sequence);
-    report.fencingToken = countOf(body, wire::fencingToken);
-    const auto notice = body.find(wire::notice);
-    if (notice != body.end() && notice->is_number()) report.notice = Seconds(notice->get<double>());
+    Heartbeat heartbeat;
+    heartbeat.machine = textOf(body, wire::machine);
+    heartbeat.address = textOf(body, wire::address);
+    heartbeat.type = textOf(body, wire::type);
+    heartbeat.zone = textOf(body, wire::zone);
+    heartbeat.spot = flagOf(body, wire::spot);
+    heartbeat.agentEpoch = countOf(body, wire::agentEpoch);
+    heartbeat.sequence = countOf(body, wire::sequence);
+    heartbeat.fencingToken = countOf(body, wire::fencingToken);
+    const auto interruptionNotice = body.find(wire::interruptionNotice);
+    if (interruptionNotice != body.end() && interruptionNotice->is_number())
+        heartbeat.interruptionNotice = Seconds(interruptionNotice->get<double>());
     for (const auto& entry : listOf(body, wire::tasks)) {
-        TaskReport task;
+        TaskStatus task;
         if (!splitTask(textOf(entry, wire::task), task.job, task.index)) return std::nullopt;
         task.attempt = countOf(entry, wire::attempt);
         // A state we don't know must not count as an exit: taken as running.
         lookUp(taskStates, textOf(entry, wire::state), task.state);
         lookUp(causes, textOf(entry, wire::cause), task.cause);
         task.saved = flagOf(entry, wire::saved);
-        report.tasks.push_back(std::move(task));
+        heartbeat.tasks.push_back(std::move(task));
     }
-    if (report.machine.empty() || report.machine.size() > maxText ||
-        report.machine.find_first_of(" /") != std::string::npos || report.session == 0)
+    if (heartbeat.machine.empty() || heartbeat.machine.size() > maxText ||
+        heartbeat.machine.find_first_of(" /") != std::string::npos || heartbeat.agentEpoch == 0)
         return std::nullopt;
-    return report;
+    return heartbeat;
 }
 
 Json encodeCommands(std::uint64_t fencingToken, const std::vector<Command>& commands) {
@@ -255,9 +256,9 @@
     return {{wire::fencingToken, fencingToken}, {wire::commands, std::move(list)}};
 }
 
-Json encodeReportTo(const std::string& node) {
+Json encodeRedirect(const std::string& node) {
     Json out = Json::object();
-    if (!node.empty()) out[wire::reportTo] = node;
+    if (!node.empty()) out[wire::redirectTo] = node;
     return out;
 }
 
--- a/src/protocol/messages.h
+++ b/src/protocol/messages.h
@@ -33,9 +33,9 @@
         memory -= other.memory;
         return *this;
     }
-    [[nodiscard]] bool fits(const Resources& room) const {
-        return cpus <= room.cpus + slack && gpus <= room.gpus + slack &&
-               memory <= room.memory + slack;
+    [[nodiscard]] bool fits(const Resources& capacity) const {
+        return cpus <= capacity.cpus + slack && gpus <= capacity.gpus + slack &&
+               memory <= capacity.memory + slack;
     }
 
     static constexpr double slack = 1e-9;  // sums of decimal amounts
@@ -57,10 +57,10 @@
     bool spread = false;
     bool spot = false;
     Seconds estimate{};
-    Seconds checkpoint{};
-    Seconds save{};
+    Seconds checkpointInterval{};
+    Seconds checkpointDuration{};
     std::optional<Seconds> deadline;
-    std::vector<std::string> predecessors;  // jobs that have to be done first, each named once
+    std::vector<std::string> dependencies;  // jobs that have to be done first, each named once
 };
 
 // The description, or what is wrong with it.
@@ -69,9 +69,9 @@
 bool validJobId(const std::string& id);
 
 enum class TaskState { fetching, waiting, running, saving, exited };
-enum class ExitCause { done, stopped, peersGone, alone, error, noRoom, busy, unknown };
+enum class ExitCause { done, stopped, peersGone, alone, error, noCapacity, busy, unknown };
 
-struct TaskReport {
+struct TaskStatus {
     std::string job;
     std::uint32_t index = 0;
     std::uint64_t attempt = 0;
@@ -80,20 +80,20 @@
     bool saved = false;
 };
 
-struct WorkerReport {
+struct Heartbeat {
     std::string machine;
     std::string address;
     std::string type;
     std::string zone;
     bool spot = false;
-    std::uint64_t session = 0;
+    std::uint64_t agentEpoch = 0;
     std::uint64_t sequence = 0;
     std::uint64_t fencingToken = 0;
-    std::optional<Seconds> notice;
-    std::vector<TaskReport> tasks;
+    std::optional<Seconds> interruptionNotice;
+    std::vector<TaskStatus> tasks;
 };
 
-std::optional<WorkerReport> parseWorkerReport(const Json& body);
+std::optional<Heartbeat> parseHeartbeat(const Json& body);
 
 enum class CommandKind { start, stop, forget };
 
@@ -106,7 +106,7 @@
 };
 
 Json encodeCommands(std::uint64_t fencingToken, const std::vector<Command>& commands);
-Json encodeReportTo(const std::string& node);  // empty: names nobody
+Json encodeRedirect(const std::string& node);  // empty: names nobody
 Json encodeJobState(const std::string& id, const char* state);
 Json encodeJobState(const std::string& id, const char* state, std::uint32_t done,
                     std::uint32_t running);
--- a/src/protocol/peer_codec.cpp
+++ b/src/protocol/peer_codec.cpp
@@ -38,7 +38,7 @@
     void operator()(bool& v) { v = in.flag(); }
     void operator()(std::string& v) { v = in.text(); }
     void operator()(std::vector<std::string>& v) {
-        // Grows only with what the frame holds, whatever number it claims.
+        // Grows only with what the frame holds, whatever number it allocations.
         for (auto left = in.number(); left > 0 && in.ok(); --left) v.push_back(in.text());
     }
     void operator()(std::vector<std::uint64_t>& v) {
@@ -97,7 +97,7 @@
 }
 
 template <typename Visit>
-void fields(ShareAsk& m, Visit visit) {
+void fields(QuotaRequest& m, Visit visit) {
     visit(m.lender);
     visit(m.borrower);
     visit(m.job);
@@ -123,7 +123,7 @@
 }
 
 template <typename Visit>
-void fields(DemandReport& m, Visit visit) {
+void fields(DemandUpdate& m, Visit visit) {
     visit(m.partition);
     visit(m.demands);
 }
@@ -194,7 +194,7 @@
     out.text(envelope.sender);
     PeerMessage message = envelope.message;
     std::visit([&out](auto& m) { fields(m, Write{out}); }, message);
-    return out.take();
+    return out.finish();
 }
 
 std::optional<PeerEnvelope> decodePeer(std::string_view frame) {
--- a/src/protocol/peer_codec.h
+++ b/src/protocol/peer_codec.h
@@ -16,7 +16,7 @@
     void number(std::uint64_t value);
     void flag(bool value) { number(value ? 1 : 0); }
     void text(std::string_view value);
-    [[nodiscard]] std::string take() { return std::move(out_); }
+    [[nodiscard]] std::string finish() { return std::move(out_); }
 
   private:
     std::string out_;
@@ -90,7 +90,7 @@
 };
 
 // "Give my partition of what your partition does not use of its team's limit, for this job."
-struct ShareAsk {
+struct QuotaRequest {
     std::uint32_t lender = 0;  // partitions
     std::uint32_t borrower = 0;
     std::string job;
@@ -119,7 +119,7 @@
 // "My partition lacks machines for this much", sent every round of planning, also when it lacks
 // nothing: a partition that says nothing is given nothing. Unknown to versions without machine
 // sharing.
-struct DemandReport {
+struct DemandUpdate {
     std::uint32_t partition = 0;
     std::vector<DemandEntry> demands;
 };
@@ -134,8 +134,8 @@
 };
 
 // A message's place in this list is its kind on the wire: new ones come last.
-using PeerMessage = std::variant<PeerHeartbeat, MoveAsk, MoveAnswer, NoCapacity, LoanAsk, ShareAsk,
-                                 JobEnded, DemandReport, LeaderHeartbeat>;
+using PeerMessage = std::variant<PeerHeartbeat, MoveAsk, MoveAnswer, NoCapacity, LoanAsk,
+                                 QuotaRequest, JobEnded, DemandUpdate, LeaderHeartbeat>;
 
 struct PeerEnvelope {
     std::string sender;
--- a/src/protocol/state_client.cpp
+++ b/src/protocol/state_client.cpp
@@ -121,8 +121,8 @@
                 late.done(transport::HttpResponse{503, {}, 0});
                 continue;
             }
-            requests_.take(1);
-            writes_.take(call.writes);
+            requests_.consume(1);
+            writes_.consume(call.writes);
             Call ready = std::move(call);
             queue.pop_front();
             send(std::move(ready));
--- a/src/protocol/state_client.h
+++ b/src/protocol/state_client.h
@@ -88,19 +88,19 @@
   public:
     AdaptiveRateLimiter(double limit, double nodes)
         : least_(limit / nodes / 2),
-          even_(limit / nodes * shareOfLimit),
+          even_(limit / nodes * fractionOfLimit),
           most_(limit * mostOfLimit),
           rate_(even_) {}
 
     void fill(double seconds, bool waiting);
     // A call larger than what gathers in a second is sent on credit.
     [[nodiscard]] bool allows(double amount) const { return tokens_ >= std::min(amount, rate_); }
-    void take(double amount) { tokens_ -= amount; }
+    void consume(double amount) { tokens_ -= amount; }
     void refused();
     [[nodiscard]] double rate() const { return rate_; }
 
   private:
-    static constexpr double shareOfLimit = 0.92;
+    static constexpr double fractionOfLimit = 0.92;
     static constexpr double mostOfLimit = 0.6;
 
     double least_;
--- a/src/sharing/handover.cpp
+++ b/src/sharing/handover.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-using bookkeeping::Claim;
+using bookkeeping::Allocation;
 using bookkeeping::ClusterState;
 using bookkeeping::Job;
 using bookkeeping::Machine;
@@ -20,33 +20,34 @@
                                  const HandoverRules& rules) {
     if (machine.partition != rules.partition) return Refusal::notOurs;
     if (machine.version == 0) return Refusal::notRecorded;
-    if (machine.retired || machine.emptying || machine.noticeEnds || machine.notBefore > rules.now)
+    if (machine.retired || machine.emptying || machine.interruptionAt ||
+        machine.notBefore > rules.now)
         return Refusal::leaving;
     if (machine.transferring || machine.departedTo) return Refusal::transferring;
     if (machine.lender) return Refusal::onLoan;
     if (keptForOthers(clusterState, machine, rules.taker, rules.now)) return Refusal::reserved;
-    if (!machine.acknowledged() || !machine.lastReport ||
-        rules.now - *machine.lastReport > rules.silent)
+    if (!machine.acknowledged() || !machine.lastHeartbeat ||
+        rules.now - *machine.lastHeartbeat > rules.silent)
         return Refusal::silent;
     if (rules.now - machine.known < rules.minTenure) return Refusal::heldTooShort;
     return std::nullopt;
 }
 
 std::optional<Refusal> refusalOf(const ClusterState& clusterState, const Job& job) {
-    if (job.finishing || clusterState.knownCancelled(job)) return Refusal::jobEnding;
+    if (job.completing || clusterState.knownCancelled(job)) return Refusal::jobEnding;
     if (std::any_of(job.slices.begin(), job.slices.end(),
                     [](const Slice& slice) { return slice.leaving.has_value(); }))
         return Refusal::jobLeaving;
     return std::nullopt;
 }
 
-std::optional<Refusal> refusalOf(const Job& job, const Claim& claim) {
-    if (!claim.durable) return Refusal::recordPending;
-    if (claim.stopGrace || claim.giveUp || claim.state == TaskState::saving)
+std::optional<Refusal> refusalOf(const Job& job, const Allocation& allocation) {
+    if (!allocation.durable) return Refusal::recordPending;
+    if (allocation.stopGrace || allocation.abandoned || allocation.state == TaskState::saving)
         return Refusal::taskStopping;
     // Half of a gang's start orders could be out: it stays until it runs or has given up.
     if (job.spec.kind == protocol::JobKind::gang &&
-        (!claim.seen || claim.state != TaskState::running))
+        (!allocation.seen || allocation.state != TaskState::running))
         return Refusal::gangStarting;
     return std::nullopt;
 }
@@ -110,17 +111,17 @@
         refusal_ =
             machine == nullptr ? Refusal::notOurs : refusalOf(clusterState_, *machine, rules_);
         if (refusal_) return;
-        if (!machine->claims.empty() && !rules_.busyMachines) {
+        if (!machine->allocations.empty() && !rules_.busyMachines) {
             refusal_ = Refusal::reserved;
             return;
         }
-        for (const auto& ref : machine->claims) {
-            const auto [job, slice, claim] = clusterState_.held(ref);
-            if (claim == nullptr || slice->partition != rules_.partition) {
+        for (const auto& ref : machine->allocations) {
+            const auto [job, slice, allocation] = clusterState_.findAllocation(ref);
+            if (allocation == nullptr || slice->partition != rules_.partition) {
                 refusal_ = Refusal::notOurs;
                 return;
             }
-            if ((refusal_ = refusalOf(*job, *claim))) return;
+            if ((refusal_ = refusalOf(*job, *allocation))) return;
             addJob(*job);
             if (refusal_) return;
         }
@@ -132,12 +133,12 @@
         if (refusal_ || !job.undivided()) return;
         // One leader for all of it: every machine that it is on goes too.
         if (job.partition != rules_.partition ||
-            (job.spec.kind == protocol::JobKind::gang && job.claimedTasks() < job.spec.tasks)) {
+            (job.spec.kind == protocol::JobKind::gang && job.allocatedTasks() < job.spec.tasks)) {
             refusal_ = Refusal::gangStarting;
             return;
         }
         for (const auto& slice : job.slices)
-            for (const auto& claim : slice.claims) addMachine(claim.machine);
+            for (const auto& allocation : slice.allocations) addMachine(allocation.machine);
     }
 
     void collect() {
@@ -157,8 +158,8 @@
         if (slice.size() == 0 || slice.partition != rules_.partition) return;
         Roaring here;
         Roaring done;
-        for (const auto& claim : slice.claims)
-            if (machines_.contains(claim.machine)) here.add(claim.task);
+        for (const auto& allocation : slice.allocations)
+            if (machines_.contains(allocation.machine)) here.add(allocation.task);
         for (std::uint32_t i = 0; i < slice.size(); ++i)
             if (slice.done[i]) done.add(slice.first + i);
         plan_.used[job.spec.team] += times(job.spec.each, here.cardinality());
@@ -240,7 +241,7 @@
     if (found == clusterState.jobs.end()) return true;
     const Job& job = found->second;
     if (job.partition == taker.partition) return false;
-    if (job.spec.kind != protocol::JobKind::gang || job.anyClaim()) return true;
+    if (job.spec.kind != protocol::JobKind::gang || job.anyAllocation()) return true;
     Demand kept;
     kept.urgency = urgencyOf(job.priority, false);
     kept.since = millisOf(job.submitted);
--- a/src/sharing/handover.h
+++ b/src/sharing/handover.h
@@ -21,12 +21,12 @@
     reserved,
     silent,  // not heard of for too long to be sure of it
     heldTooShort,
-    recordPending,  // a task's claim is not durable yet
+    recordPending,  // a task's allocation is not durable yet
     taskStopping,
     gangStarting,  // or it has not been seen running by this leader
     jobEnding,     // cancelled, or its end is being recorded
     jobLeaving,    // to a peer, as work that is pushed
-    limitMoving,   // a share of its team's limit is under way
+    limitMoving,   // a quota share of its team's limit is under way
     tooLarge,      // for one transaction
 };
 [[nodiscard]] std::string_view describe(Refusal refusal);
@@ -44,7 +44,7 @@
     std::size_t mostChanges = 0;  // of one transaction
     bookkeeping::SteadyTime now{};
     bookkeeping::Duration minTenure{};  // least time that a partition keeps a machine
-    bookkeeping::Duration silent{};     // a report must not be older
+    bookkeeping::Duration silent{};     // a heartbeat must not be older
     bool busyMachines = true;
 };
 
--- a/src/sharing/move_budget.h
+++ b/src/sharing/move_budget.h
@@ -30,7 +30,7 @@
     }
     // One that takes more than has gathered is carried out on credit.
     [[nodiscard]] bool allows() const { return moves_ >= 1 && changes_ > 0; }
-    void take(std::size_t moves, std::size_t writes) {
+    void consume(std::size_t moves, std::size_t writes) {
         moves_ -= static_cast<double>(moves);
         changes_ -= static_cast<double>(writes);
     }
--- a/src/transport/frame_link.cpp
+++ b/src/transport/frame_link.cpp
@@ -28,7 +28,7 @@
     std::string input;
 
     // False when the peer breaks the framing.
-    bool take(std::string_view data, const OnFrame& onFrame) {
+    bool consume(std::string_view data, const OnFrame& onFrame) {
         input.append(data);
         std::size_t at = 0;
         while (input.size() - at >= lengthBytes) {
@@ -68,7 +68,7 @@
         connection->stream->start(
             [this, weak](std::string_view data) {
                 const auto c = weak.lock();
-                if (c && !c->take(data, onFrame_)) incoming_.erase(c);
+                if (c && !c->consume(data, onFrame_)) incoming_.erase(c);
             },
             [this, weak] {
                 if (const auto c = weak.lock()) incoming_.erase(c);
--- a/src/transport/http_client.cpp
+++ b/src/transport/http_client.cpp
@@ -123,7 +123,7 @@
     bool keepAlive = true;
 };
 
-std::shared_ptr<HttpClient::Connection> HttpClient::take(const std::string& address) {
+std::shared_ptr<HttpClient::Connection> HttpClient::acquireConnection(const std::string& address) {
     auto& pool = idle_[address];
     if (!pool.empty()) {
         auto connection = pool.back();
@@ -132,7 +132,8 @@
         return connection;
     }
     // Orders to the workers of a whole fleet must not take the sockets of all else.
-    if (*open_ >= maxConnections_ && !always_.contains(address) && !makeRoom()) return nullptr;
+    if (*open_ >= maxConnections_ && !always_.contains(address) && !evictIdleConnection())
+        return nullptr;
     Socket socket = connectTo(address);
     if (!socket.open()) return nullptr;
     auto connection = std::make_shared<Connection>(*this, address, std::move(socket));
@@ -147,7 +148,7 @@
     return connection;
 }
 
-bool HttpClient::makeRoom() {
+bool HttpClient::evictIdleConnection() {
     for (auto& [address, pool] : idle_) {
         if (pool.empty() || always_.contains(address)) continue;
         pool.back()->fail();
@@ -158,7 +159,7 @@
 
 void HttpClient::call(const std::string& address, const HttpRequest& request, Duration timeout,
                       HttpDone done) {
-    const auto connection = take(address);
+    const auto connection = acquireConnection(address);
     if (!connection) {
         loop_.after(Duration::zero(), [done = std::move(done)] { done(std::nullopt); });
         return;
--- a/src/transport/http_client.h
+++ b/src/transport/http_client.h
@@ -22,8 +22,8 @@
   private:
     struct Connection;
 
-    std::shared_ptr<Connection> take(const std::string& address);
-    bool makeRoom();
+    std::shared_ptr<Connection> acquireConnection(const std::string& address);
+    bool evictIdleConnection();
 
     Loop& loop_;
     std::size_t maxConnections_;
--- a/src/transport/http_server.cpp
+++ b/src/transport/http_server.cpp
@@ -15,7 +15,7 @@
 constexpr auto readLimit = 10s;  // a request that trickles in
 constexpr auto sweepPeriod = 2s;
 constexpr std::size_t maxUrl = 2048;
-constexpr double crowdedShare = 0.8;  // of the connections
+constexpr double crowdedFraction = 0.8;  // of the connections
 
 const char* reason(int status) {
     switch (status) {
@@ -172,7 +172,7 @@
 
 bool HttpServer::crowded() const {
     return static_cast<double>(connections_.size()) >
-           static_cast<double>(maxConnections_) * crowdedShare;
+           static_cast<double>(maxConnections_) * crowdedFraction;
 }
 
 void HttpServer::acceptAll() {
--- a/tests/loopback/processes.cpp
+++ b/tests/loopback/processes.cpp
@@ -158,7 +158,7 @@
                  });
 }
 
-void Processes::noteEnded() {
+void Processes::recordEnded() {
     for (auto& process : processes_) {
         if (process.pid < 0 || ::waitpid(process.pid, nullptr, WNOHANG) != process.pid) continue;
         process.pid = -1;
@@ -174,7 +174,7 @@
     world_ = &world;
     began_ = loop_.now();
     std::function<void()> step = [&] {
-        noteEnded();
+        recordEnded();
         if (sim::Time(loop_.now() - began_) >= length) return loop_.stop();
         advance();
         loop_.after(advancePeriod, step);
--- a/tests/loopback/processes.h
+++ b/tests/loopback/processes.h
@@ -57,7 +57,7 @@
                                                                const std::string& from,
                                                                const std::string& host);
     void advance();
-    void noteEnded();
+    void recordEnded();
 
     ProcessSpec spec_;
     transport::Loop loop_;
--- a/tests/sim/checker.cpp
+++ b/tests/sim/checker.cpp
@@ -34,9 +34,9 @@
     JobTruth& job = jobs_[id];
     if (!job.begunAt) job.begunAt = at;
     const auto name = id + "/" + std::to_string(task);
-    for (const auto& predecessor : job.spec.predecessors)
-        if (!truthDone(predecessor))
-            breach("too_early", fmt::format("{} before {}", name, predecessor));
+    for (const auto& dependency : job.spec.dependencies)
+        if (!truthDone(dependency))
+            breach("too_early", fmt::format("{} before {}", name, dependency));
     for (const auto& [machine, other] : job.on[task])
         if (machine != place.machine)
             breach("ran_twice", fmt::format("{} on {} and {}", name, machine, place.machine));
@@ -90,7 +90,7 @@
     while (!open.empty()) {
         const JobTruth& next = *open.back();
         open.pop_back();
-        for (const auto& id : next.spec.predecessors) {
+        for (const auto& id : next.spec.dependencies) {
             const auto truth = jobs_.find(id);
             if (truth == jobs_.end() || !seen.insert(id).second) continue;
             found.push_back(&truth->second);
@@ -102,7 +102,7 @@
 
 std::optional<Time> Checker::readyAt(const JobTruth& job) const {
     Time ready = job.submittedAt;
-    for (const auto& id : job.spec.predecessors) {
+    for (const auto& id : job.spec.dependencies) {
         const auto found = jobs_.find(id);
         if (found == jobs_.end() || !found->second.doneAt) return std::nullopt;
         ready = std::max(ready, *found->second.doneAt);
@@ -244,7 +244,7 @@
     const auto counts = [&](const JobTruth& job) {
         const auto ready = readyAt(job);
         const auto above = ancestors(job);
-        // Whose predecessor was called off as its last task ended is called off with it.
+        // Whose dependency was called off as its last task ended is called off with it.
         const bool startsAfter =
             std::any_of(above.begin(), above.end(),
                         [](const JobTruth* ancestor) { return ancestor->final == "cancelled"; });
--- a/tests/sim/checker.h
+++ b/tests/sim/checker.h
@@ -39,8 +39,8 @@
     void ended(const std::string& job, std::uint32_t task, const std::string& machine,
                bool completed, Time at);
     void tick(Time at);
-    // The task is on the machine, with a claim in the records or without, and may stay without one
-    // for so long.
+    // The task is on the machine, with an allocation in the records or without, and may stay
+    // without one for so long.
     void placed(const std::string& job, std::uint32_t task, const std::string& machine,
                 bool claimed, Time allowance, Time at);
     // A worker has taken a node's answer: a token has one node, and so a machine one leader.
--- a/tests/sim/scenario_main.cpp
+++ b/tests/sim/scenario_main.cpp
@@ -74,10 +74,10 @@
     spec.spread = line.has("spread");
     spec.spot = line.has("spot");
     spec.estimate = Time(line.number("runs", 10));
-    spec.checkpoint = Time(line.number("checkpoint", 0));
-    spec.save = Time(line.number("save", 1));
+    spec.checkpointInterval = Time(line.number("checkpoint", 0));
+    spec.checkpointDuration = Time(line.number("save", 1));
     if (line.has("deadline")) spec.deadline = Time(line.number("deadline"));
-    if (line.has("after")) spec.predecessors = names(line.text("after"));
+    if (line.has("after")) spec.dependencies = names(line.text("after"));
     return spec;
 }
 
@@ -201,7 +201,7 @@
             for (int chain = 0; chain < (stage == 0 ? 1 : width); ++chain) {
                 auto job = jobFrom(line, 3);
                 job.id = name(stage, chain);
-                if (stage > 0) job.predecessors = {name(stage - 1, stage == 1 ? 0 : chain)};
+                if (stage > 0) job.dependencies = {name(stage - 1, stage == 1 ? 0 : chain)};
                 world.submit(job, Time(line.number("runs", 10)), false);
             }
     }
@@ -259,13 +259,13 @@
         } else if (word == "die") {
             world.die(machine(3));
         } else if (word == "notice") {
-            world.notice(machine(3), length(4));
+            world.sendInterruptionNotice(machine(3), length(4));
         } else if (word == "break") {
             world.breakMachine(machine(3));
         } else if (word == "deaf") {
-            world.deafen(machine(3), length(5));
+            world.dropDownstream(machine(3), length(5));
         } else if (word == "copy-reports") {
-            world.copyReports(line.numberAt(3), length(4));
+            world.duplicateHeartbeats(line.numberAt(3), length(4));
         } else if (word == "repeat-requests") {
             world.repeatRequests(line.numberAt(3), length(4));
         } else if (word == "late-writes") {
@@ -275,7 +275,7 @@
         } else if (word == "slow-state") {
             world.slowState(length(3), length(5));
         } else if (word == "mute") {
-            world.mute(machine(3), length(5));
+            world.dropUpstream(machine(3), length(5));
         } else if (word == "slow-links") {
             world.slowLinks(machine(3), length(4), length(6));
         } else if (word == "cancel-running") {
@@ -346,12 +346,12 @@
     const auto micros = [](sim::Cost::Time time) {
         return std::chrono::duration<double, std::micro>(time).count();
     };
-    const auto& [reports, steps] = costs;
+    const auto& [heartbeats, steps] = costs;
     std::cout << fmt::format(
         "seed {}: {} reports of {:.1f} us; {} steps, {:.0f} ms in all, the longest {:.1f} ms\n",
-        seed, reports.count,
-        micros(reports.total) / std::max(1.0, static_cast<double>(reports.count)), steps.count,
-        micros(steps.total) / 1000, micros(steps.longest) / 1000);
+        seed, heartbeats.count,
+        micros(heartbeats.total) / std::max(1.0, static_cast<double>(heartbeats.count)),
+        steps.count, micros(steps.total) / 1000, micros(steps.longest) / 1000);
 }
 
 std::string textOf(const sim::HistoryDigest& history) {
--- a/tests/sim/world.cpp
+++ b/tests/sim/world.cpp
@@ -63,7 +63,7 @@
     }
     for (int i = 0; i < spec_.nodes; ++i) at(Time(0.1 * i), [this, i] { startNode(i); });
     at(Time(5), [this] { watchWaiting(); });
-    at(Time(5), [this] { watchClaims(); });
+    at(Time(5), [this] { watchAllocations(); });
 }
 
 World::~World() = default;
@@ -148,7 +148,7 @@
         return most * std::uniform_real_distribution<>(0, 1)(rng_);
     };
     if (const auto* target = worker(to); target != nullptr) {
-        if (target->deafUntil > now_) return;
+        if (target->downstreamLostUntil > now_) return;
         if (target->slowUntil > now_) delay += more(target->slowBy);
     }
     if (const auto* source = worker(from); source != nullptr && source->slowUntil > now_)
@@ -185,8 +185,10 @@
         done(std::move(response));
     };
     at(now_ + timeout, [finish] { finish(std::nullopt); });
-    if (const auto* source = worker(from); source != nullptr && source->muteUntil > now_) return;
-    if (request.method == "POST" && std::uniform_real_distribution<>(0, 1)(rng_) < repeatedShare_)
+    if (const auto* source = worker(from); source != nullptr && source->upstreamLostUntil > now_)
+        return;
+    if (request.method == "POST" &&
+        std::uniform_real_distribution<>(0, 1)(rng_) < repeatedFraction_)
         at(now_ + latestRepeat_ * std::uniform_real_distribution<>(0.02, 1)(rng_),
            [this, from, address, request] {
                serve(from, address, request, [](const HttpResponse&) {});
@@ -214,45 +216,46 @@
         if (!nodeUp(i)) return;
         if (spec_.outside != nullptr)
             return spec_.outside->request(static_cast<int>(i), request, std::move(reply));
-        if (request.path != wire::pathReport)
+        if (request.path != wire::pathHeartbeat)
             return node->controller->onRequest(request, std::move(reply));
-        return costs_.reports.measure(
+        return costs_.heartbeats.measure(
             [&] { node->controller->onRequest(request, std::move(reply)); });
     }
     Worker* target = worker(host);
     if (target == nullptr || !target->up || target->gone) return;
     if (target->hangsUntil > now_) {
-        // Carried out when the machine goes on, if token and session still match.
+        // Carried out when the machine goes on, if token and agent epoch still match.
         at(target->hangsUntil,
            [this, from, host, request, reply] { serve(from, host, request, reply); });
         return;
     }
     if (request.path == wire::pathInspect) {
         ++target->sequence;
-        return reply(answer(200, reportBody(*target)));
+        return reply(answer(200, heartbeatBody(*target)));
     }
     const auto body = protocol::decodeCbor(request.body);
     const auto fencingToken = body ? protocol::countOf(*body, wire::fencingToken) : 0;
-    const auto session = body ? protocol::countOf(*body, wire::session) : 0;
-    if (fencingToken < target->fencingToken || session != target->session)
-        return reply(answer(409, reportBody(*target)));
-    // A higher token is a change that it reports, once in half a lease.
-    if (fencingToken > target->fencingToken && now_ - target->tokenReported > spec_.lease / 2) {
-        target->tokenReported = now_;
-        reportSoon(*target);
+    const auto agentEpoch = body ? protocol::countOf(*body, wire::agentEpoch) : 0;
+    if (fencingToken < target->fencingToken || agentEpoch != target->agentEpoch)
+        return reply(answer(409, heartbeatBody(*target)));
+    // A higher token is a change that it heartbeats, once in half a lease.
+    if (fencingToken > target->fencingToken &&
+        now_ - target->fencingTokenReportedAt > spec_.lease / 2) {
+        target->fencingTokenReportedAt = now_;
+        scheduleHeartbeat(*target);
     }
     target->fencingToken = fencingToken;
     obey(*target, protocol::listOf(*body, wire::commands));
     ++target->sequence;
-    reply(answer(200, reportBody(*target)));
+    reply(answer(200, heartbeatBody(*target)));
 }
 
-void World::deafen(std::size_t machine, Time length) {
-    nth(workers_, machine).deafUntil = now_ + length;
+void World::dropDownstream(std::size_t machine, Time length) {
+    nth(workers_, machine).downstreamLostUntil = now_ + length;
 }
 
-void World::mute(std::size_t machine, Time length) {
-    nth(workers_, machine).muteUntil = now_ + length;
+void World::dropUpstream(std::size_t machine, Time length) {
+    nth(workers_, machine).upstreamLostUntil = now_ + length;
     checker_.troubledUntil(now_ + length);
 }
 
--- a/tests/sim/world.h
+++ b/tests/sim/world.h
@@ -47,8 +47,8 @@
 };
 
 struct Costs {
-    Cost reports;  // from workers
-    Cost steps;    // timers: rounds of placement, failovers, housekeeping
+    Cost heartbeats;  // from workers
+    Cost steps;       // timers: rounds of placement, failovers, housekeeping
 };
 
 // Nodes that are processes of their own, in place of controllers inside the world.
@@ -72,7 +72,7 @@
     std::size_t heard = 0;   // that the new leader has answered
     Time untilHeard{};       // of those, in all
     Time longestUntilHeard{};
-    Time longestPause{};  // between two answered reports around a move
+    Time longestPause{};  // between two answered heartbeats around a move
 };
 
 struct WorldSpec {
@@ -136,25 +136,25 @@
     void refuseState(int node, Time length);
     void hang(std::size_t machine, Time length);
     void die(std::size_t machine);
-    void notice(std::size_t machine, Time left);
+    void sendInterruptionNotice(std::size_t machine, Time left);
     void breakMachine(std::size_t machine);  // fails every task
-    // Its reports arrive; answers and orders don't reach it.
-    void deafen(std::size_t machine, Time length);
-    // Copies of this share of reports come again up to so much later.
-    void copyReports(double share, Time latest) {
-        copiedShare_ = share;
+    // Its heartbeats arrive; answers and orders don't reach it.
+    void dropDownstream(std::size_t machine, Time length);
+    // Copies of this share of heartbeats come again up to so much later.
+    void duplicateHeartbeats(double fraction, Time latest) {
+        duplicatedFraction_ = fraction;
         latestCopy_ = latest;
     }
     // This share of requests to anybody is carried out once more, up to so much later.
-    void repeatRequests(double share, Time latest) {
-        repeatedShare_ = share;
+    void repeatRequests(double fraction, Time latest) {
+        repeatedFraction_ = fraction;
         latestRepeat_ = latest;
     }
     // This share of transactions gets no answer and is carried out 2 to 12 s later.
     // The record is gone, and nobody is told: to try the audit.
     void loseRecord(const std::string& key) { records_.erase(key); }
-    void lateWrites(double share, Time length) {
-        lateShare_ = share;
+    void lateWrites(double fraction, Time length) {
+        lateFraction_ = fraction;
         lateUntil_ = now_ + length;
         checker_.troubledUntil(lateUntil_ + latestWrite);
     }
@@ -164,14 +164,15 @@
         stateSlowUntil_ = now_ + length;
         checker_.troubledUntil(stateSlowUntil_);
     }
-    void mute(std::size_t machine, Time length);  // orders reach it, its reports reach nobody
+    void dropUpstream(std::size_t machine,
+                      Time length);  // orders reach it, its heartbeats reach nobody
     // Whatever goes to or from it takes up to so much longer.
     void slowLinks(std::size_t machine, Time most, Time length);
     // Users call off so many running jobs at once, and up to eight of their machines hang.
     void cancelRunning(int count, Time hangs);
     // This share of the jobs that end is called off at that very moment.
-    void cancelAtEnd(double share, Time length) {
-        cancelAtEndShare_ = share;
+    void cancelAtEnd(double fraction, Time length) {
+        cancelAtEndFraction_ = fraction;
         cancelAtEndUntil_ = now_ + length;
     }
     // Users ask so many times as often.
@@ -197,7 +198,7 @@
     void separateZones(const std::string& one, const std::string& other, Time length, bool delayed);
     void refusePeers(Time length);
     void isolateFromState(int node, Time length);  // and from its peers, not from its workers
-    void loseAnswers(double share) { lostAnswers_ = share; }
+    void loseAnswers(double fraction) { lostAnswers_ = fraction; }
 
     [[nodiscard]] Checker& checker() { return checker_; }
     [[nodiscard]] std::string lastTold(const std::string& job) const;
@@ -268,10 +269,10 @@
     void setLimits(Node& node) const;
     void changed(const std::string& key, bool deleted);
     // A transaction moves machines to other partitions for good.
-    void noteMachineMoves(const protocol::Json& writes);
-    void noteMove(Worker& worker, std::uint64_t floor);
+    void recordMachineMoves(const protocol::Json& writes);
+    void recordMove(Worker& worker, std::uint64_t floor);
     // The worker has taken an answer of this node.
-    void noteAnswered(Worker& worker, const std::string& node, std::uint64_t fencingToken);
+    void recordAnswered(Worker& worker, const std::string& node, std::uint64_t fencingToken);
     [[nodiscard]] bool nodeUp(std::size_t index) const;
     void answerWatches();
     void endWatch(const std::shared_ptr<Watch>& watch);  // its time has run out
@@ -282,17 +283,17 @@
     Worker* worker(const std::string& id);
     [[nodiscard]] std::map<std::string, std::string> hosts() const;  // with their zones
     void startWorker(Worker& worker);
-    void report(Worker& worker);
-    void reportSoon(Worker& worker);
+    void sendHeartbeat(Worker& worker);
+    void scheduleHeartbeat(Worker& worker);
     void obey(Worker& worker, const protocol::Json& calls);
     void stepWorker(Worker& worker);
     void watchWaiting();
     void randomTrouble();
     void randomMachineTrouble();
-    // The claims in the records, as "job/task machine attempt".
-    [[nodiscard]] std::set<std::string> recordedClaims() const;
-    // Whether each task that is on a machine has its claim in the records.
-    void watchClaims();
+    // The allocations in the records, as "job/task machine attempt".
+    [[nodiscard]] std::set<std::string> recordedAllocations() const;
+    // Whether each task that is on a machine has its allocation in the records.
+    void watchAllocations();
     // Records, cluster states and machines compared, once all troubles are over.
     void audit();
     void auditJob(const std::string& job);
@@ -302,10 +303,10 @@
     void sendBad(const std::string& job, const protocol::Json& body);
     void endTask(Worker& worker, Task& task, const char* cause, bool kept);
     void killAll(Worker& worker);
-    [[nodiscard]] protocol::Json reportBody(Worker& worker) const;
+    [[nodiscard]] protocol::Json heartbeatBody(Worker& worker) const;
     void gangStep(const std::string& job);
     void poll(const std::string& job);
-    void noteTold(const std::string& job, const std::string& state);
+    void recordTold(const std::string& job, const std::string& state);
     void submitWhenNamed(const std::string& job);
     void sendFrame(const std::string& from, const std::string& peer, std::string payload);
     void sendSubmit(const std::string& job, Time first);
@@ -340,11 +341,11 @@
     std::map<std::string, std::vector<std::string>> rentals_;
     int nextMachine_ = 0;
     double lostAnswers_ = 0;
-    double copiedShare_ = 0;
+    double duplicatedFraction_ = 0;
     Time latestCopy_{};
-    double repeatedShare_ = 0;
+    double repeatedFraction_ = 0;
     Time latestRepeat_{};
-    double lateShare_ = 0;
+    double lateFraction_ = 0;
     Time lateUntil_{};
     double lostFrames_ = 0;
     double copiedFrames_ = 0;
@@ -352,7 +353,7 @@
     Time framesUntil_{};
     Time stateSlow_{};
     Time stateSlowUntil_{};
-    double cancelAtEndShare_ = 0;
+    double cancelAtEndFraction_ = 0;
     Time cancelAtEndUntil_{};
     Time oddUntil_{};
     double stormFactor_ = 1;
--- a/tests/sim/world_audit.cpp
+++ b/tests/sim/world_audit.cpp
@@ -9,14 +9,14 @@
 namespace {
 
 constexpr Time watchPeriod{5.0};
-constexpr Time reportRound{10.0};     // the longest period, with an answer that does not come
+constexpr Time heartbeatRound{10.0};  // the longest period, with an answer that does not come
 constexpr Time settled{15.0};         // after a change every node has followed it
 constexpr Time orphansDeleted{90.0};  // after the end of their job, when nothing else is written
 constexpr auto slicePrefix = "live/slice/";
 constexpr auto jobPrefix = "live/job/";
 
-std::string claimName(const std::string& job, std::uint32_t task, const std::string& machine,
-                      std::uint64_t attempt) {
+std::string allocationName(const std::string& job, std::uint32_t task, const std::string& machine,
+                           std::uint64_t attempt) {
     return fmt::format("{}/{} {} {}", job, task, machine, attempt);
 }
 
@@ -29,8 +29,8 @@
 
 }  // namespace
 
-std::set<std::string> World::recordedClaims() const {
-    std::set<std::string> claims;
+std::set<std::string> World::recordedAllocations() const {
+    std::set<std::string> allocations;
     for (auto at = records_.lower_bound(slicePrefix);
          at != records_.end() && at->first.starts_with(slicePrefix); ++at) {
         const auto [job, index] = sliceOfKey(at->first);
@@ -39,25 +39,26 @@
         const auto& value = at->second.value;
         const auto size = protocol::countOf(live->second.value, "slice", 1);
         const auto first = protocol::countOf(value, "first", index * size);
-        for (const auto& claim : protocol::listOf(value, "claims"))
-            claims.insert(
-                claimName(job, static_cast<std::uint32_t>(first + claim[0].get<std::uint64_t>()),
-                          claim[1].get<std::string>(), claim[2].get<std::uint64_t>()));
+        for (const auto& allocation : protocol::listOf(value, "claims"))
+            allocations.insert(allocationName(
+                job, static_cast<std::uint32_t>(first + allocation[0].get<std::uint64_t>()),
+                allocation[1].get<std::string>(), allocation[2].get<std::uint64_t>()));
     }
-    return claims;
+    return allocations;
 }
 
-void World::watchClaims() {
-    const auto claims = recordedClaims();
+void World::watchAllocations() {
+    const auto allocations = recordedAllocations();
     for (const auto& [id, w] : workers_) {
         if (w->gone) continue;
         for (const auto& task : w->tasks)
             if (task.placed)
-                checker_.placed(task.job, task.index, id,
-                                claims.contains(claimName(task.job, task.index, id, task.attempt)),
-                                spec_.lease + reportRound, now_);
+                checker_.placed(
+                    task.job, task.index, id,
+                    allocations.contains(allocationName(task.job, task.index, id, task.attempt)),
+                    spec_.lease + heartbeatRound, now_);
     }
-    at(now_ + watchPeriod, [this] { watchClaims(); });
+    at(now_ + watchPeriod, [this] { watchAllocations(); });
 }
 
 void World::audit() {
@@ -86,9 +87,10 @@
     std::vector<int> cover(job->spec.tasks, 0);
     for (const auto& slice : job->slices) {
         for (auto task = slice.first; task < slice.range().end(); ++task) ++cover[task];
-        for (const auto& claim : slice.claims) {
-            const auto machine = worker(claim.machine);
-            if (machine == nullptr) checker_.auditFailed(id + " claims unknown " + claim.machine);
+        for (const auto& allocation : slice.allocations) {
+            const auto machine = worker(allocation.machine);
+            if (machine == nullptr)
+                checker_.auditFailed(id + " claims unknown " + allocation.machine);
         }
     }
     for (std::size_t task = 0; task < cover.size(); ++task)
--- a/tests/sim/world_state.cpp
+++ b/tests/sim/world_state.cpp
@@ -112,7 +112,7 @@
     return body;
 }
 
-void World::noteMachineMoves(const Json& writes) {
+void World::recordMachineMoves(const Json& writes) {
     const auto prefix = bookkeeping::keys::machine({});
     const auto before = moveFigures_.moves;
     for (const auto& write : writes) {
@@ -124,7 +124,7 @@
         if (last["part"] == next["part"] || next.contains("lender") || last.contains("lender"))
             continue;
         if (Worker* moved = worker(key.substr(prefix.size())))
-            noteMove(*moved, protocol::countOf(next, "floor"));
+            recordMove(*moved, protocol::countOf(next, "floor"));
     }
     if (moveFigures_.moves > before) moveFigures_.writes += writes.size();
 }
@@ -145,7 +145,7 @@
     }
     if (!failed.empty()) return answer(409, {{wire::failed, failed}, {wire::revision, revision_}});
     if (!writes.empty()) ++revision_;
-    noteMachineMoves(writes);
+    recordMachineMoves(writes);
     for (const auto& write : writes) {
         auto key = protocol::textOf(write, wire::put);
         if (key.empty()) {
@@ -186,7 +186,7 @@
     auto body = protocol::decodeCbor(request.body);
     if (path == wire::pathTransaction) {
         body = asWrittenBy(from, std::move(*body));
-        if (now_ >= lateUntil_ || std::uniform_real_distribution<>(0, 1)(rng_) >= lateShare_)
+        if (now_ >= lateUntil_ || std::uniform_real_distribution<>(0, 1)(rng_) >= lateFraction_)
             return reply(stateTransaction(*body));
         const Time later(
             std::uniform_real_distribution<>(soonestWrite.count(), latestWrite.count())(rng_));
--- a/tests/sim/world_troubles.cpp
+++ b/tests/sim/world_troubles.cpp
@@ -5,8 +5,8 @@
 
 namespace {
 
-constexpr double shareOfMachines = 0.2;
-constexpr double shareOfLease = 0.6;
+constexpr double fractionOfMachines = 0.2;
+constexpr double fractionOfLease = 0.6;
 
 }  // namespace
 
@@ -47,7 +47,7 @@
             // What hangs past its lease keeps its tasks here until it goes on (docs/questions.md,
             // 10).
             return cancelRunning(std::uniform_int_distribution<>(1, 12)(rng_),
-                                 between(0, spec_.lease.count() * shareOfLease));
+                                 between(0, spec_.lease.count() * fractionOfLease));
         case 9:
             for (int other = 0; other < spec_.nodes; ++other)
                 at(now_ + Time(6.0 * other), [this, other] { kill(other, Time(3)); });
@@ -61,11 +61,11 @@
     const Time length(std::uniform_real_distribution<>(5, spec_.lease.count() * 1.6)(rng_));
     const int kind = std::uniform_int_distribution<>(0, 3)(rng_);
     for (std::size_t machine = 0; machine < workers_.size(); ++machine) {
-        if (!std::bernoulli_distribution(shareOfMachines)(rng_)) continue;
-        if (kind == 0) mute(machine, length);
-        if (kind == 1) deafen(machine, length);
+        if (!std::bernoulli_distribution(fractionOfMachines)(rng_)) continue;
+        if (kind == 0) dropUpstream(machine, length);
+        if (kind == 1) dropDownstream(machine, length);
         if (kind == 2) slowLinks(machine, Time(4), length);
-        if (kind == 3 && std::bernoulli_distribution(shareOfMachines)(rng_)) die(machine);
+        if (kind == 3 && std::bernoulli_distribution(fractionOfMachines)(rng_)) die(machine);
     }
 }
 
--- a/tests/sim/world_users.cpp
+++ b/tests/sim/world_users.cpp
@@ -33,8 +33,8 @@
 
 void World::submitWhenNamed(const std::string& id) {
     // A user names only jobs that were accepted.
-    const auto& predecessors = truths_[id].spec.predecessors;
-    const bool accepted = std::all_of(predecessors.begin(), predecessors.end(),
+    const auto& dependencies = truths_[id].spec.dependencies;
+    const bool accepted = std::all_of(dependencies.begin(), dependencies.end(),
                                       [this](const auto& p) { return !truths_[p].told.empty(); });
     if (accepted) return sendSubmit(id, now_);
     at(now_ + acceptancePause, [this, id] { submitWhenNamed(id); });
@@ -53,7 +53,7 @@
                 at(now_ + Time(1), [this, id, first] { sendSubmit(id, first); });
                 return;
             }
-            noteTold(id, protocol::textOf(*body, wire::state));
+            recordTold(id, protocol::textOf(*body, wire::state));
             poll(id);
         });
 }
@@ -69,7 +69,7 @@
             });
 }
 
-void World::noteTold(const std::string& id, const std::string& state) {
+void World::recordTold(const std::string& id, const std::string& state) {
     truths_[id].told = state;
     truths_[id].firstTold.try_emplace(state, now_);
     checker_.told(id, state, now_, givenAt_);
@@ -104,7 +104,7 @@
                 const auto body = response ? protocol::decodeCbor(response->body) : std::nullopt;
                 if (!response || response->status != 200 || !body)
                     return checker_.pollFailed(id, now_);
-                noteTold(id, protocol::textOf(*body, wire::state));
+                recordTold(id, protocol::textOf(*body, wire::state));
             });
     checker_.tick(now_);
 }
@@ -119,7 +119,7 @@
                     at(now_ + Time(1), [this, id] { cancel(id); });
                     return;
                 }
-                noteTold(id, protocol::textOf(*body, wire::state));
+                recordTold(id, protocol::textOf(*body, wire::state));
             });
 }
 
@@ -191,8 +191,8 @@
     const Truth& truth = truths_[id];
     const auto& spec = truth.spec;
     if (truth.faulty || truth.told == "done" || truth.told == "cancelled") return false;
-    for (const auto& predecessor : spec.predecessors)
-        if (!checker_.truthDone(predecessor)) return false;
+    for (const auto& dependency : spec.dependencies)
+        if (!checker_.truthDone(dependency)) return false;
     std::set<std::uint32_t> placed = truth.done;
     protocol::Resources team;
     std::map<std::string, std::uint32_t> places;  // by zone
--- a/tests/sim/world_workers.cpp
+++ b/tests/sim/world_workers.cpp
@@ -1,4 +1,4 @@
-// The stand-ins for workers: reports, commands, tasks and gangs, and their troubles.
+// The stand-ins for workers: heartbeats, commands, tasks and gangs, and their troubles.
 #include <algorithm>
 
 #include "sim/world_parts.h"
@@ -8,9 +8,9 @@
 namespace {
 
 constexpr Time step{0.25};
-constexpr Time reportPeriod{3.0};
-constexpr Time reportGap{0.5};
-constexpr Time reportTimeout{4.0};
+constexpr Time heartbeatInterval{3.0};
+constexpr Time minHeartbeatGap{0.5};
+constexpr Time heartbeatTimeout{4.0};
 
 }  // namespace
 
@@ -42,11 +42,11 @@
     if (w.gone) return;
     w.up = true;
     w.leaseFrom = now_;
-    reportSoon(w);
+    scheduleHeartbeat(w);
     stepWorker(w);
 }
 
-Json World::reportBody(Worker& w) const {
+Json World::heartbeatBody(Worker& w) const {
     Json tasks = Json::array();
     for (const auto& task : w.tasks) {
         Json entry{{wire::task, task.job + "/" + std::to_string(task.index)},
@@ -59,83 +59,83 @@
     const auto address = spec_.outside != nullptr ? spec_.outside->addressOf(w.id) : w.id;
     Json body{{wire::machine, w.id},          {wire::address, address},
               {wire::type, w.type},           {wire::zone, w.zone},
-              {wire::spot, w.spot},           {wire::session, w.session},
+              {wire::spot, w.spot},           {wire::agentEpoch, w.agentEpoch},
               {wire::sequence, w.sequence},   {wire::fencingToken, w.fencingToken},
               {wire::tasks, std::move(tasks)}};
-    if (w.noticeEnds) body[wire::notice] = (*w.noticeEnds - now_).count();
+    if (w.interruptionAt) body[wire::interruptionNotice] = (*w.interruptionAt - now_).count();
     return body;
 }
 
-void World::reportSoon(Worker& w) {
-    if (w.soon) return;
-    w.soon = true;
-    at(std::max(now_, w.lastReport + reportGap), [this, id = w.id] {
+void World::scheduleHeartbeat(Worker& w) {
+    if (w.heartbeatScheduled) return;
+    w.heartbeatScheduled = true;
+    at(std::max(now_, w.lastHeartbeat + minHeartbeatGap), [this, id = w.id] {
         Worker& target = *worker(id);
-        target.soon = false;
-        report(target);
+        target.heartbeatScheduled = false;
+        sendHeartbeat(target);
     });
 }
 
-void World::report(Worker& w) {
-    if (w.gone || w.reporting) return;
+void World::sendHeartbeat(Worker& w) {
+    if (w.gone || w.heartbeatInFlight) return;
     if (w.hangsUntil > now_) {
-        at(w.hangsUntil, [this, id = w.id] { report(*worker(id)); });
+        at(w.hangsUntil, [this, id = w.id] { sendHeartbeat(*worker(id)); });
         return;
     }
-    w.reporting = true;
-    w.lastReport = now_;
+    w.heartbeatInFlight = true;
+    w.lastHeartbeat = now_;
     ++w.sequence;
-    const auto number = ++w.reportNumber;
+    const auto number = ++w.heartbeatNumber;
     const auto sent = now_;
-    const auto session = w.session;
-    const HttpRequest sending{"POST", wire::pathReport, protocol::encodeCbor(reportBody(w))};
+    const auto agentEpoch = w.agentEpoch;
+    const HttpRequest sending{"POST", wire::pathHeartbeat, protocol::encodeCbor(heartbeatBody(w))};
     const auto& node = nodes_[static_cast<std::size_t>(w.node)]->name;
-    if (std::uniform_real_distribution<>(0, 1)(rng_) < copiedShare_)
+    if (std::uniform_real_distribution<>(0, 1)(rng_) < duplicatedFraction_)
         at(now_ + latestCopy_ * std::uniform_real_distribution<>(0.02, 1)(rng_),
            [this, id = w.id, node, sending] {
                serve(id, node, sending, [](const HttpResponse&) {});
            });
-    request(w.id, node, sending, reportTimeout,
+    request(w.id, node, sending, heartbeatTimeout,
             [this, id = w.id, node, number, sent,
-             session](const std::optional<HttpResponse>& response) {
+             agentEpoch](const std::optional<HttpResponse>& response) {
                 Worker& target = *worker(id);
-                if (target.gone || target.reportNumber != number) return;
-                target.reporting = false;
+                if (target.gone || target.heartbeatNumber != number) return;
+                target.heartbeatInFlight = false;
                 const auto body = response ? protocol::decodeCbor(response->body) : std::nullopt;
                 if (response && response->status == 421 && body) {
-                    const auto to = protocol::textOf(*body, wire::reportTo);
+                    const auto to = protocol::textOf(*body, wire::redirectTo);
                     for (std::size_t i = 0; i < nodes_.size(); ++i) {
                         if (nodes_[i]->name != to || static_cast<int>(i) == target.node) continue;
                         target.node = static_cast<int>(i);
-                        return reportSoon(target);
+                        return scheduleHeartbeat(target);
                     }
                 }
                 if (!response || response->status != 200 || !body) {
                     target.node = (target.node + 1) % spec_.nodes;
-                    at(now_ + Time(1), [this, id] { reportSoon(*worker(id)); });
+                    at(now_ + Time(1), [this, id] { scheduleHeartbeat(*worker(id)); });
                     return;
                 }
                 const auto fencingToken = protocol::countOf(*body, wire::fencingToken);
-                if (fencingToken >= target.fencingToken && session == target.session) {
+                if (fencingToken >= target.fencingToken && agentEpoch == target.agentEpoch) {
                     const bool higher = fencingToken > target.fencingToken;
                     target.fencingToken = fencingToken;
                     target.leaseFrom = sent;
-                    noteAnswered(target, node, fencingToken);
+                    recordAnswered(target, node, fencingToken);
                     obey(target, protocol::listOf(*body, wire::commands));
-                    if (higher && now_ - target.tokenReported > spec_.lease / 2) {
-                        target.tokenReported = now_;
-                        reportSoon(target);
+                    if (higher && now_ - target.fencingTokenReportedAt > spec_.lease / 2) {
+                        target.fencingTokenReportedAt = now_;
+                        scheduleHeartbeat(target);
                     }
                 }
                 const Time pause =
-                    reportPeriod * std::uniform_real_distribution<>(0.75, 1.25)(rng_);
+                    heartbeatInterval * std::uniform_real_distribution<>(0.75, 1.25)(rng_);
                 at(now_ + pause, [this, id, number] {
-                    if (worker(id)->reportNumber == number) reportSoon(*worker(id));
+                    if (worker(id)->heartbeatNumber == number) scheduleHeartbeat(*worker(id));
                 });
             });
 }
 
-void World::noteMove(Worker& w, std::uint64_t floor) {
+void World::recordMove(Worker& w, std::uint64_t floor) {
     ++moveFigures_.moves;
     w.movedAt = now_;
     w.movedFloor = floor;
@@ -146,7 +146,7 @@
     }
 }
 
-void World::noteAnswered(Worker& w, const std::string& node, std::uint64_t fencingToken) {
+void World::recordAnswered(Worker& w, const std::string& node, std::uint64_t fencingToken) {
     checker_.answered(w.id, node, fencingToken);
     const auto before = std::exchange(w.answeredAt, now_);
     if (!w.movedAt || fencingToken < w.movedFloor) return;
@@ -175,10 +175,10 @@
             if (found == w.tasks.end() || found->state == wire::stateExited) continue;
             const auto& truth = truths_[job];
             const Time grace(protocol::numberOf(call, wire::grace));
-            if (found->state == wire::stateRunning && truth.spec.checkpoint.count() > 0 &&
-                grace >= truth.spec.save) {
+            if (found->state == wire::stateRunning && truth.spec.checkpointInterval.count() > 0 &&
+                grace >= truth.spec.checkpointDuration) {
                 found->state = wire::stateSaving;
-                found->saveEnds = now_ + truth.spec.save;
+                found->saveEnds = now_ + truth.spec.checkpointDuration;
             } else if (found->state != wire::stateSaving || grace == Time(0)) {
                 endTask(w, *found, wire::causeStopped, false);
             }
@@ -199,7 +199,7 @@
             }
             const char* refusal = !truth.submitted                  ? wire::causeUnknown
                                   : busy                            ? wire::causeBusy
-                                  : !used.fits(type->type.capacity) ? wire::causeNoRoom
+                                  : !used.fits(type->type.capacity) ? wire::causeNoCapacity
                                                                     : nullptr;
             if (refusal != nullptr) {
                 task.state = wire::stateExited;
@@ -212,7 +212,7 @@
             }
             w.tasks.push_back(std::move(task));
         }
-        reportSoon(w);
+        scheduleHeartbeat(w);
     }
 }
 
@@ -224,14 +224,14 @@
         Truth& truth = truths_[task.job];
         truth.done.insert(task.index);
         if (truth.done.size() == truth.spec.tasks && now_ < cancelAtEndUntil_ &&
-            std::uniform_real_distribution<>(0, 1)(rng_) < cancelAtEndShare_)
+            std::uniform_real_distribution<>(0, 1)(rng_) < cancelAtEndFraction_)
             at(now_, [this, job = task.job] { cancel(job); });
     }
     task.placed = false;
     task.state = wire::stateExited;
     task.cause = cause;
     task.kept = kept;
-    reportSoon(w);
+    scheduleHeartbeat(w);
 }
 
 void World::killAll(Worker& w) {
@@ -245,7 +245,7 @@
 
 void World::stepWorker(Worker& w) {
     if (w.gone) return;
-    if (w.noticeEnds && now_ >= *w.noticeEnds) {
+    if (w.interruptionAt && now_ >= *w.interruptionAt) {
         killAll(w);
         w.gone = true;
         return;
@@ -254,9 +254,9 @@
     if (w.hangsUntil > now_) return;
     if (now_ - w.leaseFrom > spec_.lease) {
         killAll(w);
-        ++w.session;
+        ++w.agentEpoch;
         w.leaseFrom = now_;
-        reportSoon(w);
+        scheduleHeartbeat(w);
         return;
     }
     std::set<std::string> gangs;
@@ -271,7 +271,7 @@
             task.state = gang ? wire::stateWaiting : wire::stateRunning;
             task.waitingSince = now_;
             task.progress = truth.saved[task.index];
-            reportSoon(w);
+            scheduleHeartbeat(w);
         } else if (task.state == wire::stateSaving) {
             if (now_ >= *task.saveEnds) {
                 truth.saved[task.index] = task.progress;
@@ -279,10 +279,10 @@
             }
         } else if (task.state == wire::stateRunning) {
             task.progress += step;
-            if (truth.spec.checkpoint.count() > 0 && !gang) {
-                const auto whole = std::floor(task.progress / truth.spec.checkpoint);
+            if (truth.spec.checkpointInterval.count() > 0 && !gang) {
+                const auto whole = std::floor(task.progress / truth.spec.checkpointInterval);
                 truth.saved[task.index] =
-                    std::max(truth.saved[task.index], Time(truth.spec.checkpoint) * whole);
+                    std::max(truth.saved[task.index], Time(truth.spec.checkpointInterval) * whole);
             }
             if (w.faulty || truth.faulty)
                 endTask(w, task, wire::causeError, false);
@@ -325,7 +325,7 @@
             } else if (task->state == wire::stateWaiting) {
                 if (whole && running + waiting == members.size()) {
                     task->state = wire::stateRunning;
-                    reportSoon(*w);
+                    scheduleHeartbeat(*w);
                 } else if (now_ - task->waitingSince > gangWait) {
                     endTask(*w, *task, wire::causeAlone, false);
                 }
@@ -348,10 +348,10 @@
     w.gone = true;
 }
 
-void World::notice(std::size_t machine, Time left) {
+void World::sendInterruptionNotice(std::size_t machine, Time left) {
     Worker& w = nth(workers_, machine);
-    w.noticeEnds = now_ + left;
-    reportSoon(w);
+    w.interruptionAt = now_ + left;
+    scheduleHeartbeat(w);
 }
 
 void World::breakMachine(std::size_t machine) {
--- a/tests/unit/checker_test.cpp
+++ b/tests/unit/checker_test.cpp
@@ -96,7 +96,7 @@
 TEST_F(Planted, TooEarly) {
     spec.id = "run-2";
     spec.tasks = 1;
-    spec.predecessors = {"run-1"};
+    spec.dependencies = {"run-1"};
     checker.submitted(spec, Time(0));
     for (std::uint32_t task = 0; task < 2; ++task) {
         checker.started("run-1", task, here, Time(1));
@@ -107,7 +107,7 @@
 }
 TEST_F(Planted, OnceAllAreDoneItMayStart) {
     spec.id = "run-2";
-    spec.predecessors = {"run-1"};
+    spec.dependencies = {"run-1"};
     checker.submitted(spec, Time(0));
     for (std::uint32_t task = 0; task < 3; ++task) {
         checker.started("run-1", task, here, Time(1));
@@ -117,10 +117,10 @@
     EXPECT_TRUE(checker.breaches().empty());
 }
 TEST_F(Planted, Orphaned) {
-    for (const auto& [id, predecessor] :
+    for (const auto& [id, dependency] :
          {std::pair("run-2", "run-1"), std::pair("run-3", "run-2")}) {
         spec.id = id;
-        spec.predecessors = {predecessor};
+        spec.dependencies = {dependency};
         checker.submitted(spec, Time(0));
         checker.told(id, "pending", Time(0));
     }
@@ -136,7 +136,7 @@
 }
 TEST_F(Planted, CancelledWithAJobThatWasDone) {
     spec.id = "run-2";
-    spec.predecessors = {"run-1"};
+    spec.dependencies = {"run-1"};
     checker.submitted(spec, Time(0));
     for (std::uint32_t task = 0; task < 3; ++task) {
         checker.started("run-1", task, here, Time(1));
--- a/tests/unit/dependencies_test.cpp
+++ b/tests/unit/dependencies_test.cpp
@@ -12,7 +12,7 @@
 
 class Chains : public ::testing::Test {
   protected:
-    Job& add(const std::string& id, const std::vector<std::string>& predecessors,
+    Job& add(const std::string& id, const std::vector<std::string>& dependencies,
              Priority priority = Priority::low, std::optional<Seconds> deadline = std::nullopt) {
         Job job;
         job.spec.id = id;
@@ -20,13 +20,13 @@
         job.spec.priority = priority;
         job.spec.estimate = Seconds(10);
         job.spec.deadline = deadline;
-        job.spec.predecessors = predecessors;
+        job.spec.dependencies = dependencies;
         job.submitted = start;
         clusterState.addJob(std::move(job));
         return *clusterState.job(id);
     }
     void end(const std::string& id, bool cancelled, WallTime at) {
-        clusterState.dependencies.recordTerminal(id, {cancelled, at});
+        clusterState.dependencyGraph.recordTerminal(id, {cancelled, at});
         clusterState.dropJob(id);
     }
 
@@ -45,17 +45,17 @@
     // Its active record is gone, but nobody has read yet how it ended.
     clusterState.dropJob("run-b");
     EXPECT_TRUE(last.waiting);
-    EXPECT_EQ(clusterState.dependencies.unresolved(), std::set<std::string>{"run-b"});
+    EXPECT_EQ(clusterState.dependencyGraph.unresolved(), std::set<std::string>{"run-b"});
     EXPECT_FALSE(clusterState.schedulable(last));
-    clusterState.dependencies.recordTerminal("run-b", {false, start + 7s});
+    clusterState.dependencyGraph.recordTerminal("run-b", {false, start + 7s});
     EXPECT_TRUE(clusterState.schedulable(last));
     EXPECT_EQ(last.readySince, start + 20s);
-    EXPECT_TRUE(clusterState.dependencies.unresolved().empty());
+    EXPECT_TRUE(clusterState.dependencyGraph.unresolved().empty());
 }
 
 TEST_F(Chains, ATimeThatARecordLacksIsTheSubmission) {
     const Job& job = add("run-b", {"run-a"});
-    clusterState.dependencies.recordTerminal("run-a", {false, std::nullopt});
+    clusterState.dependencyGraph.recordTerminal("run-a", {false, std::nullopt});
     EXPECT_TRUE(clusterState.schedulable(job));
     EXPECT_EQ(job.readySince, start);
 }
@@ -65,21 +65,21 @@
     add("run-x", {"run-w"});
     add("run-y", {"run-x"});
     const Job& other = add("run-other", {});
-    EXPECT_FALSE(clusterState.job("run-z")->doomed);
+    EXPECT_FALSE(clusterState.job("run-z")->dependencyCancelled);
     add("run-w", {});
     clusterState.recordCancellation("run-w", 7);
-    EXPECT_TRUE(clusterState.job("run-x")->doomed);
-    EXPECT_TRUE(clusterState.job("run-z")->doomed);
-    EXPECT_FALSE(other.doomed);
-    EXPECT_TRUE(add("run-late", {"run-z"}).doomed);
+    EXPECT_TRUE(clusterState.job("run-x")->dependencyCancelled);
+    EXPECT_TRUE(clusterState.job("run-z")->dependencyCancelled);
+    EXPECT_FALSE(other.dependencyCancelled);
+    EXPECT_TRUE(add("run-late", {"run-z"}).dependencyCancelled);
 }
 
 TEST_F(Chains, ACancelledTerminalRecordCancelsToo) {
     add("run-b", {"run-a"});
     add("run-c", {"run-b"});
-    clusterState.dependencies.recordTerminal("run-a", {true, start});
-    EXPECT_TRUE(clusterState.job("run-b")->doomed);
-    EXPECT_TRUE(clusterState.job("run-c")->doomed);
+    clusterState.dependencyGraph.recordTerminal("run-a", {true, start});
+    EXPECT_TRUE(clusterState.job("run-b")->dependencyCancelled);
+    EXPECT_TRUE(clusterState.job("run-c")->dependencyCancelled);
     EXPECT_TRUE(clusterState.job("run-b")->waiting);
 }
 
@@ -87,7 +87,7 @@
     clusterState.recordCancellation("run-a", 7);
     add("run-b", {"run-a"});
     add("run-a", {});
-    EXPECT_TRUE(clusterState.job("run-b")->doomed);
+    EXPECT_TRUE(clusterState.job("run-b")->dependencyCancelled);
 }
 
 TEST_F(Chains, PriorityAndSlackFlowBack) {
@@ -119,19 +119,19 @@
     EXPECT_EQ(clusterState.job("run-a")->priority, Priority::high);
     EXPECT_EQ(*clusterState.job("run-a")->latestEnd, start + 70s);
     clusterState.clearRecords();
-    EXPECT_TRUE(clusterState.dependencies.unresolved().empty());
+    EXPECT_TRUE(clusterState.dependencyGraph.unresolved().empty());
     add("run-a", {});
     EXPECT_EQ(clusterState.job("run-a")->priority, Priority::low);
 }
 
 TEST_F(Chains, TerminalStatesAreKeptOnlyForWhoNeedsThem) {
     add("run-b", {"run-a"});
-    clusterState.dependencies.recordTerminal("run-a", {false, start});
-    clusterState.dependencies.recordTerminal("run-unasked", {false, start});
-    EXPECT_TRUE(clusterState.dependencies.isTerminalKnown("run-a"));
-    EXPECT_FALSE(clusterState.dependencies.isTerminalKnown("run-unasked"));
+    clusterState.dependencyGraph.recordTerminal("run-a", {false, start});
+    clusterState.dependencyGraph.recordTerminal("run-unasked", {false, start});
+    EXPECT_TRUE(clusterState.dependencyGraph.isTerminalKnown("run-a"));
+    EXPECT_FALSE(clusterState.dependencyGraph.isTerminalKnown("run-unasked"));
     end("run-b", false, start);
-    EXPECT_FALSE(clusterState.dependencies.isTerminalKnown("run-a"));
+    EXPECT_FALSE(clusterState.dependencyGraph.isTerminalKnown("run-a"));
 }
 
 TEST_F(Chains, DeepAndWideOnesAreKeptUpAlongTheirEdges) {
@@ -143,8 +143,8 @@
     add("run-last", {"run-" + std::to_string(depth)}, Priority::high, Seconds(100'000));
     EXPECT_EQ(clusterState.job("run-0")->priority, Priority::high);
     clusterState.recordCancellation("run-0", 3);
-    EXPECT_TRUE(clusterState.job("run-last")->doomed);
-    EXPECT_TRUE(clusterState.job("run-w399")->doomed);
+    EXPECT_TRUE(clusterState.job("run-last")->dependencyCancelled);
+    EXPECT_TRUE(clusterState.job("run-w399")->dependencyCancelled);
 }
 
 }  // namespace
--- a/tests/unit/failures_test.cpp
+++ b/tests/unit/failures_test.cpp
@@ -27,19 +27,19 @@
 
 TEST_F(FailingJob, TwoFaultyMachinesDoNotBlameTheJob) {
     job.slices[0].failures = 2;
-    EXPECT_FALSE(job.failing());
+    EXPECT_FALSE(job.crashLooping());
 }
 
 TEST_F(FailingJob, SlicesOfSeveralLeadersCountTogether) {
     job.slices[0].failures = 2;
     job.slices[1].failures = 1;
-    EXPECT_TRUE(job.failing());
+    EXPECT_TRUE(job.crashLooping());
 }
 
 TEST_F(FailingJob, ATaskThatIsDoneClearsTheJob) {
     job.slices[0].failures = 5;
     job.slices[1].markDone(6);
-    EXPECT_FALSE(job.failing());
+    EXPECT_FALSE(job.crashLooping());
 }
 
 TEST_F(FailingJob, IsNotSchedulableButMayBeStarted) {
@@ -64,7 +64,7 @@
     failed.failures = 3;
     applyEvent(clusterState, {keys::slice("run-1", 1), sliceValue(failed), 6}, {});
     ASSERT_NE(clusterState.job("run-1"), nullptr);
-    EXPECT_TRUE(clusterState.job("run-1")->failing());
+    EXPECT_TRUE(clusterState.job("run-1")->crashLooping());
 }
 
 TEST_F(FailingJob, ARecordWithoutFailuresIsWrittenAsBefore) {
--- a/tests/unit/machine_transfer_test.cpp
+++ b/tests/unit/machine_transfer_test.cpp
@@ -20,9 +20,9 @@
     TransferBench()
         : membership(context),
           placement(context, membership),
-          shares(context, membership, pipeline, placement),
-          reports(context, membership, stateWriter),
-          transfers(context, pipeline, stateWriter.writer(), shares, reports) {
+          quotas(context, membership, pipeline, placement),
+          heartbeats(context, membership, stateWriter),
+          transfers(context, pipeline, stateWriter.writer(), quotas, heartbeats) {
         settings_.teams = {{"t", 0, 0, 90, 0}};
         for (const auto* node : {"node-0", "node-1", "node-2"})
             state.put(bookkeeping::keys::machineTransfersGate(node),
@@ -42,18 +42,18 @@
         load();
         auto clusterState = context.clusterState.lock();
         for (auto& [id, known] : clusterState->machines) {
-            known.lastReport = context.now();
+            known.lastHeartbeat = context.now();
             known.fencingToken = known.firstFencingToken = known.expectedToken =
                 known.acknowledgedToken = 65'536;
         }
         for (auto& [id, known] : clusterState->jobs)
             for (auto& piece : known.slices)
-                for (auto& claim : piece.claims) {
-                    claim.seen = true;
-                    claim.state = protocol::TaskState::running;
+                for (auto& allocation : piece.allocations) {
+                    allocation.seen = true;
+                    allocation.state = protocol::TaskState::running;
                 }
         timers.advance(60s);
-        for (auto& [id, known] : clusterState->machines) known.lastReport = context.now();
+        for (auto& [id, known] : clusterState->machines) known.lastHeartbeat = context.now();
     }
     // An array of ten tasks in one slice: 2, 3 and 6 on m-1, 5 on m-2, 4 and 7 done.
     void putArray() {
@@ -61,8 +61,8 @@
         made.slices[0].markDone(4);
         made.slices[0].markDone(7);
         for (const std::uint32_t task : {2U, 3U, 6U})
-            made.slices[0].claims.push_back(makeClaim(task, "m-1", 70 + task));
-        made.slices[0].claims.push_back(makeClaim(5, "m-2", 75));
+            made.slices[0].allocations.push_back(makeAllocation(task, "m-1", 70 + task));
+        made.slices[0].allocations.push_back(makeAllocation(5, "m-2", 75));
         putJob(made);
         putSlice(made, made.slices[0]);
     }
@@ -70,7 +70,8 @@
         Job made = makeJob(tasks, tasks);
         made.spec.kind = protocol::JobKind::gang;
         for (std::uint32_t task = 0; task < tasks; ++task)
-            made.slices[0].claims.push_back(makeClaim(task, task == 0 ? "m-1" : "m-2", 9));
+            made.slices[0].allocations.push_back(
+                makeAllocation(task, task == 0 ? "m-1" : "m-2", 9));
         putJob(made);
         putSlice(made, made.slices[0]);
     }
@@ -103,15 +104,15 @@
     // A machine's leader holds all its tasks' slices.
     void expectOneOwner(bookkeeping::ClusterState& clusterState) {
         for (auto& [id, known] : clusterState.machines)
-            for (const auto& ref : known.claims)
-                EXPECT_EQ(clusterState.held(ref).slice->partition, known.partition)
+            for (const auto& ref : known.allocations)
+                EXPECT_EQ(clusterState.findAllocation(ref).slice->partition, known.partition)
                     << id << " task " << ref.task;
     }
 
     Membership membership;
     Placement placement;
-    Shares shares;
-    Reports reports;
+    QuotaExchange quotas;
+    HeartbeatHandler heartbeats;
     MachineTransfers transfers;
     std::optional<bool> given;
 };
@@ -133,11 +134,11 @@
     for (auto* clusterState : {&fresh, &*context.clusterState.lock()}) {
         EXPECT_EQ(clusterState->machine("m-1")->partition, 2U);
         EXPECT_EQ(clusterState->machine("m-2")->partition, 0U);
-        EXPECT_EQ(clusterState->machine("m-1")->claims.size(), 3U);
+        EXPECT_EQ(clusterState->machine("m-1")->allocations.size(), 3U);
         for (const std::uint32_t task : {2U, 3U, 6U}) {
-            const auto* claim = clusterState->job("run-1")->sliceOf(task)->claimOf(task);
-            ASSERT_NE(claim, nullptr);
-            EXPECT_EQ(claim->attempt, 70 + task);
+            const auto* allocation = clusterState->job("run-1")->sliceOf(task)->allocationOf(task);
+            ASSERT_NE(allocation, nullptr);
+            EXPECT_EQ(allocation->attempt, 70 + task);
         }
         expectOneOwner(*clusterState);
     }
@@ -152,7 +153,7 @@
 TEST_F(TransferBench, TwoSlicesOfOneJobAreDividedTogether) {
     Job made = makeJob(8, 4);
     for (const std::uint32_t task : {1U, 6U})
-        made.slices[task / 4].claims.push_back(makeClaim(task, "m-1", 70 + task));
+        made.slices[task / 4].allocations.push_back(makeAllocation(task, "m-1", 70 + task));
     putJob(made);
     for (const auto& piece : made.slices) putSlice(made, piece);
     loadHeard();
@@ -163,7 +164,7 @@
     EXPECT_EQ(coverInClusterState("run-1"), std::vector<int>(8, 1));
     bookkeeping::ClusterState fresh;
     readRecords(fresh);
-    EXPECT_EQ(fresh.machine("m-1")->claims.size(), 2U);
+    EXPECT_EQ(fresh.machine("m-1")->allocations.size(), 2U);
     expectOneOwner(fresh);
 }
 
@@ -184,14 +185,14 @@
 TEST_F(TransferBench, AGangThatHasNotStartedStaysWithAllItsMachines) {
     putGang(2);
     loadHeard();
-    context.clusterState.lock()->job("run-1")->slices[0].claims[1].state =
+    context.clusterState.lock()->job("run-1")->slices[0].allocations[1].state =
         protocol::TaskState::waiting;
     EXPECT_EQ(refusalFor("m-1"), sharing::Refusal::gangStarting);
     EXPECT_EQ(refusalFor("m-2"), sharing::Refusal::gangStarting);
     // Half placed, the other half given up.
     auto clusterState = context.clusterState.lock();
-    clusterState->removeClaim(*clusterState->job("run-1"), clusterState->job("run-1")->slices[0],
-                              1);
+    clusterState->removeAllocation(*clusterState->job("run-1"),
+                                   clusterState->job("run-1")->slices[0], 1);
     EXPECT_EQ(refusalFor("m-1"), sharing::Refusal::gangStarting);
 }
 
@@ -205,20 +206,20 @@
     const auto refusedWith = [&](auto&& change) {
         change();
         const auto refusal = refusalFor("m-1");
-        const auto claims = known.claims;
+        const auto allocations = known.allocations;
         known = saved;
-        known.claims = claims;
+        known.allocations = allocations;
         return refusal;
     };
     using sharing::Refusal;
     EXPECT_EQ(refusedWith([&] { known.retired = true; }), Refusal::leaving);
     EXPECT_EQ(refusedWith([&] { known.emptying = true; }), Refusal::leaving);
-    EXPECT_EQ(refusedWith([&] { known.noticeEnds = context.now() + 30s; }), Refusal::leaving);
+    EXPECT_EQ(refusedWith([&] { known.interruptionAt = context.now() + 30s; }), Refusal::leaving);
     EXPECT_EQ(refusedWith([&] { known.transferring = true; }), Refusal::transferring);
     EXPECT_EQ(refusedWith([&] { known.departedTo = 1; }), Refusal::transferring);
     EXPECT_EQ(refusedWith([&] { known.lender = 1; }), Refusal::onLoan);
     EXPECT_EQ(refusedWith([&] { known.version = 0; }), Refusal::notRecorded);
-    EXPECT_EQ(refusedWith([&] { known.lastReport = context.now() - 11s; }), Refusal::silent);
+    EXPECT_EQ(refusedWith([&] { known.lastHeartbeat = context.now() - 11s; }), Refusal::silent);
     EXPECT_EQ(refusedWith([&] { known.expectedToken = known.acknowledgedToken + 1; }),
               Refusal::silent);
     EXPECT_EQ(refusedWith([&] { known.known = context.now() - 29s; }), Refusal::heldTooShort);
@@ -227,12 +228,12 @@
                   known.reservedUntil = context.now() + 5s;
               }),
               Refusal::reserved);
-    array.slices[0].claimOf(2)->stopGrace = Seconds(1);
+    array.slices[0].allocationOf(2)->stopGrace = Seconds(1);
     EXPECT_EQ(refusalFor("m-1"), Refusal::taskStopping);
-    array.slices[0].claimOf(2)->stopGrace.reset();
-    array.slices[0].claimOf(3)->durable = false;
+    array.slices[0].allocationOf(2)->stopGrace.reset();
+    array.slices[0].allocationOf(3)->durable = false;
     EXPECT_EQ(refusalFor("m-1"), Refusal::recordPending);
-    array.slices[0].claimOf(3)->durable = true;
+    array.slices[0].allocationOf(3)->durable = true;
     array.slices[0].leaving = TaskRange{8, 2};
     EXPECT_EQ(refusalFor("m-1"), Refusal::jobLeaving);
     array.slices[0].leaving.reset();
@@ -259,13 +260,13 @@
     ASSERT_NE(team, nullptr);
     give("m-1");
     // Nothing more of it may be begun by the giver while the outcome is unknown.
-    EXPECT_TRUE(context.clusterState.lock()->sharesLeaving.contains("t"));
+    EXPECT_TRUE(context.clusterState.lock()->outgoingQuotas.contains("t"));
     serveAll();
     auto clusterState = context.clusterState.lock();
-    EXPECT_DOUBLE_EQ(placement.shareOf(*clusterState, *team, 0).cpus, 27);
-    EXPECT_DOUBLE_EQ(placement.shareOf(*clusterState, *team, 1).cpus, 30);
-    EXPECT_DOUBLE_EQ(placement.shareOf(*clusterState, *team, 2).cpus, 33);
-    EXPECT_FALSE(clusterState->sharesLeaving.contains("t"));
+    EXPECT_DOUBLE_EQ(placement.quotaShareOf(*clusterState, *team, 0).cpus, 27);
+    EXPECT_DOUBLE_EQ(placement.quotaShareOf(*clusterState, *team, 1).cpus, 30);
+    EXPECT_DOUBLE_EQ(placement.quotaShareOf(*clusterState, *team, 2).cpus, 33);
+    EXPECT_FALSE(clusterState->outgoingQuotas.contains("t"));
 }
 
 TEST_F(TransferBench, ACancellationThatComesFirstKeepsTheMachine) {
@@ -312,13 +313,13 @@
     replica.start();
     serveAll();
     {
-        // Read anew, the records say nothing of what the workers report.
+        // Read anew, the records say nothing of what the workers heartbeat.
         auto clusterState = context.clusterState.lock();
-        for (auto& [id, known] : clusterState->machines) known.lastReport = context.now();
+        for (auto& [id, known] : clusterState->machines) known.lastHeartbeat = context.now();
         for (auto& [id, known] : clusterState->machines) known.known = context.now() - 60s;
     }
     give("m-1");
-    const auto sent = state.takeTransaction();
+    const auto sent = state.nextTransaction();
     EXPECT_EQ(state.carryOut(sent.request).status, 200);
     // The watch brings it before any answer: the giver sends the worker on from here.
     for (int i = 0; i < 20 && !context.clusterState.lock()->machine("m-1")->departedTo; ++i) {
@@ -349,7 +350,7 @@
     putArray();
     loadHeard();
     give("m-1");
-    const auto late = state.takeTransaction();
+    const auto late = state.nextTransaction();
     // Its sender ends, and its next life takes the partition with a higher term.
     own(0, "node-0", 7);
     EXPECT_EQ(state.carryOut(late.request).status, 409);
@@ -364,9 +365,9 @@
     {
         auto clusterState = context.clusterState.lock();
         Job& array = *clusterState->job("run-1");
-        clusterState->removeClaim(array, array.slices[0], 6);  // of the machine that leaves
+        clusterState->removeAllocation(array, array.slices[0], 6);  // of the machine that leaves
         array.slices[0].markDone(6);
-        clusterState->removeClaim(array, array.slices[0], 5);  // of the one that stays
+        clusterState->removeAllocation(array, array.slices[0], 5);  // of the one that stays
         array.slices[0].markDone(5);
     }
     serveAll();
@@ -374,10 +375,10 @@
     {
         auto clusterState = context.clusterState.lock();
         Job& array = *clusterState->job("run-1");
-        EXPECT_NE(array.sliceOf(6)->claimOf(6), nullptr);
+        EXPECT_NE(array.sliceOf(6)->allocationOf(6), nullptr);
         EXPECT_FALSE(array.sliceOf(6)->complete());
         EXPECT_TRUE(array.sliceOf(5)->done[5 - array.sliceOf(5)->first]);
-        EXPECT_EQ(clusterState->machine("m-1")->claims.size(), 3U);
+        EXPECT_EQ(clusterState->machine("m-1")->allocations.size(), 3U);
     }
     stateWriter.flush(0);
     serveAll();
@@ -385,7 +386,7 @@
     readRecords(fresh);
     Job& read = *fresh.job("run-1");
     EXPECT_TRUE(read.sliceOf(5)->done[5 - read.sliceOf(5)->first]);
-    EXPECT_NE(read.sliceOf(6)->claimOf(6), nullptr);
+    EXPECT_NE(read.sliceOf(6)->allocationOf(6), nullptr);
     EXPECT_EQ(coverInRecords("run-1"), std::vector<int>(10, 1));
 }
 
@@ -408,7 +409,7 @@
         const Machine& known = *clusterState->machine("m-1");
         EXPECT_EQ(known.partition, 0U) << bad;
         EXPECT_EQ(known.type, "large") << bad;
-        EXPECT_EQ(known.claims.size(), 3U) << bad;
+        EXPECT_EQ(known.allocations.size(), 3U) << bad;
         // Its leader's next writing goes over the corrupt version.
         EXPECT_EQ(known.version, state.revision) << bad;
         EXPECT_TRUE(clusterState->corruptMachines.contains("m-1")) << bad;
--- a/tests/unit/messages_test.cpp
+++ b/tests/unit/messages_test.cpp
@@ -53,7 +53,7 @@
     for (const auto* field :
          {wire::id, wire::jobClass, wire::team, wire::kind, wire::priority, wire::tasks, wire::cpus,
           wire::gpus, wire::memory, wire::image, wire::imageSize, wire::oneZone, wire::spread,
-          wire::spot, wire::estimate, wire::checkpoint, wire::save}) {
+          wire::spot, wire::estimate, wire::checkpointInterval, wire::checkpointDuration}) {
         auto body = goodJob();
         body.erase(field);
         EXPECT_FALSE(accepted(body)) << field;
@@ -85,7 +85,7 @@
         if (rng() % 4 == 0) bytes.resize(rng() % bytes.size());
         if (const auto decoded = decodeCbor(bytes)) {
             parseJobSpec(*decoded);
-            parseWorkerReport(*decoded);
+            parseHeartbeat(*decoded);
         }
     }
     EXPECT_FALSE(decodeCbor(std::string(60'000, '\x81')));
@@ -95,29 +95,29 @@
     EXPECT_TRUE(decodeCbor(good));
 }
 
-TEST(WorkerReport, ReadsTasksAndRefusesBadNames) {
+TEST(Heartbeat, ReadsTasksAndRefusesBadNames) {
     Json body{{wire::machine, "m-1"},
-              {wire::session, 2},
+              {wire::agentEpoch, 2},
               {wire::sequence, 9},
               {wire::fencingToken, 41},
-              {wire::notice, nullptr},
+              {wire::interruptionNotice, nullptr},
               {wire::tasks,
                {{{wire::task, "run-1/3"},
                  {wire::attempt, 7},
                  {wire::state, wire::stateExited},
                  {wire::cause, wire::causeDone}}}}};
-    const auto report = parseWorkerReport(body);
-    ASSERT_TRUE(report);
-    EXPECT_EQ(report->tasks.at(0).job, "run-1");
-    EXPECT_EQ(report->tasks.at(0).index, 3U);
-    EXPECT_EQ(report->tasks.at(0).state, TaskState::exited);
-    EXPECT_EQ(report->tasks.at(0).cause, ExitCause::done);
-    EXPECT_FALSE(report->notice);
+    const auto heartbeat = parseHeartbeat(body);
+    ASSERT_TRUE(heartbeat);
+    EXPECT_EQ(heartbeat->tasks.at(0).job, "run-1");
+    EXPECT_EQ(heartbeat->tasks.at(0).index, 3U);
+    EXPECT_EQ(heartbeat->tasks.at(0).state, TaskState::exited);
+    EXPECT_EQ(heartbeat->tasks.at(0).cause, ExitCause::done);
+    EXPECT_FALSE(heartbeat->interruptionNotice);
     body[wire::tasks][0][wire::task] = "run-1";
-    EXPECT_FALSE(parseWorkerReport(body));
+    EXPECT_FALSE(parseHeartbeat(body));
     body[wire::tasks] = Json::array();
     body[wire::machine] = "m/1";
-    EXPECT_FALSE(parseWorkerReport(body));
+    EXPECT_FALSE(parseHeartbeat(body));
 }
 
 }  // namespace
--- a/tests/unit/peer_codec_test.cpp
+++ b/tests/unit/peer_codec_test.cpp
@@ -50,16 +50,16 @@
     EXPECT_EQ(loan.job, "run-2");
     EXPECT_EQ(loan.zone, "b");
     EXPECT_EQ(loan.machines, 12U);
-    const auto share = roundTrip(ShareAsk{3, 0, "run-3"});
-    EXPECT_EQ(share.lender, 3U);
-    EXPECT_EQ(share.borrower, 0U);
-    EXPECT_EQ(share.job, "run-3");
+    const auto quota = roundTrip(QuotaRequest{3, 0, "run-3"});
+    EXPECT_EQ(quota.lender, 3U);
+    EXPECT_EQ(quota.borrower, 0U);
+    EXPECT_EQ(quota.job, "run-3");
     EXPECT_EQ(roundTrip(JobEnded{"run-4"}).job, "run-4");
-    const auto report = roundTrip(
-        DemandReport{2, {{}, {1500, 2000, 64'000, {"g8", "g4"}, "a", true, 12, true, 5, 99}}});
-    EXPECT_EQ(report.partition, 2U);
-    ASSERT_EQ(report.demands.size(), 2U);
-    const auto& demand = report.demands[1];
+    const auto update = roundTrip(
+        DemandUpdate{2, {{}, {1500, 2000, 64'000, {"g8", "g4"}, "a", true, 12, true, 5, 99}}});
+    EXPECT_EQ(update.partition, 2U);
+    ASSERT_EQ(update.demands.size(), 2U);
+    const auto& demand = update.demands[1];
     EXPECT_EQ(demand.cpus, 1500U);
     EXPECT_EQ(demand.gpus, 2000U);
     EXPECT_EQ(demand.memory, 64'000U);
@@ -101,7 +101,7 @@
     auto frame = encodePeer({"n", PeerHeartbeat{}});
     frame.back() = '\x7f';  // the list's length
     EXPECT_FALSE(decodePeer(frame));
-    auto demands = encodePeer({"n", DemandReport{}});
+    auto demands = encodePeer({"n", DemandUpdate{}});
     demands.back() = '\x7f';
     EXPECT_FALSE(decodePeer(demands));
     frame.pop_back();
@@ -112,7 +112,7 @@
     std::mt19937 rng(42);
     const std::vector<std::string> good{
         encodePeer({"node-1", MoveAsk{300, 2, "run-1", 7, true, 5}}),
-        encodePeer({"node-1", DemandReport{1, {{1, 2, 3, {"g8"}, "a", true, 4, true, 5, 6}}}})};
+        encodePeer({"node-1", DemandUpdate{1, {{1, 2, 3, {"g8"}, "a", true, 4, true, 5, 6}}}})};
     for (int i = 0; i < 40'000; ++i) {
         std::string frame = good[static_cast<std::size_t>(i / 2 % 2)];
         if (i % 2 == 0) frame.resize(rng() % 64);
--- a/tests/unit/record_bench.h
+++ b/tests/unit/record_bench.h
@@ -78,7 +78,7 @@
         log.push_back({key, records[key].value, revision});
     }
     // The first transaction that waits, taken out of the queue.
-    Request takeTransaction() {
+    Request nextTransaction() {
         const auto found = std::find_if(pending.begin(), pending.end(), [](const auto& request) {
             return request.isTransaction();
         });
@@ -230,12 +230,13 @@
         job.slices = bookkeeping::makeSlices(job.spec, sliceSize, 0);
         return job;
     }
-    static Claim makeClaim(std::uint32_t task, const std::string& machine, std::uint64_t attempt) {
-        Claim claim;
-        claim.task = task;
-        claim.machine = machine;
-        claim.attempt = attempt;
-        return claim;
+    static Allocation makeAllocation(std::uint32_t task, const std::string& machine,
+                                     std::uint64_t attempt) {
+        Allocation allocation;
+        allocation.task = task;
+        allocation.machine = machine;
+        allocation.attempt = attempt;
+        return allocation;
     }
     void putJob(const Job& job) {
         state.put(bookkeeping::keys::job(job.spec.id), bookkeeping::jobValue(job));
--- a/tests/unit/recorder_test.cpp
+++ b/tests/unit/recorder_test.cpp
@@ -27,7 +27,7 @@
         for (auto task = piece.first; task < piece.range().end(); ++task) piece.markDone(task);
     made.slices[9].done.assign(4, false);
     made.slices[9].doneCount = 0;
-    made.slices[9].claims.push_back(makeClaim(36, "m-1", 7));
+    made.slices[9].allocations.push_back(makeAllocation(36, "m-1", 7));
     putJob(made);
     for (const auto& piece : made.slices) putSlice(made, piece);
     load();
@@ -35,7 +35,7 @@
         // Ended, as far as this leader has heard from the workers; none of it is recorded yet.
         auto clusterState = context.clusterState.lock();
         Job& held = *clusterState->job("run-1");
-        clusterState->removeClaim(held, held.slices[9], 36);
+        clusterState->removeAllocation(held, held.slices[9], 36);
         for (std::uint32_t task = 36; task < 40; ++task) held.slices[9].markDone(task);
     }
     stateWriter.flush(0);
@@ -75,14 +75,14 @@
         made.slices[1].partition = 1;
         for (auto& piece : made.slices)
             for (auto task = piece.first; task < piece.range().end(); ++task)
-                piece.claims.push_back(makeClaim(task, "m-000001", (1ULL << 44U) + task));
+                piece.allocations.push_back(makeAllocation(task, "m-000001", (1ULL << 44U) + task));
         putJob(made);
         for (const auto& piece : made.slices) putSlice(made, piece);
         load();
         auto clusterState = context.clusterState.lock();
         Job& held = *clusterState->job("run-1");
         for (const std::uint32_t task : {3U, 43U})
-            clusterState->removeClaim(held, *held.sliceOf(task), task);
+            clusterState->removeAllocation(held, *held.sliceOf(task), task);
     }
 };
 
@@ -95,9 +95,9 @@
     stateWriter.flush(0);
     stateWriter.flush(1);
     timers.advance(std::chrono::milliseconds(20));
-    const auto first = state.takeTransaction();
+    const auto first = state.nextTransaction();
     const auto answer = state.carryOut(first.request);
-    const auto second = state.takeTransaction();
+    const auto second = state.nextTransaction();
     state.serve(second);
     // The reads that the refused one asks for are answered before the first one's answer arrives.
     for (int round = 0; round < 10; ++round) {
@@ -117,7 +117,7 @@
     putTwoLargeSlices();
     stateWriter.flush(0);
     timers.advance(std::chrono::milliseconds(20));
-    const auto division = state.takeTransaction();
+    const auto division = state.nextTransaction();
     // Of the keys before it, the divided slice's is the last of the first page.
     const auto before = std::distance(state.records.upper_bound(bookkeeping::keys::activePrefix),
                                       state.records.upper_bound(slice("run-1", 0)));
@@ -144,7 +144,7 @@
 }
 
 // The records are read anew, as they stood before, while a change has no outcome. Taken in over
-// what was read, its outcome once had the claims that it carried written away again.
+// what was read, its outcome once had the allocations that it carried written away again.
 TEST_F(RecordBench, AReadingBeforeTheOutcomeDoesNotUndoIt) {
     Job made = makeJob(4, 4);
     putJob(made);
@@ -153,11 +153,11 @@
     {
         auto clusterState = context.clusterState.lock();
         Job& held = *clusterState->job("run-1");
-        clusterState->addClaim(held, held.slices[0], makeClaim(0, "m-1", 7));
+        clusterState->addAllocation(held, held.slices[0], makeAllocation(0, "m-1", 7));
     }
     stateWriter.flush(0);
     timers.advance(std::chrono::milliseconds(20));
-    const auto change = state.takeTransaction();
+    const auto change = state.nextTransaction();
     replica.resync();
     serveAll();
     ASSERT_TRUE(replica.synced());
@@ -165,12 +165,12 @@
     serveAll();
     stateWriter.flush(0);
     serveAll();
-    EXPECT_EQ(context.clusterState.lock()->job("run-1")->claimedTasks(), 1U);
+    EXPECT_EQ(context.clusterState.lock()->job("run-1")->allocatedTasks(), 1U);
     EXPECT_EQ(state.records.at(slice("run-1", 0)).value["claims"].size(), 1U);
 }
 
-// The new leader of a pushed slice may record claims in it before the pusher has its answer. What
-// the watch brings meanwhile was once dropped, and for the job's home the tasks had no places:
+// The new leader of a pushed slice may record allocations in it before the pusher has its answer.
+// What the watch brings meanwhile was once dropped, and for the job's home the tasks had no places:
 // called off, it ended while they ran.
 TEST_F(RecordBench, AllocationsThatOvertakeTheAnswerToAMigrationAreKnown) {
     Job made = makeJob(8, 4);
@@ -182,15 +182,15 @@
     stateWriter.push(
         0, {"run-1", 1, {4, 4}, 2, context.now() + std::chrono::seconds(10), [](bool) {}});
     timers.advance(std::chrono::milliseconds(20));
-    const auto push = state.takeTransaction();
+    const auto push = state.nextTransaction();
     const auto answer = state.carryOut(push.request);
     made.slices[1].partition = 2;
-    made.slices[1].claims.push_back(makeClaim(5, "m-2", 9));
+    made.slices[1].allocations.push_back(makeAllocation(5, "m-2", 9));
     putSlice(made, made.slices[1]);
     serveAll();
     push.done(answer);
     serveAll();
-    EXPECT_EQ(context.clusterState.lock()->job("run-1")->claimedTasks(), 1U);
+    EXPECT_EQ(context.clusterState.lock()->job("run-1")->allocatedTasks(), 1U);
 }
 
 // A cancelled job ends when no task of it has a place. Its home may not judge that by a slice whose
@@ -204,10 +204,10 @@
     stateWriter.push(
         1, {"run-1", 1, {4, 4}, 2, context.now() + std::chrono::seconds(10), [](bool) {}});
     timers.advance(std::chrono::milliseconds(20));
-    const auto push = state.takeTransaction();
+    const auto push = state.nextTransaction();
     state.carryOut(push.request);
     made.slices[1].partition = 2;
-    made.slices[1].claims.push_back(makeClaim(5, "m-2", 9));
+    made.slices[1].allocations.push_back(makeAllocation(5, "m-2", 9));
     putSlice(made, made.slices[1]);
     made.cancelled = true;
     putJob(made);
@@ -222,31 +222,31 @@
     EXPECT_EQ(state.transactions(), 0U);
 }
 
-// Decided in one term, refused for a while, and sent in the next: what a successor has done between
+// Decided in one term, refused for a while, and sent in the next: what a dependent has done between
 // the two is unknown to it.
 TEST_F(RecordBench, WhatWasDecidedInAnEarlierTermIsNotSentInALaterOne) {
     Job made = makeJob(4, 4);
-    made.slices[0].claims.push_back(makeClaim(0, "m-1", 7));
+    made.slices[0].allocations.push_back(makeAllocation(0, "m-1", 7));
     putJob(made);
     putSlice(made, made.slices[0]);
     load();
     {
         auto clusterState = context.clusterState.lock();
         Job& held = *clusterState->job("run-1");
-        clusterState->removeClaim(held, held.slices[0], 0);
+        clusterState->removeAllocation(held, held.slices[0], 0);
     }
     stateWriter.flush(0);
     timers.advance(std::chrono::milliseconds(20));
-    const auto refused = state.takeTransaction();
+    const auto refused = state.nextTransaction();
     refused.done(transport::HttpResponse{503, {}, 0});
     own(0, "node-1", 2);
     own(0, "node-0", 3);
-    const auto& taken = state.records.at(partition(0));
+    const auto& latest = state.records.at(partition(0));
     bookkeeping::applyEvent(*context.clusterState.lock(),
-                            {partition(0), taken.value, taken.version}, {});
+                            {partition(0), latest.value, latest.version}, {});
     serveAll();
     EXPECT_EQ(state.records.at(slice("run-1", 0)).value["claims"].size(), 1U);
-    EXPECT_EQ(context.clusterState.lock()->job("run-1")->claimedTasks(), 1U);
+    EXPECT_EQ(context.clusterState.lock()->job("run-1")->allocatedTasks(), 1U);
 }
 
 // Equal values with different versions are not one transaction's: with the later version taken for
@@ -266,7 +266,7 @@
     }
     stateWriter.flush(0);
     timers.advance(std::chrono::milliseconds(20));
-    const auto lost = state.takeTransaction();
+    const auto lost = state.nextTransaction();
     state.carryOut(lost.request);
     lost.done(std::nullopt);
     // Written once more, with the same content.
@@ -288,14 +288,14 @@
     {
         auto clusterState = context.clusterState.lock();
         Job& held = *clusterState->job("run-1");
-        auto found = makeClaim(0, "m-1", 7);
+        auto found = makeAllocation(0, "m-1", 7);
         found.seen = true;
-        clusterState->addClaim(held, held.slices[0], found);
-        clusterState->addClaim(held, held.slices[1], makeClaim(4, "m-1", 8));
+        clusterState->addAllocation(held, held.slices[0], found);
+        clusterState->addAllocation(held, held.slices[1], makeAllocation(4, "m-1", 8));
     }
     stateWriter.flush(0);
     timers.advance(std::chrono::milliseconds(20));
-    const auto refused = state.takeTransaction();
+    const auto refused = state.nextTransaction();
     state.put(slice("run-1", 1), Json(state.records.at(slice("run-1", 1)).value));
     state.serve(refused);
     for (int round = 0; round < 10; ++round) {
@@ -304,7 +304,7 @@
         for (const auto& request : reads)
             if (!request.isTransaction()) state.serve(request);
     }
-    EXPECT_NE(context.clusterState.lock()->job("run-1")->slices[0].claimOf(0), nullptr);
+    EXPECT_NE(context.clusterState.lock()->job("run-1")->slices[0].allocationOf(0), nullptr);
 }
 
 // A slice whose job was created between two pages of a reading is no orphaned, although its job is
@@ -326,7 +326,7 @@
     Job made = makeJob(8, 4);
     made.slices[1].partition = 1;
     for (std::uint32_t task = 0; task < 4; ++task) made.slices[0].markDone(task);
-    made.slices[1].claims.push_back(makeClaim(4, "m-1", 7));
+    made.slices[1].allocations.push_back(makeAllocation(4, "m-1", 7));
     made.cancelled = true;
     putJob(made);
     for (const auto& piece : made.slices) putSlice(made, piece);
@@ -334,7 +334,7 @@
     {
         auto clusterState = context.clusterState.lock();
         Job& held = *clusterState->job("run-1");
-        clusterState->removeClaim(held, held.slices[1], 4);
+        clusterState->removeAllocation(held, held.slices[1], 4);
     }
     stateWriter.flush(0);
     own(1, "node-1", 2);
--- a/tests/unit/records_test.cpp
+++ b/tests/unit/records_test.cpp
@@ -49,23 +49,23 @@
     slice.markDone(4);
     slice.markDone(5);
     slice.markDone(7);
-    Claim claim;
-    claim.task = 6;
-    claim.machine = "m-1";
-    claim.attempt = 1ULL << 40U;
-    slice.claims.push_back(claim);
+    Allocation allocation;
+    allocation.task = 6;
+    allocation.machine = "m-1";
+    allocation.attempt = 1ULL << 40U;
+    slice.allocations.push_back(allocation);
     put(keys::slice("run-1", 1), sliceValue(slice), 8);
     Slice& read = clusterState.job("run-1")->slices[1];
     EXPECT_EQ(read.partition, 2U);
     EXPECT_EQ(read.done, slice.done);
     EXPECT_EQ(read.doneCount, 3U);
-    ASSERT_EQ(read.claims.size(), 1U);
-    EXPECT_EQ(read.claims[0].attempt, 1ULL << 40U);
-    EXPECT_TRUE(read.claims[0].durable);
+    ASSERT_EQ(read.allocations.size(), 1U);
+    EXPECT_EQ(read.allocations[0].attempt, 1ULL << 40U);
+    EXPECT_TRUE(read.allocations[0].durable);
 
-    // The machine's record comes after the claim's.
+    // The machine's record comes after the allocation's.
     putMachine("m-1", 9);
-    EXPECT_EQ(clusterState.machine("m-1")->claims.size(), 1U);
+    EXPECT_EQ(clusterState.machine("m-1")->allocations.size(), 1U);
     EXPECT_DOUBLE_EQ(clusterState.machine("m-1")->used.cpus, 2);
 }
 
@@ -103,11 +103,11 @@
                 auto slices = makeSlices(job.spec, size, 2);
                 Slice& slice = slices.front();
                 for (std::uint32_t i = 0; i < slice.done.size(); ++i) {
-                    Claim claim;
-                    claim.task = i;
-                    claim.machine = "m-123456789";
-                    claim.attempt = (1ULL << 44U) + i;
-                    slice.claims.push_back(claim);
+                    Allocation allocation;
+                    allocation.task = i;
+                    allocation.machine = "m-123456789";
+                    allocation.attempt = (1ULL << 44U) + i;
+                    slice.allocations.push_back(allocation);
                 }
                 EXPECT_LE(sliceValue(slice).dump().size(), kb * 1024) << kb;
             }
@@ -130,13 +130,13 @@
     putMachine("m-1", 6);
     Slice whole = job.slices[1];
     whole.markDone(4);
-    Claim claim;
-    claim.task = 6;
-    claim.machine = "m-1";
-    claim.attempt = 9;
-    whole.claims.push_back(claim);
+    Allocation allocation;
+    allocation.task = 6;
+    allocation.machine = "m-1";
+    allocation.attempt = 9;
+    whole.allocations.push_back(allocation);
     put(keys::slice("run-1", 1), sliceValue(whole), 7);
-    ASSERT_EQ(clusterState.machine("m-1")->claims.size(), 1U);
+    ASSERT_EQ(clusterState.machine("m-1")->allocations.size(), 1U);
 
     const auto pieces = cutSlice(whole, {6, 7}, 3);
     ASSERT_EQ(pieces.size(), 3U);
@@ -159,8 +159,8 @@
         EXPECT_EQ(read.sliceOf(6), &read.slices[3]);
         EXPECT_EQ(read.sliceOf(5), &read.slices[1]);
         EXPECT_EQ(read.doneTasks(), 1U);
-        EXPECT_EQ(read.claimedTasks(), 1U);
-        EXPECT_EQ(clusterState.machine("m-1")->claims.size(), 1U);
+        EXPECT_EQ(read.allocatedTasks(), 1U);
+        EXPECT_EQ(clusterState.machine("m-1")->allocations.size(), 1U);
         EXPECT_DOUBLE_EQ(clusterState.machine("m-1")->used.cpus, 2);
         EXPECT_EQ(sliceValue(read.slices[3]), sliceValue(pieces[1]));
     }
@@ -206,25 +206,25 @@
 TEST_F(Records, UnrecordedChangesCanBeDiscarded) {
     Job job = makeJob(8);
     Slice first = job.slices[0];
-    Claim claim;
-    claim.task = 1;
-    claim.machine = "m-1";
-    claim.attempt = 7;
-    first.claims.push_back(claim);
+    Allocation allocation;
+    allocation.task = 1;
+    allocation.machine = "m-1";
+    allocation.attempt = 7;
+    first.allocations.push_back(allocation);
     put(keys::job("run-1"), jobValue(job), 5);
     putMachine("m-1", 6);
     put(keys::slice("run-1", 0), sliceValue(first), 7);
     Job& held = *clusterState.job("run-1");
-    clusterState.removeClaim(held, held.slices[0], 1);
+    clusterState.removeAllocation(held, held.slices[0], 1);
     held.slices[0].markDone(1);
-    claim.task = 5;
-    clusterState.addClaim(held, held.slices[1], claim);
+    allocation.task = 5;
+    clusterState.addAllocation(held, held.slices[1], allocation);
     EXPECT_TRUE(clusterState.hasUnrecorded(1));
     clusterState.discardUnrecorded(1);
     EXPECT_FALSE(clusterState.hasUnrecorded(1));
     EXPECT_EQ(sliceValue(held.slices[0]), sliceValue(first));
     EXPECT_EQ(sliceValue(held.slices[1]), sliceValue(job.slices[1]));
-    EXPECT_EQ(clusterState.machine("m-1")->claims, (std::vector<TaskRef>{{"run-1", 1, 7}}));
+    EXPECT_EQ(clusterState.machine("m-1")->allocations, (std::vector<TaskRef>{{"run-1", 1, 7}}));
 }
 
 TEST(GoneMachines, ForgetsTheOneThatWentFirst) {
--- a/tests/unit/shared_formats_test.cpp
+++ b/tests/unit/shared_formats_test.cpp
@@ -21,7 +21,7 @@
 constexpr auto lentMachineText =
     R"({"floor":720897,"lender":1,"part":2,"retired":true,"spot":false,"type":"g8","zone":"b"})";
 constexpr auto partitionText = R"({"owner":"spoke-1","term":11})";
-constexpr auto shareText = R"({"shares":[[1.5,24.0],[0.0,64.0]]})";
+constexpr auto quotaText = R"({"shares":[[1.5,24.0],[0.0,64.0]]})";
 constexpr auto catalogText =
     R"({"breeds":[{"cache_gb":200.0,"cores":96.0,"gpus":8.0,"market_price":4.5,"meadows":["a","b"],)"
     R"("mem_gb":768.0,"name":"g8","price":12.0,"pull_gb_per_s":1.0,"ready_s":45.0}]})";
@@ -67,10 +67,10 @@
     const Slice& slice = clusterState.job("run-000412")->slices[1];
     EXPECT_EQ(slice.partition, 1U);
     EXPECT_EQ(slice.doneCount, 3U);
-    ASSERT_EQ(slice.claims.size(), 1U);
-    EXPECT_EQ(slice.claims.front().task, 6U);
-    EXPECT_EQ(slice.claims.front().machine, "m-000231");
-    EXPECT_EQ(slice.claims.front().attempt, 17592186044417U);
+    ASSERT_EQ(slice.allocations.size(), 1U);
+    EXPECT_EQ(slice.allocations.front().task, 6U);
+    EXPECT_EQ(slice.allocations.front().machine, "m-000231");
+    EXPECT_EQ(slice.allocations.front().attempt, 17592186044417U);
     EXPECT_EQ(sliceValue(slice).dump(), sliceText);
 }
 
@@ -86,12 +86,12 @@
 
 TEST_F(SharedRecords, PartitionsQuotasTermsCatalogAndTerminalsAreReadAndRewrittenAsTheyWere) {
     put("live/part/2", partitionText, 9);
-    put("live/share/vision", shareText, 10);
+    put("live/share/vision", quotaText, 10);
     put("live/term", R"({"term":11})", 11);
     put("live/catalog", catalogText, 12);
     put("live/node/spoke-1", R"({"term":10})", 13);
     EXPECT_EQ(partitionValue(clusterState.partitions[2]).dump(), partitionText);
-    EXPECT_EQ(shareValue(clusterState.shares["vision"]).dump(), shareText);
+    EXPECT_EQ(quotaValue(clusterState.quotas["vision"]).dump(), quotaText);
     EXPECT_EQ(clusterState.lastTerm, 11U);
     EXPECT_EQ(catalogValue(clusterState.catalog).dump(), catalogText);
     EXPECT_TRUE(clusterState.nodes.contains("spoke-1"));
--- a/tests/unit/sharing_plan_test.cpp
+++ b/tests/unit/sharing_plan_test.cpp
@@ -165,16 +165,16 @@
     const transport::SteadyTime start{1h};
     budget.fill(start, {1, 2});
     EXPECT_TRUE(budget.allows());
-    budget.take(1, 7);
+    budget.consume(1, 7);
     EXPECT_FALSE(budget.allows());
     budget.fill(start + 2s, {1, 2});
     EXPECT_FALSE(budget.allows());  // the changes were taken on credit
     budget.fill(start + 4s, {1, 2});
     EXPECT_TRUE(budget.allows());
     budget.fill(start + 1h, {1, 2});
-    budget.take(4, 0);
+    budget.consume(4, 0);
     EXPECT_TRUE(budget.allows());
-    budget.take(1, 0);
+    budget.consume(1, 0);
     EXPECT_FALSE(budget.allows());  // no more than a few seconds' worth gather
 }
 
--- a/tests/unit/submission_test.cpp
+++ b/tests/unit/submission_test.cpp
@@ -34,9 +34,9 @@
         world.run(Time(40));
     }
 
-    static Json bodyAfter(const std::string& id, const Json& predecessors) {
+    static Json bodyAfter(const std::string& id, const Json& dependencies) {
         auto body = protocol::encodeJobSpec(smallJob(id));
-        body[wire::predecessors] = predecessors;
+        body[wire::dependencies] = dependencies;
         return body;
     }
     Answer post(const Json& body) {
@@ -50,8 +50,8 @@
         world.run(world.now() + Time(6));
         return answer;
     }
-    Answer postAfter(const std::string& id, const Json& predecessors) {
-        return post(bodyAfter(id, predecessors));
+    Answer postAfter(const std::string& id, const Json& dependencies) {
+        return post(bodyAfter(id, dependencies));
     }
 
     World world;
@@ -119,7 +119,7 @@
     world.at(Time(5), [&] { world.submit(first, Time(300), false); });
     auto body = protocol::encodeJobSpec(first);
     body[wire::id] = "run-next";
-    body[wire::predecessors] = {"run-first"};
+    body[wire::dependencies] = {"run-first"};
     std::map<int, int> statuses;  // by second
     const auto postAt = [&](int second) {
         world.at(Time(second), [&world, &statuses, body, second] {
