--- a/src/app/operator_file.cpp
+++ b/src/app/operator_file.cpp
@@ -33,8 +33,8 @@
 }
 
 template <typename Value>
-Field<Value> field(Value SharingSettings::*member) {
-    return [member](OperatorSettings& s) -> Value& { return s.sharing.*member; };
+Field<Value> field(Value RebalancingSettings::*member) {
+    return [member](OperatorSettings& s) -> Value& { return s.rebalancing.*member; };
 }
 
 Setter number(const Field<double>& target, double least, double most) {
@@ -70,19 +70,21 @@
         {"moves.probability", number(field(&OperatorSettings::probability), 0, 1)},
         {"moves.weight", number(field(&OperatorSettings::weight), 0.001, 1)},
         {"machines.idle_before_return_s",
-         seconds(field(&OperatorSettings::idleBeforeReturn), 0, 86400)},
+         seconds(field(&OperatorSettings::idleBeforeScaleIn), 0, 86400)},
         {"machines.use_spot", flag(field(&OperatorSettings::useSpot))},
         {"leadership.node_lease_s", seconds(field(&OperatorSettings::nodeLease), 1, 60)},
-        {"sharing.enabled", flag(field(&SharingSettings::enabled))},
-        {"sharing.period_s", seconds(field(&SharingSettings::period), 0.2, 60)},
-        {"sharing.low", number(field(&SharingSettings::low), 0, 1e6)},
-        {"sharing.high", number(field(&SharingSettings::high), 0, 1e6)},
-        {"sharing.weight", number(field(&SharingSettings::weight), 0.001, 1)},
-        {"sharing.hold_s", seconds(field(&SharingSettings::minTenure), 0, 86400)},
-        {"sharing.moves_per_minute", number(field(&SharingSettings::movesPerMinute), 1, 1e5)},
-        {"sharing.share_of_writes", number(field(&SharingSettings::fractionOfWrites), 0.001, 1)},
-        {"sharing.busy_machines", flag(field(&SharingSettings::busyMachines))},
-        {"sharing.solver_steps", count(field(&SharingSettings::solverSteps), 0, 1e9)},
+        {"sharing.enabled", flag(field(&RebalancingSettings::enabled))},
+        {"sharing.period_s", seconds(field(&RebalancingSettings::period), 0.2, 60)},
+        {"sharing.low", number(field(&RebalancingSettings::low), 0, 1e6)},
+        {"sharing.high", number(field(&RebalancingSettings::high), 0, 1e6)},
+        {"sharing.weight", number(field(&RebalancingSettings::weight), 0.001, 1)},
+        {"sharing.hold_s", seconds(field(&RebalancingSettings::minTenure), 0, 86400)},
+        {"sharing.moves_per_minute",
+         number(field(&RebalancingSettings::transfersPerMinute), 1, 1e5)},
+        {"sharing.share_of_writes",
+         number(field(&RebalancingSettings::fractionOfWrites), 0.001, 1)},
+        {"sharing.busy_machines", flag(field(&RebalancingSettings::busyMachines))},
+        {"sharing.solver_steps", count(field(&RebalancingSettings::solverSteps), 0, 1e9)},
     };
     return all;
 }
@@ -119,7 +121,7 @@
     if (line != 0) throw SettingsError("operator settings: line " + std::to_string(line));
     if (parse.settings.high <= parse.settings.low)
         throw SettingsError("moves.high: must be above moves.low");
-    if (parse.settings.sharing.high <= parse.settings.sharing.low)
+    if (parse.settings.rebalancing.high <= parse.settings.rebalancing.low)
         throw SettingsError("sharing.high: must be above sharing.low");
     return parse.settings;
 }
--- a/src/app/settings.h
+++ b/src/app/settings.h
@@ -83,16 +83,16 @@
 Settings parseSettings(const std::string& json);
 
 // [sharing]: machines that change hands between controllers while jobs run (docs/sharing.md).
-struct SharingSettings {
+struct RebalancingSettings {
     bool enabled = false;
-    Seconds period{2};              // between planning rounds
-    double low = 0.5;               // of averaged tasks without a place: below it nothing is asked
-    double high = 8;                // from here on all that is lacking is asked
-    double weight = 0.3;            // of the latest sample in the average
-    Seconds minTenure{30};          // least time that a partition keeps a machine
-    double movesPerMinute = 60;     // of each controller
-    double fractionOfWrites = 0.1;  // of the measured write rate
-    bool busyMachines = true;       // also machines that run tasks
+    Seconds period{2};               // between planning rounds
+    double low = 0.5;                // of averaged tasks without a place: below it nothing is asked
+    double high = 8;                 // from here on all that is lacking is asked
+    double weight = 0.3;             // of the latest sample in the average
+    Seconds minTenure{30};           // least time that a partition keeps a machine
+    double transfersPerMinute = 60;  // of each controller
+    double fractionOfWrites = 0.1;   // of the measured write rate
+    bool busyMachines = true;        // also machines that run tasks
     std::size_t solverSteps = 200'000;  // looked-at arcs, after which the greedy plan is taken
 };
 
@@ -105,11 +105,11 @@
     double probability = 0.1;
     double weight = 0.2;
     // [machines]
-    Seconds idleBeforeReturn{20};
+    Seconds idleBeforeScaleIn{20};
     bool useSpot = true;
     // [leadership]
     Seconds nodeLease{4};
-    SharingSettings sharing;
+    RebalancingSettings rebalancing;
 };
 
 OperatorSettings loadOperatorSettings(const std::string& path);
--- a/src/bookkeeping/job.h
+++ b/src/bookkeeping/job.h
@@ -78,7 +78,7 @@
     bool dirty = false;          // changed since `version`; set by `touch` alone
     SliceContent recorded;       // while dirty: the content as of `version`
     std::optional<SteadyTime> dirtySince;  // as the state writer saw it
-    std::optional<TaskRange> leaving;      // being pushed to a peer: not to be placed here
+    std::optional<TaskRange> leaving;      // being migrated to a peer: not to be placed here
 
     [[nodiscard]] std::uint32_t size() const { return static_cast<std::uint32_t>(done.size()); }
     [[nodiscard]] TaskRange range() const { return {first, size()}; }
--- a/src/bookkeeping/ledger.h
+++ b/src/bookkeeping/ledger.h
@@ -39,9 +39,9 @@
     std::uint32_t partition = 0;
     std::optional<std::uint32_t> lender;  // partition that has lent it to `partition`
     std::uint64_t minFencingToken = 0;    // its worker may have seen this token from a lender
-    std::string movedBy;        // node that last gave it to another partition with its tasks
-    bool retired = false;       // a release was or will be sent: never gets work again
-    std::uint64_t version = 0;  // 0: no record yet, and so no work
+    std::string transferredBy;    // node that last gave it to another partition with its tasks
+    bool decommissioned = false;  // a release was or will be sent: never gets work again
+    std::uint64_t version = 0;    // 0: no record yet, and so no work
 
     // Not durable: learnt from heartbeats and lists.
     std::string address;
@@ -71,8 +71,8 @@
     bool transferring = false;  // its record is being changed to another partition
     // Its record already names another partition, although our own transaction has no outcome yet.
     std::optional<std::uint32_t> departedTo;
-    bool emptying = false;    // its tasks move together with others, then it is given back
-    std::string reservedFor;  // job that room is kept for: others were stopped, or it is a gang
+    bool consolidating = false;  // its tasks move together with others, then it is given back
+    std::string reservedFor;     // job that room is kept for: others were stopped, or it is a gang
     std::uint32_t reservedTasks = 0;
     Resources reservedCapacity;
     SteadyTime reservedUntil{};
--- a/src/bookkeeping/records.cpp
+++ b/src/bookkeeping/records.cpp
@@ -144,7 +144,7 @@
 void resetAfterMove(Machine& m, SteadyTime now) {
     m.reservedUntil = {};
     m.notBefore = {};
-    m.emptying = false;
+    m.consolidating = false;
     m.transferring = false;
     m.departedTo.reset();
     m.interruptionAt.reset();
@@ -159,7 +159,7 @@
     m.firstFencingToken = m.fencingToken = m.expectedToken = m.minFencingToken;
     // Lent or given back: the partition it comes from has just heard it, and it is empty. With
     // tasks on it nothing is proved until the worker has shown the new leader's token.
-    m.acknowledgedToken = m.movedBy.empty() ? m.minFencingToken : 0;
+    m.acknowledgedToken = m.transferredBy.empty() ? m.minFencingToken : 0;
     m.unacknowledgedSince = now;
     m.unacknowledged = 0;
 }
@@ -190,7 +190,7 @@
     if (value.contains(lenderField))
         m.lender = static_cast<std::uint32_t>(countOf(value, lenderField));
     m.minFencingToken = countOf(value, floorField);
-    m.movedBy = textOf(value, movedByField);
+    m.transferredBy = textOf(value, movedByField);
     if (fresh) m.known = m.silentSince = m.idleSince = now;
     if (moved) {
         resetAfterMove(m, now);
@@ -200,7 +200,7 @@
     m.type = textOf(value, "type");
     m.zone = textOf(value, "zone");
     m.spot = flagOf(value, "spot");
-    m.retired = flagOf(value, "retired");
+    m.decommissioned = flagOf(value, "retired");
     m.version = event.version;
     if (fresh) clusterState.attachAllocations(m);
 }
@@ -308,10 +308,10 @@
                {"zone", machine.zone},
                {"spot", machine.spot},
                {"part", machine.partition},
-               {"retired", machine.retired}};
+               {"retired", machine.decommissioned}};
     if (machine.lender) value[lenderField] = *machine.lender;
     if (machine.minFencingToken > 0) value[floorField] = machine.minFencingToken;
-    if (!machine.movedBy.empty()) value[movedByField] = machine.movedBy;
+    if (!machine.transferredBy.empty()) value[movedByField] = machine.transferredBy;
     return value;
 }
 
--- a/src/bookkeeping/records.h
+++ b/src/bookkeeping/records.h
@@ -51,7 +51,7 @@
 };
 
 // How many tasks a slice may have so that its record, all tasks allocated, stays within a value.
-// Slices that can be divided later are as large as is handy; others are small enough to be pushed
+// Slices that can be divided later are as large as is handy; others are small enough to be migrated
 // whole.
 std::uint32_t sliceSizeFor(const JobSpec& spec, const RecordBounds& bounds, bool divisible);
 
--- a/src/coordination/admission.cpp
+++ b/src/coordination/admission.cpp
@@ -34,7 +34,7 @@
 
 }  // namespace
 
-void AdaptiveLimit::end(Duration took) {
+void ConcurrencyLimiter::end(Duration took) {
     const double seconds = Seconds(took).count();
     fastest_ = fastest_ <= 0 ? seconds : std::min(fastest_ * 1.002, seconds);
     if (seconds > fastest_ * tolerance + slackSeconds)
@@ -44,7 +44,7 @@
     if (active_ > 0) --active_;
 }
 
-HttpReply Admission::limited(AdaptiveLimit& limit, HttpReply reply) {
+HttpReply Admission::limited(ConcurrencyLimiter& limit, HttpReply reply) {
     limit.begin();
     return [this, &limit, began = context_.now(), reply = std::move(reply)](HttpResponse response) {
         limit.end(context_.now() - began);
@@ -96,7 +96,7 @@
     auto parsed = protocol::parseJobSpec(*map);
     if (!std::holds_alternative<protocol::JobSpec>(parsed)) return reply({400, {}, 0});
     auto& spec = std::get<protocol::JobSpec>(parsed);
-    if (const auto final = lookup_.knownTerminal(spec.id))
+    if (const auto final = statusReader_.knownTerminal(spec.id))
         return reply(stateOf(spec.id, *final, true));
     if (!recordable(spec)) return reply({400, {}, 0});
     // Answered at once when we can't take it: the user is told when to come again.
@@ -105,18 +105,18 @@
     // A job that was accepted once is known, whatever the catalog or the teams say by now.
     if (context_.clusterState.lock()->job(spec.id) != nullptr) return tellKnown(spec.id, reply);
     if (auto refusal = check(spec))
-        return lookup_.find(spec.id, LookupPurpose::decision,
-                            [this, id = spec.id, refusal, reply](JobStatus status) {
-                                if (status == JobStatus::noAnswer) return reply(later());
-                                if (status == JobStatus::unknownJob) return reply(*refusal);
-                                tell(id, status, true, reply);
-                            });
+        return statusReader_.find(spec.id, ReadPurpose::decision,
+                                  [this, id = spec.id, refusal, reply](JobStatus status) {
+                                      if (status == JobStatus::noAnswer) return reply(later());
+                                      if (status == JobStatus::unknownJob) return reply(*refusal);
+                                      tell(id, status, true, reply);
+                                  });
     accept(std::make_shared<Submission>(
         Submission{std::move(spec), std::move(reply), 0, std::map<std::string, bool>{}}));
 }
 
 void Admission::tellKnown(const std::string& id, const HttpReply& reply) {
-    lookup_.find(id, LookupPurpose::decision, [this, id, reply](JobStatus status) {
+    statusReader_.find(id, ReadPurpose::decision, [this, id, reply](JobStatus status) {
         if (status == JobStatus::unknownJob) return reply(later());
         tell(id, status, true, reply);
     });
@@ -133,7 +133,7 @@
             judgement.cancelled = judgement.cancelled || final->second;
             continue;
         }
-        if (const auto final = lookup_.knownTerminal(id)) {
+        if (const auto final = statusReader_.knownTerminal(id)) {
             judgement.cancelled = judgement.cancelled || final == JobStatus::terminalCancelled;
             continue;
         }
@@ -174,8 +174,8 @@
     auto collect = std::make_shared<Collection>();
     collect->left = dependencies.size();
     for (const auto& id : dependencies)
-        lookup_.find(
-            id, LookupPurpose::decision, [this, submission, collect, id](JobStatus status) {
+        statusReader_.find(
+            id, ReadPurpose::decision, [this, submission, collect, id](JobStatus status) {
                 if (status == JobStatus::terminalDone || status == JobStatus::terminalCancelled)
                     submission->terminals[id] = status == JobStatus::terminalCancelled;
                 // Only the state service itself can say that a job was never accepted.
@@ -190,7 +190,7 @@
 void Admission::create(const SubmissionPtr& submission, const Judgement& judgement) {
     const auto& spec = submission->spec;
     Job job = newJob(spec);
-    job.partition = moves_.mapJob(job);
+    job.partition = migrator_.mapJob(job);
     const auto key = bookkeeping::keys::job(spec.id);
     const auto value = bookkeeping::jobValue(job);
     // Also if this is carried out late it can't revive a job: its end is a record as well. Nor can
@@ -229,7 +229,7 @@
         [this, submission](const protocol::CompareAndSwapResponse& answer) {
             if (answer.result == StateResult::refused) return onRefused(submission, answer);
             if (answer.result != StateResult::ok) return submission->reply(later());
-            lookup_.recordTerminal(submission->spec.id, true);
+            statusReader_.recordTerminal(submission->spec.id, true);
             submission->reply(
                 ok(protocol::encodeJobState(submission->spec.id, protocol::wire::stateCancelled),
                    201));
@@ -287,24 +287,25 @@
     onCancelled([reply, answer = std::move(answer)] { reply(answer); });
 }
 
-void Admission::ask(const std::string& id, HttpReply reply) {
+void Admission::getStatus(const std::string& id, HttpReply reply) {
     if (!protocol::validJobId(id)) return reply({404, {}, 0});
-    if (const auto final = lookup_.knownTerminal(id)) return reply(stateOf(id, *final, false));
-    if (!synced() || questions_.full()) return reply(later());
-    reply = limited(questions_, std::move(reply));
-    lookup_.find(id, LookupPurpose::question,
-                 [this, id, reply](JobStatus status) { tell(id, status, false, reply); });
+    if (const auto final = statusReader_.knownTerminal(id))
+        return reply(stateOf(id, *final, false));
+    if (!synced() || statusRequests_.full()) return reply(later());
+    reply = limited(statusRequests_, std::move(reply));
+    statusReader_.find(id, ReadPurpose::statusRequest,
+                       [this, id, reply](JobStatus status) { tell(id, status, false, reply); });
 }
 
 void Admission::cancel(const std::string& id, HttpReply reply) {
     if (!protocol::validJobId(id)) return reply({404, {}, 0});
-    if (const auto final = lookup_.knownTerminal(id)) return reply(stateOf(id, *final, true));
+    if (const auto final = statusReader_.knownTerminal(id)) return reply(stateOf(id, *final, true));
     if (!synced() || cancellations_.full()) return reply(later());
     tryCancel(id, 0, limited(cancellations_, std::move(reply)));
 }
 
 void Admission::tryCancel(const std::string& id, int tries, const HttpReply& reply) {
-    lookup_.find(id, LookupPurpose::decision, [this, id, tries, reply](JobStatus status) {
+    statusReader_.find(id, ReadPurpose::decision, [this, id, tries, reply](JobStatus status) {
         if (status != JobStatus::active) return tell(id, status, true, reply);
         protocol::CompareAndSwap transaction;
         protocol::Json value;
--- a/src/coordination/admission.h
+++ b/src/coordination/admission.h
@@ -11,7 +11,7 @@
 
 // How many requests may be in progress: grows while answers come fast, shrinks when they slow
 // down beside the fastest seen lately.
-class AdaptiveLimit {
+class ConcurrencyLimiter {
   public:
     [[nodiscard]] bool full() const { return static_cast<double>(active_) >= limit_; }
     void begin() { ++active_; }
@@ -29,11 +29,11 @@
 
 class Admission {
   public:
-    Admission(Context& context, JobLookup& lookup, Moves& moves)
-        : context_(context), lookup_(lookup), moves_(moves) {}
+    Admission(Context& context, JobStatusReader& statusReader, WorkMigrator& migrator)
+        : context_(context), statusReader_(statusReader), migrator_(migrator) {}
 
     void submit(const std::string& body, transport::HttpReply reply);
-    void ask(const std::string& id, transport::HttpReply reply);
+    void getStatus(const std::string& id, transport::HttpReply reply);
     void cancel(const std::string& id, transport::HttpReply reply);
 
     std::function<bool()> synced = [] { return false; };
@@ -65,7 +65,8 @@
               const transport::HttpReply& reply);
     void tellKnown(const std::string& id, const transport::HttpReply& reply);
     void tryCancel(const std::string& id, int tries, const transport::HttpReply& reply);
-    [[nodiscard]] transport::HttpReply limited(AdaptiveLimit& limit, transport::HttpReply reply);
+    [[nodiscard]] transport::HttpReply limited(ConcurrencyLimiter& limit,
+                                               transport::HttpReply reply);
     [[nodiscard]] std::optional<transport::HttpResponse> check(const protocol::JobSpec& spec) const;
     // Whether the job's record, and the conditions for creating it, are within the limits.
     [[nodiscard]] bool recordable(const protocol::JobSpec& spec) const;
@@ -79,12 +80,12 @@
     void onRefused(const SubmissionPtr& submission, const protocol::CompareAndSwapResponse& answer);
 
     Context& context_;
-    JobLookup& lookup_;
-    Moves& moves_;
+    JobStatusReader& statusReader_;
+    WorkMigrator& migrator_;
     // Each its own: users who ask again and again took the places of those who submit or call off.
-    AdaptiveLimit submissions_;
-    AdaptiveLimit questions_;
-    AdaptiveLimit cancellations_;
+    ConcurrencyLimiter submissions_;
+    ConcurrencyLimiter statusRequests_;
+    ConcurrencyLimiter cancellations_;
 };
 
 }  // namespace fawnwheel::coordination
--- a/src/coordination/controller.cpp
+++ b/src/coordination/controller.cpp
@@ -11,10 +11,10 @@
 using namespace std::chrono_literals;
 namespace wire = protocol::wire;
 
-constexpr auto workDelay = 30ms;     // gathers what one round of events changes
-constexpr int workRest = 3;          // times what the last round took
-constexpr auto longestWork = 150ms;  // as far as the pause goes; a longer one was not work
-constexpr auto housekeepingPeriod = 500ms;
+constexpr auto roundDelay = 30ms;     // gathers what one round of events changes
+constexpr int roundPauseFactor = 3;   // times what the last round took
+constexpr auto longestRound = 150ms;  // as far as the pause goes; a longer one was not work
+constexpr auto maintenanceInterval = 500ms;
 
 }  // namespace
 
@@ -31,19 +31,19 @@
       fleet_(context_, membership_, pipeline_, placement_, heartbeats_),
       quotas_(context_, membership_, pipeline_, placement_),
       transfers_(context_, pipeline_, stateWriter_.writer(), quotas_, heartbeats_),
-      loans_(context_, membership_, placement_, transfers_),
-      sharing_(context_, membership_, pipeline_, placement_, transfers_),
-      moves_(context_, membership_, pipeline_, stateWriter_, placement_),
-      lookup_(context_),
-      admission_(context_, lookup_, moves_),
+      lending_(context_, membership_, placement_, transfers_),
+      rebalancer_(context_, membership_, pipeline_, placement_, transfers_),
+      migrator_(context_, membership_, pipeline_, stateWriter_, placement_),
+      statusReader_(context_),
+      admission_(context_, statusReader_, migrator_),
       completionNotifier_(context_, membership_) {
     replica_.inFlight = [this](const std::string& key) { return pipeline_.inFlight(key); };
     replica_.onChange = [this] {
         fleet_.adoptCatalog();
         membership_.reconcile();
         stopCancelledJobs();
-        completionNotifier_.review();
-        soon();
+        completionNotifier_.resolveDependencies();
+        scheduleRound();
     };
     pipeline_.onDoubt = [this] { replica_.resync(); };
     pipeline_.onSettled = [this](const std::vector<std::string>& keys) { replica_.settle(keys); };
@@ -52,50 +52,50 @@
     membership_.recordsCurrentAsOf = [this] { return replica_.currentAsOf(); };
     membership_.onCancellations = [this] { stopCancelledJobs(); };
     membership_.ready = [this] {
-        return replica_.synced() && !context_.catalog.empty() && reachability_.steady();
+        return replica_.synced() && !context_.catalog.empty() && reachability_.isStable();
     };
-    membership_.workersLost = [this] { return reachability_.lost(); };
+    membership_.workersUnreachable = [this] { return reachability_.isUnreachable(); };
     reachability_.onChange = [this] {
         membership_.onReachabilityChanged();
-        soon();
+        scheduleRound();
     };
     membership_.busy = [this](std::uint32_t partition) { return pipeline_.busy(partition); };
     membership_.onActive = [this](std::uint32_t partition) {
         heartbeats_.onPartitionAcquired(partition);
         reachability_.expectHeartbeats();
-        soon();
+        scheduleRound();
     };
     membership_.onLost = [this](std::uint32_t partition) { discardUnrecorded(partition); };
     membership_.recordsComplete = [this] { return !replica_.anyDeferred(); };
     stateWriter_.onTerminal = [this](const std::string& id, bool cancelled) {
-        lookup_.recordTerminal(id, cancelled);
+        statusReader_.recordTerminal(id, cancelled);
         completionNotifier_.announce(id);
         stopping_.erase(id);
     };
-    stateWriter_.onCancelled = [this] { membership_.spreadCancellations([] {}); };
-    completionNotifier_.onRead = [this] { soon(); };
-    lookup_.recordsCurrentAsOf = [this] { return replica_.currentAsOf(); };
+    stateWriter_.onCancelled = [this] { membership_.broadcastCancellations([] {}); };
+    completionNotifier_.onRead = [this] { scheduleRound(); };
+    statusReader_.recordsCurrentAsOf = [this] { return replica_.currentAsOf(); };
     context_.clusterState.lock()->dependencyGraph.stepTime = [this](const protocol::JobSpec& spec) {
         return placement_.stepTime(spec);
     };
     stateWriter_.onDurable = [this](const std::set<std::string>& machines) {
         heartbeats_.requestHeartbeats(machines);
-        soon();
+        scheduleRound();
     };
     transfers_.onDurable = stateWriter_.onDurable;
-    sharing_.onChange = [this] { soon(); };
+    rebalancer_.onChange = [this] { scheduleRound(); };
     heartbeats_.onUnassigned = [this](const protocol::Heartbeat& heartbeat) {
         fleet_.onUnassignedHeartbeat(heartbeat);
     };
-    heartbeats_.onChange = [this] { soon(); };
-    placement_.rentable = [this](const Job& job, const std::string& zone) {
-        return fleet_.rentable(job, zone);
+    heartbeats_.onChange = [this] { scheduleRound(); };
+    placement_.canProvision = [this](const Job& job, const std::string& zone) {
+        return fleet_.canProvision(job, zone);
     };
-    fleet_.onAnswer = [this] { soon(); };
+    fleet_.onAnswer = [this] { scheduleRound(); };
     admission_.synced = [this] { return replica_.synced(); };
-    admission_.onAccepted = [this] { soon(); };
+    admission_.onAccepted = [this] { scheduleRound(); };
     admission_.onCancelled = [this](std::function<void()> then) {
-        membership_.spreadCancellations(std::move(then));
+        membership_.broadcastCancellations(std::move(then));
         stopCancelledJobs();
     };
 }
@@ -104,36 +104,36 @@
     replica_.start();
     membership_.start();
     fleet_.start();
-    moves_.start();
-    sharing_.start();
-    housekeeping();
+    migrator_.start();
+    rebalancer_.start();
+    runMaintenance();
 }
 
-void Controller::soon() {
-    if (workPlanned_) return;
-    workPlanned_ = true;
+void Controller::scheduleRound() {
+    if (roundScheduled_) return;
+    roundScheduled_ = true;
     // Heartbeats, renewals and users' requests need most of a small share of a core: the longer a
     // round takes, the longer the next one waits.
-    const auto pause = std::max<Duration>(workDelay, workTook_ * workRest);
+    const auto pause = std::max<Duration>(roundDelay, lastRoundDuration_ * roundPauseFactor);
     context_.timers.after(pause, [this] {
-        workPlanned_ = false;
+        roundScheduled_ = false;
         const auto began = context_.now();
-        work();
-        workTook_ = std::min<Duration>(context_.now() - began, longestWork);
+        runRound();
+        lastRoundDuration_ = std::min<Duration>(context_.now() - began, longestRound);
     });
 }
 
-void Controller::work() {
+void Controller::runRound() {
     for (const auto partition : membership_.ledPartitions()) {
         // Starts would reach nobody: what waits is left to the next leader.
-        if (membership_.leaseStands() && !reachability_.lost()) {
+        if (membership_.isLeaseValid() && !reachability_.isUnreachable()) {
             const auto unschedulable = placement_.run(partition);
-            sharing_.recordUnschedulable(partition, unschedulable);
+            rebalancer_.recordUnschedulable(partition, unschedulable);
             for (const auto& machine : placement_.preemptFor(partition, unschedulable))
                 heartbeats_.stopMarked(machine);
-            loans_.askFor(partition, unschedulable);
-            quotas_.askFor(partition, unschedulable);
-            fleet_.rentFor(partition, unschedulable);
+            lending_.requestLoans(partition, unschedulable);
+            quotas_.requestQuota(partition, unschedulable);
+            fleet_.scaleOutFor(partition, unschedulable);
         }
         stateWriter_.flush(partition);
     }
@@ -163,22 +163,22 @@
     for (const auto& id : fresh) heartbeats_.stopNow(id);
 }
 
-void Controller::housekeeping() {
+void Controller::runMaintenance() {
     for (const auto partition : membership_.ledPartitions()) {
-        if (membership_.leaseStands()) heartbeats_.expireSilent(partition);
-        fleet_.review(partition);
-        if (membership_.leaseStands()) loans_.review(partition);
-        if (membership_.leaseStands() && fleet_.mayEmpty(partition))
-            if (const auto machine = placement_.emptyOne(partition))
+        if (membership_.isLeaseValid()) heartbeats_.expireSilent(partition);
+        fleet_.reconcileMachines(partition);
+        if (membership_.isLeaseValid()) lending_.returnIdleLoans(partition);
+        if (membership_.isLeaseValid() && fleet_.mayConsolidate(partition))
+            if (const auto machine = placement_.consolidateOne(partition))
                 heartbeats_.stopMarked(*machine);
     }
     std::erase_if(stopping_, [this](const std::string& id) {
         return context_.clusterState.lock()->job(id) == nullptr;
     });
-    completionNotifier_.review();
-    reachability_.review(membership_.ledPartitions());
-    soon();
-    context_.timers.after(housekeepingPeriod, [this] { housekeeping(); });
+    completionNotifier_.resolveDependencies();
+    reachability_.checkReachability(membership_.ledPartitions());
+    scheduleRound();
+    context_.timers.after(maintenanceInterval, [this] { runMaintenance(); });
 }
 
 void Controller::handleHeartbeat(const std::string& body, const transport::HttpReply& reply) {
@@ -209,7 +209,7 @@
         id.resize(id.size() - cancel.size());
         return post ? admission_.cancel(id, std::move(reply)) : reply(wrongMethod);
     }
-    return get ? admission_.ask(id, std::move(reply)) : reply(wrongMethod);
+    return get ? admission_.getStatus(id, std::move(reply)) : reply(wrongMethod);
 }
 
 void Controller::onFrame(const std::string& payload) {
@@ -224,20 +224,20 @@
             using Message = std::decay_t<decltype(message)>;
             if constexpr (std::is_same_v<Message, protocol::PeerHeartbeat>)
                 membership_.onPeerHeartbeat(peer, message);
-            else if constexpr (std::is_same_v<Message, protocol::MoveAsk>)
-                moves_.onAsk(peer, message);
-            else if constexpr (std::is_same_v<Message, protocol::MoveAnswer>)
-                moves_.onAnswer(message);
-            else if constexpr (std::is_same_v<Message, protocol::NoCapacity>)
-                fleet_.onNoCapacity(message);
-            else if constexpr (std::is_same_v<Message, protocol::LoanAsk>)
-                loans_.onAsk(peer, message);
+            else if constexpr (std::is_same_v<Message, protocol::MigrationRequest>)
+                migrator_.onMigrationRequest(peer, message);
+            else if constexpr (std::is_same_v<Message, protocol::MigrationResponse>)
+                migrator_.onMigrationResponse(message);
+            else if constexpr (std::is_same_v<Message, protocol::CapacityExhausted>)
+                fleet_.onCapacityExhausted(message);
+            else if constexpr (std::is_same_v<Message, protocol::LoanRequest>)
+                lending_.onLoanRequest(peer, message);
             else if constexpr (std::is_same_v<Message, protocol::QuotaRequest>)
-                quotas_.onAsk(peer, message);
-            else if constexpr (std::is_same_v<Message, protocol::JobEnded>)
-                completionNotifier_.onEnded(message);
+                quotas_.onQuotaRequest(peer, message);
+            else if constexpr (std::is_same_v<Message, protocol::JobCompleted>)
+                completionNotifier_.onJobCompleted(message);
             else if constexpr (std::is_same_v<Message, protocol::DemandUpdate>)
-                sharing_.onDemand(peer, message);
+                rebalancer_.onDemand(peer, message);
             else if constexpr (std::is_same_v<Message, protocol::LeaderHeartbeat>)
                 membership_.onLeaderHeartbeat(peer, message);
         },
--- a/src/coordination/controller.h
+++ b/src/coordination/controller.h
@@ -32,9 +32,9 @@
 
   private:
     void handleHeartbeat(const std::string& body, const transport::HttpReply& reply);
-    void soon();
-    void work();
-    void housekeeping();
+    void scheduleRound();
+    void runRound();
+    void runMaintenance();
     void stopCancelledJobs();
     void discardUnrecorded(std::uint32_t partition);
 
@@ -49,14 +49,14 @@
     Fleet fleet_;
     QuotaExchange quotas_;
     MachineTransfers transfers_;
-    Loans loans_;
-    MachineSharing sharing_;
-    Moves moves_;
-    JobLookup lookup_;
+    MachineLending lending_;
+    Rebalancer rebalancer_;
+    WorkMigrator migrator_;
+    JobStatusReader statusReader_;
     Admission admission_;
     CompletionNotifier completionNotifier_;
-    bool workPlanned_ = false;
-    Duration workTook_{};
+    bool roundScheduled_ = false;
+    Duration lastRoundDuration_{};
     std::set<std::string> stopping_;  // cancelled jobs whose stops have been sent
 };
 
--- a/src/coordination/fleet.cpp
+++ b/src/coordination/fleet.cpp
@@ -52,7 +52,7 @@
 void Fleet::recordCatalog() {
     // A controller that starts while the cloud does not answer would else know no machine types,
     // and take in and place nothing (incident inc-058e).
-    if (!membership_.isLeader(0) || !membership_.leaseStands()) return;
+    if (!membership_.isLeader(0) || !membership_.isLeaseValid()) return;
     auto value = bookkeeping::catalogValue(context_.catalog);
     std::uint64_t version = 0;
     {
@@ -148,10 +148,10 @@
     std::vector<std::pair<std::uint32_t, std::string>> gone;
     for (auto& [id, machine] : clusterState->machines) {
         if (!own.contains(machine.partition)) continue;
-        if (machine.failedInList && !machine.retired) {
+        if (machine.failedInList && !machine.decommissioned) {
             // It has stopped on its own, with all that ran on it.
             heartbeats_.releaseAllocations(machine, "failed");
-            retire(machine, "failed");
+            decommission(machine, "failed");
             continue;
         }
         // Once listed, a machine stays listed until it is gone; but this list may describe a
@@ -283,15 +283,15 @@
             write(recording_, machine.partition, machine.id);
         }
     };
-    retiring_.value = [](const Machine& machine) {
-        Machine retired = machine;
-        retired.retired = true;
-        return bookkeeping::machineValue(retired);
+    decommissioning_.value = [](const Machine& machine) {
+        Machine decommissioned = machine;
+        decommissioned.decommissioned = true;
+        return bookkeeping::machineValue(decommissioned);
     };
-    retiring_.settled = [](Machine& machine, CommitResult result, std::uint64_t revision) {
+    decommissioning_.settled = [](Machine& machine, CommitResult result, std::uint64_t revision) {
         // Also if the records have been read anew meanwhile, as they stood before.
-        machine.retired = result == CommitResult::done;
-        if (machine.retired) machine.version = std::max(machine.version, revision);
+        machine.decommissioned = result == CommitResult::done;
+        if (machine.decommissioned) machine.version = std::max(machine.version, revision);
     };
     dropping_.value = [](const Machine&) { return std::optional<protocol::Json>(); };
     dropping_.settled = [this](Machine& machine, CommitResult result, std::uint64_t) {
@@ -307,7 +307,8 @@
     });
 }
 
-void Fleet::reviewUnrecorded(std::uint32_t partition, Machine& machine, const MachineType& type) {
+void Fleet::reconcileUnrecorded(std::uint32_t partition, Machine& machine,
+                                const MachineType& type) {
     const auto now = context_.now();
     if (recording_.pending.contains(machine.id)) return;
     // What only late copies of heartbeats speak of, or can't hear, is of no use.
@@ -318,17 +319,17 @@
     } else if (ghost || now - machine.idleSince > idleLimit(machine, type)) {
         // It never had work, and no allocation can name it: it needs no record to be given back.
         spdlog::debug("machine {}: giving back, never wanted", machine.id);
-        machine.retired = true;
+        machine.decommissioned = true;
     }
 }
 
-void Fleet::retire(Machine& machine, const char* why) {
+void Fleet::decommission(Machine& machine, const char* why) {
     // Its new leader will see to it.
     if (machine.transferring) return;
-    if (machine.retired || retiring_.pending.contains(machine.id)) return;
+    if (machine.decommissioned || decommissioning_.pending.contains(machine.id)) return;
     spdlog::info("machine {}: giving back, {}", machine.id, why);
-    machine.retired = true;  // no new allocations from now on
-    write(retiring_, machine.partition, machine.id);
+    machine.decommissioned = true;  // no new allocations from now on
+    write(decommissioning_, machine.partition, machine.id);
 }
 
 void Fleet::release() {
@@ -341,7 +342,7 @@
         for (const auto* machine : clusterState->machinesOf(partition)) {
             // Only after the record says so, durably: a late copy of the request must not hit a
             // machine that has work again.
-            if (machine->retired && !retiring_.pending.contains(machine->id) &&
+            if (machine->decommissioned && !decommissioning_.pending.contains(machine->id) &&
                 names.size() < maxReleaseAtOnce && releasing_.insert(machine->id).second)
                 names.push_back(machine->id);
         }
@@ -417,13 +418,13 @@
     }
     std::set<std::string> quiet;
     for (const auto& [zone, count] : zones)
-        if (membership_.workersLost() || (count.quiet > 1 && count.quiet * 2 > count.live))
+        if (membership_.workersUnreachable() || (count.quiet > 1 && count.quiet * 2 > count.live))
             quiet.insert(zone);
     return quiet;
 }
 
-void Fleet::review(std::uint32_t partition) {
-    if (!membership_.leaseStands()) return;
+void Fleet::reconcileMachines(std::uint32_t partition) {
+    if (!membership_.isLeaseValid()) return;
     const auto now = context_.now();
     auto clusterState = context_.clusterState.lock();
     recordGuaranteed(*clusterState);
@@ -439,29 +440,29 @@
     for (auto* entry : clusterState->machinesOf(partition)) {
         Machine& machine = *entry;
         const auto* type = context_.type(machine.type);
-        if (machine.retired || type == nullptr) continue;
+        if (machine.decommissioned || type == nullptr) continue;
         if (machine.version == 0) {
-            reviewUnrecorded(partition, machine, *type);
+            reconcileUnrecorded(partition, machine, *type);
             continue;
         }
         if (!machine.lastHeartbeat) {
             if (machine.allocations.empty() &&
                 now - machine.known > ticks(type->bootTime * neverBoots) + bootGrace)
-                retire(machine, "never came up");
+                decommission(machine, "never came up");
         } else if (machine.notBefore - now > 1min) {
-            retire(machine, "faulty");
+            decommission(machine, "faulty");
         } else if (now - *machine.lastHeartbeat > silentLimit) {
-            if (!behindCut.contains(machine.zone)) retire(machine, "silent");
+            if (!behindCut.contains(machine.zone)) decommission(machine, "silent");
         } else if (!machine.acknowledged() && machine.allocations.empty() &&
                    now - machine.unacknowledgedSince >
                        silentLimit + ticks(context_.settings.lease)) {
-            retire(machine, "does not hear");
-        } else if (machine.emptying && machine.allocations.empty()) {
-            retire(machine, "emptied");
+            decommission(machine, "does not hear");
+        } else if (machine.consolidating && machine.allocations.empty()) {
+            decommission(machine, "emptied");
         } else if (machine.allocations.empty() && !machine.interruptionAt && !machine.lender &&
                    !machine.transferring && now >= machine.reservedUntil &&
                    now - machine.idleSince > idleLimit(machine, *type)) {
-            retire(machine, "idle");
+            decommission(machine, "idle");
         }
     }
     release();
--- a/src/coordination/fleet.h
+++ b/src/coordination/fleet.h
@@ -1,5 +1,5 @@
-// The machines of the partitions this process owns: assigning, renting, giving back, and telling
-// which are gone.
+// The machines of the partitions this process owns: assigning, provisioning, giving back, and
+// telling which are gone.
 #pragma once
 
 #include "coordination/placement.h"
@@ -23,15 +23,15 @@
     // A worker heartbeats that has no record yet, and whose default partition is ours.
     void onUnassignedHeartbeat(const protocol::Heartbeat& heartbeat);
     std::function<void()> onAnswer = [] {};
-    void rentFor(std::uint32_t partition, const std::vector<UnschedulableWork>& unschedulable);
-    [[nodiscard]] bool rentable(const Job& job, const std::string& zone) const;
-    void onNoCapacity(const protocol::NoCapacity& message);
+    void scaleOutFor(std::uint32_t partition, const std::vector<UnschedulableWork>& unschedulable);
+    [[nodiscard]] bool canProvision(const Job& job, const std::string& zone) const;
+    void onCapacityExhausted(const protocol::CapacityExhausted& message);
     void recordClasses(ClusterState& clusterState);
-    // Whether it may be worth emptying this partition's machines: nothing waits, and those that
-    // would be given back need not stand ready.
-    [[nodiscard]] bool mayEmpty(std::uint32_t partition);
+    // Whether it may be worth consolidating this partition's machines: nothing waits, and those
+    // that would be given back need not in the warm pool.
+    [[nodiscard]] bool mayConsolidate(std::uint32_t partition);
     // Idle, never-booting, faulty and silent machines.
-    void review(std::uint32_t partition);
+    void reconcileMachines(std::uint32_t partition);
 
   private:
     struct Kind {
@@ -65,24 +65,25 @@
     void setUpWrites();
     void write(RecordWrites& writes, std::uint32_t partition, const std::string& id);
     void writeSome(RecordWrites& writes, std::uint32_t partition);
-    void reviewUnrecorded(std::uint32_t partition, Machine& machine, const MachineType& type);
+    void reconcileUnrecorded(std::uint32_t partition, Machine& machine, const MachineType& type);
     [[nodiscard]] bool wantedByAny(const ClusterState& clusterState, const Machine& machine,
                                    const MachineType& type) const;
     // What one call asks for: machines, of which some are kept for gangs from the start.
-    struct Order {
+    struct ProvisioningRequest {
         int count = 0;
         std::vector<std::pair<std::string, int>> gangs;  // in the queue's order
     };
-    void orderForGang(const UnschedulableWork& entry, const Job& job,
-                      std::map<Kind, Order>& wanted) const;
-    void rent(std::uint32_t partition, const Kind& kind, const Order& order);
-    void sendRental(std::uint32_t partition, const Kind& kind, const Order& order,
-                    const std::string& name, int tries);
-    void onProvisioned(std::uint32_t partition, const Kind& kind, const Order& order,
+    void requestForGang(const UnschedulableWork& entry, const Job& job,
+                        std::map<Kind, ProvisioningRequest>& wanted) const;
+    void scaleOut(std::uint32_t partition, const Kind& kind, const ProvisioningRequest& order);
+    void sendProvisioningRequest(std::uint32_t partition, const Kind& kind,
+                                 const ProvisioningRequest& order, const std::string& name,
+                                 int tries);
+    void onProvisioned(std::uint32_t partition, const Kind& kind, const ProvisioningRequest& order,
                        const std::vector<std::string>& machines);
     void recordRefusal(const Kind& kind);
     [[nodiscard]] bool asking(const Kind& kind) const;
-    void retire(Machine& machine, const char* why);
+    void decommission(Machine& machine, const char* why);
     void release();
     // Where most of the partition's machines miss their heartbeats at the same time.
     [[nodiscard]] std::set<std::string> quietZones(const ClusterState& clusterState,
@@ -95,7 +96,7 @@
     void logUse(const ClusterState& clusterState, std::uint32_t partition);
     void recordGuaranteed(const ClusterState& clusterState);
     [[nodiscard]] bool withinGuarantee(const Machine& machine) const;
-    [[nodiscard]] bool standsReady(const Machine& machine) const;
+    [[nodiscard]] bool isInWarmPool(const Machine& machine) const;
     [[nodiscard]] Duration idleLimit(const Machine& machine, const MachineType& type) const;
     void forgetMachine(std::uint32_t partition, const std::string& id);
     // Of all zones if none is named.
@@ -121,18 +122,18 @@
     };
     Resources guaranteed_;  // to all teams
     double upGpus_ = 0;
-    double upCpus_ = 0;                                   // of machines without GPUs
-    std::map<std::string, ClassDemand> classDemand_;      // by class
-    std::map<Kind, Refusal> refused_;                     // no capacity: not before
-    std::map<std::uint32_t, std::map<Kind, int>> asked_;  // rentals under way
-    std::set<std::string> rentingFor_;                    // gangs
+    double upCpus_ = 0;                                        // of machines without GPUs
+    std::map<std::string, ClassDemand> classDemand_;           // by class
+    std::map<Kind, Refusal> refused_;                          // no capacity: not before
+    std::map<std::uint32_t, std::map<Kind, int>> inProgress_;  // provisioning requests under way
+    std::set<std::string> provisioningFor_;                    // gangs
     std::map<std::string, Found> unassigned_;
     RecordWrites recording_;
-    RecordWrites retiring_;
+    RecordWrites decommissioning_;
     RecordWrites dropping_;
     std::set<std::string> releasing_;  // by the call under way
     std::map<std::uint32_t, SteadyTime> useLogged_;
-    std::uint64_t rentals_ = 0;
+    std::uint64_t provisioningRequests_ = 0;
     bool catalogLoaded_ = false;
 };
 
--- a/src/coordination/gathering.cpp
+++ b/src/coordination/gathering.cpp
@@ -50,7 +50,7 @@
     std::map<std::string, std::pair<std::uint32_t, std::uint32_t>> zones;
     for (const auto* machine : clusterState.machinesOf(partition)) {
         const auto* type = context_.type(machine->type);
-        if (machine->retired || type == nullptr ||
+        if (machine->decommissioned || type == nullptr ||
             !typeAllowed(job.spec, *type, machine->zone, machine->spot))
             continue;
         auto& [free, all] = zones[machine->zone];
@@ -121,7 +121,7 @@
     auto missing = job.spec.tasks - held;
     lacking = missing;
     blockedZones.insert(zone);
-    if (!rentable(job, zone)) missing -= drainFor(capacityIndex, job, missing);
+    if (!canProvision(job, zone)) missing -= drainFor(capacityIndex, job, missing);
     return missing;
 }
 
--- a/src/coordination/job_lookup.cpp
+++ b/src/coordination/job_lookup.cpp
@@ -19,7 +19,7 @@
 
 }  // namespace
 
-void JobLookup::recordTerminal(const std::string& id, bool cancelled) {
+void JobStatusReader::recordTerminal(const std::string& id, bool cancelled) {
     if (!terminals_.emplace(id, cancelled).second) return;
     terminalOrder_.push_back(id);
     if (terminalOrder_.size() > maxFinals) {
@@ -28,20 +28,20 @@
     }
 }
 
-std::optional<JobStatus> JobLookup::knownTerminal(const std::string& id) const {
+std::optional<JobStatus> JobStatusReader::knownTerminal(const std::string& id) const {
     const auto found = terminals_.find(id);
     if (found == terminals_.end()) return std::nullopt;
     return found->second ? JobStatus::terminalCancelled : JobStatus::terminalDone;
 }
 
-void JobLookup::askAgain(const Question& question) {
-    ask({question.id, question.purpose, question.done, question.tries + 1});
+void JobStatusReader::retry(const StatusRequest& statusRequest) {
+    enqueue({statusRequest.id, statusRequest.purpose, statusRequest.done, statusRequest.tries + 1});
 }
 
-void JobLookup::ask(Question question) {
-    if (question.tries >= maxTries) return question.done(JobStatus::noAnswer);
-    auto& queue = question.purpose == LookupPurpose::decision ? decisions_ : questions_;
-    queue.push_back(std::move(question));
+void JobStatusReader::enqueue(StatusRequest statusRequest) {
+    if (statusRequest.tries >= maxTries) return statusRequest.done(JobStatus::noAnswer);
+    auto& queue = statusRequest.purpose == ReadPurpose::decision ? decisions_ : statusRequests_;
+    queue.push_back(std::move(statusRequest));
     if (flushing_) return;
     flushing_ = true;
     // Questions are gathered for a moment: one comparing request answers many of them.
@@ -53,12 +53,13 @@
     });
 }
 
-void JobLookup::flush() {
+void JobStatusReader::flush() {
     flushQueue(decisions_, protocol::RequestPriority::userRequest);
-    flushQueue(questions_, protocol::RequestPriority::read);
+    flushQueue(statusRequests_, protocol::RequestPriority::read);
 }
 
-void JobLookup::flushQueue(std::deque<Question>& queue, protocol::RequestPriority priority) {
+void JobStatusReader::flushQueue(std::deque<StatusRequest>& queue,
+                                 protocol::RequestPriority priority) {
     const auto most = context_.settings.transactionConditions();
     while (!queue.empty()) {
         protocol::CompareAndSwap compare;
@@ -66,17 +67,17 @@
         {
             auto clusterState = context_.clusterState.lock();
             while (!queue.empty() && compare.compares.size() + conditionsPerQuestion <= most) {
-                Question question = std::move(queue.front());
+                StatusRequest statusRequest = std::move(queue.front());
                 queue.pop_front();
-                const Job* job = clusterState->job(question.id);
-                const auto key = bookkeeping::keys::job(question.id);
+                const Job* job = clusterState->job(statusRequest.id);
+                const auto key = bookkeeping::keys::job(statusRequest.id);
                 if (job != nullptr) {
                     compare.compares.push_back({key, job->version});
                 } else {
                     compare.compares.push_back({key, 0});
-                    compare.compares.push_back({bookkeeping::keys::terminal(question.id), 0});
+                    compare.compares.push_back({bookkeeping::keys::terminal(statusRequest.id), 0});
                 }
-                batch->push_back({std::move(question), job != nullptr});
+                batch->push_back({std::move(statusRequest), job != nullptr});
             }
         }
         context_.state.transact(std::move(compare), priority,
@@ -86,35 +87,36 @@
     }
 }
 
-bool JobLookup::failed(const protocol::CompareAndSwapResponse& answer, const std::string& id) {
+bool JobStatusReader::failed(const protocol::CompareAndSwapResponse& answer,
+                             const std::string& id) {
     const auto has = [&answer](const std::string& key) {
         return std::find(answer.failed.begin(), answer.failed.end(), key) != answer.failed.end();
     };
     return has(bookkeeping::keys::job(id)) || has(bookkeeping::keys::terminal(id));
 }
 
-void JobLookup::settle(const Asked& asked, const protocol::CompareAndSwapResponse& answer) {
-    const auto& question = asked.question;
+void JobStatusReader::settle(const Asked& asked, const protocol::CompareAndSwapResponse& answer) {
+    const auto& statusRequest = asked.statusRequest;
     if (answer.result != StateResult::ok && answer.result != StateResult::refused)
-        return question.done(JobStatus::noAnswer);
-    if (failed(answer, question.id)) return readTerminal(question);
+        return statusRequest.done(JobStatus::noAnswer);
+    if (failed(answer, statusRequest.id)) return readTerminal(statusRequest);
     // Others of the batch have failed; this one is asked again.
-    if (answer.result == StateResult::refused) return askAgain(question);
-    if (!asked.live) return question.done(JobStatus::unknownJob);
+    if (answer.result == StateResult::refused) return retry(statusRequest);
+    if (!asked.live) return statusRequest.done(JobStatus::unknownJob);
     JobStatus status = JobStatus::noAnswer;
     {
         auto clusterState = context_.clusterState.lock();
-        const Job* job = clusterState->job(question.id);
+        const Job* job = clusterState->job(statusRequest.id);
         // Ended by ourselves while this was under way, or called off: its user may have been told
         // so by a peer before this answer came, which was given before that (mass_cancel).
         if (job == nullptr || (!job->cancelled && clusterState->knownCancelled(*job)))
-            return askAgain(question);
+            return retry(statusRequest);
         status = statusOf(*job);
     }
-    question.done(status);
+    statusRequest.done(status);
 }
 
-JobStatus JobLookup::statusOf(const Job& job) const {
+JobStatus JobStatusReader::statusOf(const Job& job) const {
     if (job.cancelled) return JobStatus::cancelled;
     if (!job.waiting) return JobStatus::active;
     // A job that it needs, directly or through others, may have been called off. All that anybody
@@ -128,34 +130,37 @@
     return job.dependencyCancelled || !current ? JobStatus::noAnswer : JobStatus::active;
 }
 
-void JobLookup::readTerminal(const Question& question) {
+void JobStatusReader::readTerminal(const StatusRequest& statusRequest) {
     context_.state.read(
-        bookkeeping::keys::terminal(question.id),
-        [this, question](const protocol::ReadResponse& end) {
-            if (end.result != StateResult::ok) return question.done(JobStatus::noAnswer);
-            if (end.items.empty()) return readLive(question);
+        bookkeeping::keys::terminal(statusRequest.id),
+        [this, statusRequest](const protocol::ReadResponse& end) {
+            if (end.result != StateResult::ok) return statusRequest.done(JobStatus::noAnswer);
+            if (end.items.empty()) return readLive(statusRequest);
             const bool cancelled = bookkeeping::readTerminal(end.items.front().value).cancelled;
-            recordTerminal(question.id, cancelled);
-            question.done(cancelled ? JobStatus::terminalCancelled : JobStatus::terminalDone);
+            recordTerminal(statusRequest.id, cancelled);
+            statusRequest.done(cancelled ? JobStatus::terminalCancelled : JobStatus::terminalDone);
         });
 }
 
-void JobLookup::readLive(const Question& question) {
-    context_.state.read(
-        bookkeeping::keys::job(question.id), [this, question](const protocol::ReadResponse& live) {
-            if (live.result != StateResult::ok) return question.done(JobStatus::noAnswer);
-            // Ended between the two reads.
-            if (live.items.empty()) return askAgain(question);
-            const auto& item = live.items.front();
-            JobStatus status = JobStatus::noAnswer;
-            {
-                auto clusterState = context_.clusterState.lock();
-                bookkeeping::applyEvent(*clusterState, {item.key, item.value, item.version},
-                                        context_.now());
-                if (const Job* job = clusterState->job(question.id)) status = statusOf(*job);
-            }
-            question.done(status);
-        });
+void JobStatusReader::readLive(const StatusRequest& statusRequest) {
+    context_.state.read(bookkeeping::keys::job(statusRequest.id),
+                        [this, statusRequest](const protocol::ReadResponse& live) {
+                            if (live.result != StateResult::ok)
+                                return statusRequest.done(JobStatus::noAnswer);
+                            // Ended between the two reads.
+                            if (live.items.empty()) return retry(statusRequest);
+                            const auto& item = live.items.front();
+                            JobStatus status = JobStatus::noAnswer;
+                            {
+                                auto clusterState = context_.clusterState.lock();
+                                bookkeeping::applyEvent(*clusterState,
+                                                        {item.key, item.value, item.version},
+                                                        context_.now());
+                                if (const Job* job = clusterState->job(statusRequest.id))
+                                    status = statusOf(*job);
+                            }
+                            statusRequest.done(status);
+                        });
 }
 
 }  // namespace fawnwheel::coordination
--- a/src/coordination/job_lookup.h
+++ b/src/coordination/job_lookup.h
@@ -22,20 +22,20 @@
     noAnswer,  // can't be told now
 };
 
-enum class LookupPurpose {
-    decision,  // a submission or a cancellation waits for it: before all questions
-    question,  // a user only wants to know
+enum class ReadPurpose {
+    decision,       // a submission or a cancellation waits for it: before all questions
+    statusRequest,  // a user only wants to know
 };
 
-class JobLookup {
+class JobStatusReader {
   public:
     using Done = std::function<void(JobStatus)>;
 
-    explicit JobLookup(Context& context) : context_(context) {}
+    explicit JobStatusReader(Context& context) : context_(context) {}
 
-    // Callers bound how many are in progress (`AdaptiveLimit`).
-    void find(const std::string& id, LookupPurpose purpose, Done done) {
-        ask({id, purpose, std::move(done), 0});
+    // Callers bound how many are in progress (`ConcurrencyLimiter`).
+    void find(const std::string& id, ReadPurpose purpose, Done done) {
+        enqueue({id, purpose, std::move(done), 0});
     }
     // Final states never change, so that the latest of them are kept. Older ones are read again.
     void recordTerminal(const std::string& id, bool cancelled);
@@ -45,32 +45,32 @@
     std::function<SteadyTime()> recordsCurrentAsOf = [] { return SteadyTime{}; };
 
   private:
-    struct Question {
+    struct StatusRequest {
         std::string id;
-        LookupPurpose purpose = LookupPurpose::question;
+        ReadPurpose purpose = ReadPurpose::statusRequest;
         Done done;
         int tries = 0;
     };
     struct Asked {
-        Question question;
+        StatusRequest statusRequest;
         bool live = false;  // in the cluster state
     };
 
-    void ask(Question question);
-    void askAgain(const Question& question);
+    void enqueue(StatusRequest statusRequest);
+    void retry(const StatusRequest& statusRequest);
     void flush();
-    void flushQueue(std::deque<Question>& queue, protocol::RequestPriority priority);
+    void flushQueue(std::deque<StatusRequest>& queue, protocol::RequestPriority priority);
     [[nodiscard]] static bool failed(const protocol::CompareAndSwapResponse& answer,
                                      const std::string& id);
     void settle(const Asked& asked, const protocol::CompareAndSwapResponse& answer);
-    void readTerminal(const Question& question);
-    void readLive(const Question& question);
+    void readTerminal(const StatusRequest& statusRequest);
+    void readLive(const StatusRequest& statusRequest);
     // Of a job whose active record is current.
     [[nodiscard]] JobStatus statusOf(const Job& job) const;
 
     Context& context_;
-    std::deque<Question> decisions_;
-    std::deque<Question> questions_;
+    std::deque<StatusRequest> decisions_;
+    std::deque<StatusRequest> statusRequests_;
     bool flushing_ = false;
     std::unordered_map<std::string, bool> terminals_;  // cancelled?
     std::deque<std::string> terminalOrder_;
--- a/src/coordination/loans.h
+++ b/src/coordination/loans.h
@@ -10,20 +10,20 @@
 
 namespace fawnwheel::coordination {
 
-class Loans {
+class MachineLending {
   public:
-    Loans(Context& context, Membership& membership, Placement& placement,
-          MachineTransfers& transfers)
+    MachineLending(Context& context, Membership& membership, Placement& placement,
+                   MachineTransfers& transfers)
         : context_(context),
           membership_(membership),
           placement_(placement),
           transfers_(transfers) {}
 
     // Asks peers, those with most idle machines first, for what the partition's gangs lack.
-    void askFor(std::uint32_t partition, const std::vector<UnschedulableWork>& unschedulable);
-    void onAsk(const std::string& peer, const protocol::LoanAsk& ask);
+    void requestLoans(std::uint32_t partition, const std::vector<UnschedulableWork>& unschedulable);
+    void onLoanRequest(const std::string& peer, const protocol::LoanRequest& request);
     // Gives back what is no longer needed.
-    void review(std::uint32_t partition);
+    void returnIdleLoans(std::uint32_t partition);
 
   private:
     // Whether work of this partition comes before the gang and could use the machine.
--- a/src/coordination/machine_sharing.h
+++ b/src/coordination/machine_sharing.h
@@ -10,10 +10,10 @@
 
 namespace fawnwheel::coordination {
 
-class MachineSharing {
+class Rebalancer {
   public:
-    MachineSharing(Context& context, Membership& membership, TransactionPipeline& pipeline,
-                   Placement& placement, MachineTransfers& transfers)
+    Rebalancer(Context& context, Membership& membership, TransactionPipeline& pipeline,
+               Placement& placement, MachineTransfers& transfers)
         : context_(context),
           membership_(membership),
           pipeline_(pipeline),
@@ -30,15 +30,15 @@
 
   private:
     struct PartitionDemand {
-        std::vector<sharing::Demand> demands;
+        std::vector<rebalancing::Demand> demands;
         SteadyTime heard{};
     };
     // Machines that a partition of ours is to give away, until the next round.
-    struct Gift {
+    struct Transfer {
         std::uint32_t from = 0;
         std::uint32_t to = 0;
-        sharing::Supply kind;
-        sharing::Demand demand;
+        rebalancing::Supply kind;
+        rebalancing::Demand demand;
         std::uint32_t machines = 0;
         std::set<std::string> refused;  // looked at in this round
     };
@@ -46,26 +46,26 @@
     [[nodiscard]] bool usable() const;
     void round();
     void announceDemand(std::uint32_t partition);
-    [[nodiscard]] sharing::PlanInput collectInput() const;
+    [[nodiscard]] rebalancing::PlanInput collectInput() const;
     void addSupplies(const ClusterState& clusterState, std::uint32_t partition,
-                     sharing::PlanInput& input) const;
-    [[nodiscard]] std::vector<sharing::Demand> demandsOf(
+                     rebalancing::PlanInput& input) const;
+    [[nodiscard]] std::vector<rebalancing::Demand> demandsOf(
         const std::vector<UnschedulableWork>& unschedulable) const;
     // Without what such machines of the partition have room for.
     void subtractCapacity(const ClusterState& clusterState, std::uint32_t partition,
                           const std::function<bool(const Machine&)>& counts,
-                          std::vector<sharing::Demand>& demands) const;
-    // Whether the machine could serve the taker by what is known of it here.
+                          std::vector<rebalancing::Demand>& demands) const;
+    // Whether the machine could serve the recipient by what is known of it here.
     [[nodiscard]] bool spare(const ClusterState& clusterState, const Machine& machine,
-                             const sharing::Taker& taker) const;
-    [[nodiscard]] static sharing::Taker takerOf(const Gift& gift);
-    void logPlan(const sharing::PlanInput& input, const sharing::SharePlan& plan);
+                             const rebalancing::Recipient& recipient) const;
+    [[nodiscard]] static rebalancing::Recipient recipientOf(const Transfer& transfer);
+    void logPlan(const rebalancing::PlanInput& input, const rebalancing::TransferPlan& plan);
     // Gives what the plan says, as far as the budget and the records that go first allow.
     void carryOut();
     // Whether something was sent.
-    bool giveSome(Gift& gift);
-    [[nodiscard]] std::vector<std::string> candidates(const Gift& gift);
-    void logRefusal(const std::string& machine, sharing::Refusal refusal);
+    bool transferSome(Transfer& transfer);
+    [[nodiscard]] std::vector<std::string> candidates(const Transfer& transfer);
+    void logRefusal(const std::string& machine, rebalancing::Refusal refusal);
 
     Context& context_;
     Membership& membership_;
@@ -73,10 +73,10 @@
     Placement& placement_;
     MachineTransfers& transfers_;
     std::map<std::uint32_t, std::vector<UnschedulableWork>> unschedulable_;  // by partition of ours
-    std::map<std::uint32_t, sharing::DemandAverage> averages_;               // the same
+    std::map<std::uint32_t, rebalancing::DemandAverage> averages_;           // the same
     std::map<std::uint32_t, PartitionDemand> demands_;                       // of all partitions
-    std::vector<Gift> gifts_;
-    sharing::MoveBudget budget_;
+    std::vector<Transfer> planned_;
+    rebalancing::TransferRateLimiter rateLimiter_;
     bool carryingOut_ = false;
     SteadyTime logged_{};
 };
--- a/src/coordination/machine_transfers.cpp
+++ b/src/coordination/machine_transfers.cpp
@@ -42,10 +42,10 @@
 }
 
 bool MachineTransfers::addQuotas(Transfer& transfer, ClusterState& clusterState,
-                                 const sharing::Handover& handover, std::uint32_t from,
+                                 const rebalancing::Handover& handover, std::uint32_t from,
                                  std::uint32_t to) {
-    // The tasks count for the taker from now on. Without their share of the limit the giver would
-    // fill the room that they leave, and the team would use more than its limit.
+    // The tasks count for the recipient from now on. Without their share of the limit the giver
+    // would fill the room that they leave, and the team would use more than its limit.
     for (const auto& [name, used] : handover.used) {
         const auto* team = context_.team(name);
         if (team == nullptr || (team->cpusMax <= 0 && team->gpusMax <= 0)) continue;
@@ -74,7 +74,7 @@
             Machine next = leaving(machine, to);
             next.lender = machine.lender.value_or(from);
             if (*next.lender == to) next.lender.reset();
-            next.movedBy.clear();
+            next.transferredBy.clear();
             addMachine(transfer, machine, next);
         }
     }
@@ -85,9 +85,9 @@
                      });
 }
 
-std::optional<sharing::Refusal> MachineTransfers::give(std::uint32_t from, std::uint32_t to,
-                                                       const sharing::Handover& handover,
-                                                       std::function<void(bool given)> done) {
+std::optional<rebalancing::Refusal> MachineTransfers::give(std::uint32_t from, std::uint32_t to,
+                                                           const rebalancing::Handover& handover,
+                                                           std::function<void(bool given)> done) {
     Transfer transfer;
     {
         auto clusterState = context_.clusterState.lock();
@@ -105,7 +105,7 @@
         for (const auto& id : handover.machines) {
             Machine& machine = *clusterState->machine(id);
             Machine next = leaving(machine, to);
-            next.movedBy = context_.settings.name;
+            next.transferredBy = context_.settings.name;
             addMachine(transfer, machine, next);
         }
         fits =
@@ -116,7 +116,7 @@
                 clusterState->machine(id)->transferring = false;
             for (const auto& quota : transfer.quotas)
                 quotas_.settle(*clusterState, quota, CommitResult::conflict, 0);
-            return sharing::Refusal::tooLarge;
+            return rebalancing::Refusal::tooLarge;
         }
     }
     auto transaction = transfer.batch.transaction;
--- a/src/coordination/machine_transfers.h
+++ b/src/coordination/machine_transfers.h
@@ -22,9 +22,9 @@
     // Machines without tasks, until they are lent back.
     void lend(std::uint32_t from, std::uint32_t to, const std::vector<std::string>& machines);
     // The reason why nothing was sent; none: it is under way, and `done` will be called.
-    [[nodiscard]] std::optional<sharing::Refusal> give(std::uint32_t from, std::uint32_t to,
-                                                       const sharing::Handover& handover,
-                                                       std::function<void(bool given)> done);
+    [[nodiscard]] std::optional<rebalancing::Refusal> give(std::uint32_t from, std::uint32_t to,
+                                                           const rebalancing::Handover& handover,
+                                                           std::function<void(bool given)> done);
 
     // Allocations on these machines have become durable with a transfer.
     std::function<void(const std::set<std::string>& machines)> onDurable =
@@ -43,7 +43,7 @@
     void addMachine(Transfer& transfer, const Machine& machine, const Machine& next) const;
     void addJob(Transfer& transfer, const Job& job, std::uint32_t to) const;
     [[nodiscard]] bool addQuotas(Transfer& transfer, ClusterState& clusterState,
-                                 const sharing::Handover& handover, std::uint32_t from,
+                                 const rebalancing::Handover& handover, std::uint32_t from,
                                  std::uint32_t to);
     void finish(const Transfer& transfer, CommitResult result, std::uint64_t revision);
 
--- a/src/coordination/membership.cpp
+++ b/src/coordination/membership.cpp
@@ -12,7 +12,7 @@
 
 using namespace std::chrono_literals;
 
-constexpr auto beatPeriod = 500ms;
+constexpr auto peerHeartbeatInterval = 500ms;
 constexpr auto joinPause = 300ms;
 constexpr auto peerLost = 2500ms;
 constexpr double driftMargin = 0.998;
@@ -35,10 +35,10 @@
 
 void Membership::start() {
     grantLease();
-    beat();
+    broadcastPeriodically();
 }
 
-bool Membership::leaseStands() const {
+bool Membership::isLeaseValid() const {
     return joined_ && context_.now() < leaseUntil_;
 }
 
@@ -50,7 +50,7 @@
     // The slack is never exceeded, also not by a leader whose lease stands while its follow lags.
     // Only where `cancel_s` leaves no room beside a lease no leader could keep it by waiting.
     auto patience = context_.cancellationSlack();
-    if (patience <= Duration::zero() && leaseStands()) patience = watchPatience;
+    if (patience <= Duration::zero() && isLeaseValid()) patience = watchPatience;
     const auto now = context_.now();
     const auto current = recordsCurrentAsOf();
     if (now <= current + patience) return true;
@@ -61,9 +61,9 @@
         });
 }
 
-bool Membership::mayAnswerWorkers(std::uint32_t partition) const {
+bool Membership::canAnswerWorkers(std::uint32_t partition) const {
     if (!knowsCancellations()) return false;
-    if (leaseStands()) return true;
+    if (isLeaseValid()) return true;
     if (!joined_ || context_.state.reachable()) return false;
     // Every peer must have said so after `now - confirmationLasts`: one that reaches the state
     // service again stops saying it before it can take anything over, so a dependent has to wait
@@ -80,7 +80,7 @@
                            if (found == peers_.end()) return false;
                            const auto& state = found->second;
                            const auto owned = state.owned.find(partition);
-                           return now - state.saidLost < confirmationLasts - clockStep &&
+                           return now - state.lostStateServiceAt < confirmationLasts - clockStep &&
                                   (owned == state.owned.end() || owned->second <= term);
                        });
 }
@@ -90,18 +90,18 @@
     return found == peers_.end() ? 0 : found->second.applied;
 }
 
-bool Membership::peerFresh(const std::string& peer) const {
+bool Membership::isPeerAlive(const std::string& peer) const {
     const auto found = peers_.find(peer);
-    return found != peers_.end() && context_.now() - found->second.heard < peerLost;
+    return found != peers_.end() && context_.now() - found->second.lastHeard < peerLost;
 }
 
 bool Membership::healthy() const {
     if (!synced() || context_.catalog.empty()) return false;
-    if (leaseStands() || context_.state.reachable()) return true;
+    if (isLeaseValid() || context_.state.reachable()) return true;
     // In an outage for all, leaving the balancer would only delay the return. Refused alone, we
     // send users to those who are served.
     return std::none_of(peers_.begin(), peers_.end(), [&](const auto& entry) {
-        return peerFresh(entry.first) && entry.second.reachable && entry.second.ready;
+        return isPeerAlive(entry.first) && entry.second.reachable && entry.second.ready;
     });
 }
 
@@ -111,14 +111,14 @@
     if (!known) return;
     PeerState& state = peers_[peer];
     const auto now = context_.now();
-    if (now - state.heard > peerLost) state.freshSince = now;
-    state.heard = now;
+    if (now - state.lastHeard > peerLost) state.freshSince = now;
+    state.lastHeard = now;
     state.sentAt = status.sentAt;
     state.reachable = status.stateReachable;
     state.ready = status.ready;
     // An echo from the future is an earlier life's of ours.
     if (!status.stateReachable && status.echo != 0 && fromMicros(status.echo) <= now)
-        state.saidLost = std::max(state.saidLost, fromMicros(status.echo));
+        state.lostStateServiceAt = std::max(state.lostStateServiceAt, fromMicros(status.echo));
     applyCancellations(state, status);
 }
 
@@ -202,23 +202,23 @@
             sendTo(peer.name, status, withPartitions);
         } while (!status.complete);
     }
-    spread_ = context_.clusterState.lock()->cancellations.end();
+    broadcastPosition_ = context_.clusterState.lock()->cancellations.end();
 }
 
-void Membership::spreadCancellations(std::function<void()> then) {
-    if (context_.clusterState.lock()->cancellations.end() == spread_) return then();
-    spreading_.push_back(std::move(then));
-    if (spreading_.size() > 1) return;
+void Membership::broadcastCancellations(std::function<void()> then) {
+    if (context_.clusterState.lock()->cancellations.end() == broadcastPosition_) return then();
+    awaitingBroadcast_.push_back(std::move(then));
+    if (awaitingBroadcast_.size() > 1) return;
     context_.timers.after(spreadDelay, [this] {
         broadcastHeartbeat();
-        for (const auto& next : std::exchange(spreading_, {})) next();
+        for (const auto& next : std::exchange(awaitingBroadcast_, {})) next();
     });
 }
 
-void Membership::beat() {
+void Membership::broadcastPeriodically() {
     broadcastHeartbeat();
     reconcile();
-    context_.timers.after(beatPeriod, [this] { beat(); });
+    context_.timers.after(peerHeartbeatInterval, [this] { broadcastPeriodically(); });
 }
 
 void Membership::rejoinLater() {
--- a/src/coordination/membership.h
+++ b/src/coordination/membership.h
@@ -25,19 +25,19 @@
     // Peers hear of new cancellations now, not with the next beat; `then` may tell the user. Who is
     // asked about the job from then on knows better than an answer of the state service that was
     // given before.
-    void spreadCancellations(std::function<void()> then);
+    void broadcastCancellations(std::function<void()> then);
     // The replica has changed or been read.
     void reconcile();
-    // `workersLost` has changed: peers hear of it before a partition changes hands.
+    // `workersUnreachable` has changed: peers hear of it before a partition changes hands.
     void onReachabilityChanged();
 
     // Our lease with the state service surely stands: nobody can have taken our partitions.
-    [[nodiscard]] bool leaseStands() const;
+    [[nodiscard]] bool isLeaseValid() const;
     // The partition's workers may be answered: the lease stands, or every peer has just said that
     // it can't reach the state service either and that it has not taken the partition over before;
     // and no cancellation that somebody was told of may be unknown here for so long that a lease
     // renewed now could outlast its `cancel_s`.
-    [[nodiscard]] bool mayAnswerWorkers(std::uint32_t partition) const;
+    [[nodiscard]] bool canAnswerWorkers(std::uint32_t partition) const;
     // Taken by this process, and the cluster state holds all that preceded the acquisition.
     [[nodiscard]] bool isLeader(std::uint32_t partition);
     [[nodiscard]] std::vector<std::uint32_t> ledPartitions();
@@ -48,7 +48,7 @@
     }
     static constexpr std::uint32_t fencingTokenBits = 16;
     [[nodiscard]] bool healthy() const;
-    [[nodiscard]] bool peerFresh(const std::string& peer) const;
+    [[nodiscard]] bool isPeerAlive(const std::string& peer) const;
     // The revision up to which the peer has told us that it has the records.
     [[nodiscard]] std::uint64_t appliedBy(const std::string& peer) const;
     [[nodiscard]] bool joined() const { return joined_; }
@@ -71,14 +71,14 @@
     // Whether the cluster state lacks nothing that the watch has brought.
     std::function<bool()> recordsComplete = [] { return true; };
     // No worker reaches this process: its partitions are better off with a peer.
-    std::function<bool()> workersLost = [] { return false; };
+    std::function<bool()> workersUnreachable = [] { return false; };
     std::function<bool(std::uint32_t partition)> busy = [](std::uint32_t) { return false; };
 
   private:
     struct PeerState {
-        SteadyTime heard{};
-        std::uint64_t sentAt = 0;  // theirs, to echo
-        SteadyTime saidLost{};     // they could not reach the state service after this
+        SteadyTime lastHeard{};
+        std::uint64_t sentAt = 0;         // theirs, to echo
+        SteadyTime lostStateServiceAt{};  // they could not reach the state service after this
         bool reachable = true;
         bool ready = false;
         SteadyTime freshSince{};
@@ -91,7 +91,7 @@
         SteadyTime vouchedAsOf{};  // all that they told users before this is known here
     };
 
-    void beat();
+    void broadcastPeriodically();
     void broadcastHeartbeat();
     void sendTo(const std::string& peer, const protocol::PeerHeartbeat& status,
                 bool withPartitions);
@@ -120,8 +120,8 @@
 
     Context& context_;
     std::uint64_t incarnation_;
-    std::vector<std::function<void()>> spreading_;  // what waits for it
-    std::uint64_t spread_ = 0;                      // position in the log of cancellations
+    std::vector<std::function<void()>> awaitingBroadcast_;  // what waits for it
+    std::uint64_t broadcastPosition_ = 0;                   // position in the log of cancellations
     std::uint64_t leaseId_ = 0;
     bool joined_ = false;
     bool featureGatesLogged_ = false;
--- a/src/coordination/moves.cpp
+++ b/src/coordination/moves.cpp
@@ -14,7 +14,7 @@
 
 constexpr auto answerTimeout = 800ms;
 constexpr auto promiseLasts = 3s;
-constexpr std::size_t maxOffers = 16;
+constexpr std::size_t maxPendingMigrations = 16;
 // What found no place here for so long counts as above high, however short the queue is: the
 // average of one waiting task stays below any threshold (slice_left_behind).
 constexpr auto longWait = 30s;
@@ -24,30 +24,30 @@
 
 }  // namespace
 
-void QueueWatch::sample(double queueLength, const Tuning& tuning) {
+void QueueAverage::sample(double queueLength, const Tuning& tuning) {
     average_ = (1 - tuning.weight) * average_ + tuning.weight * queueLength;
 }
 
-double QueueWatch::moveProbability(double freedom, const Tuning& tuning) const {
+double QueueAverage::moveProbability(double stickinessFactor, const Tuning& tuning) const {
     if (average_ < tuning.low) return 0;
     if (average_ > tuning.high) return 1;
     const double base = (average_ - tuning.low) / (tuning.high - tuning.low) * tuning.probability;
     if (count_ * base >= 1) return 1;
-    return std::clamp(base / (1 - count_ * base) * freedom, 0.0, 1.0);
+    return std::clamp(base / (1 - count_ * base) * stickinessFactor, 0.0, 1.0);
 }
 
-void Moves::start() {
+void WorkMigrator::start() {
     sampleAll();
 }
 
-QueueWatch::Tuning Moves::tuningFor(std::uint32_t partition) {
+QueueAverage::Tuning WorkMigrator::tuningFor(std::uint32_t partition) {
     double running = 0;
     {
         auto clusterState = context_.clusterState.lock();
         for (const auto* machine : clusterState->machinesOf(partition))
             running += static_cast<double>(machine->allocations.size());
     }
-    QueueWatch::Tuning tuning;
+    QueueAverage::Tuning tuning;
     tuning.weight = context_.tuning.weight;
     tuning.probability = context_.tuning.probability;
     tuning.low = std::min(context_.tuning.low, std::max(1.0, running * lowFractionOfRunning));
@@ -55,7 +55,7 @@
     return tuning;
 }
 
-double Moves::freedom(const Job& job, std::uint32_t partition) {
+double WorkMigrator::stickinessFactor(const Job& job, std::uint32_t partition) {
     const double most = job.spec.imageSize;
     if (most <= 0) return 1;
     auto clusterState = context_.clusterState.lock();
@@ -69,16 +69,16 @@
     return (most - local) / most;
 }
 
-void Moves::sampleAll() {
+void WorkMigrator::sampleAll() {
     for (const auto partition : membership_.ledPartitions()) samplePartition(partition);
     context_.timers.after(ticks(context_.tuning.samplePeriod), [this] { sampleAll(); });
 }
 
-void Moves::samplePartition(std::uint32_t partition) {
+void WorkMigrator::samplePartition(std::uint32_t partition) {
     auto& queue = queues_[partition];
     const auto tuning = tuningFor(partition);
     queue.sample(placement_.queueLength(partition), tuning);
-    if (!membership_.leaseStands()) return;
+    if (!membership_.isLeaseValid()) return;
     std::vector<std::string> waiting;
     {
         auto clusterState = context_.clusterState.lock();
@@ -101,7 +101,7 @@
             // Work that no machine here could ever run counts as above high, and so does what
             // will miss its objective unless it starts about now: the average lags behind it.
             stranded = stranded || !placement_.isFeasible(*job, partition);
-            free = freedom(*job, partition);
+            free = stickinessFactor(*job, partition);
             // Elsewhere its image may have to be fetched: what has it here waits here for as long
             // as that would take.
             const Seconds waited = context_.timers.wallNow() - job->readySince;
@@ -116,7 +116,7 @@
     }
 }
 
-bookkeeping::TaskRange Moves::movableRange(const Slice& slice) {
+bookkeeping::TaskRange WorkMigrator::movableRange(const Slice& slice) {
     if (slice.leaving) return {};
     if (slice.untouched()) return slice.dirty ? bookkeeping::TaskRange{} : slice.range();
     // The rest of a slice that has begun becomes a slice of its own. It once never moved, and
@@ -125,7 +125,7 @@
     return slice.lastUnstarted();
 }
 
-bool Moves::movable(const Job& job, std::uint32_t partition) {
+bool WorkMigrator::movable(const Job& job, std::uint32_t partition) {
     if (job.undivided())
         return std::any_of(job.slices.begin(), job.slices.end(), [partition](const Slice& slice) {
             return slice.partition == partition && slice.untouched() && !slice.leaving;
@@ -135,7 +135,7 @@
     });
 }
 
-void Moves::consider(std::uint32_t partition, const std::string& id, bool always) {
+void WorkMigrator::consider(std::uint32_t partition, const std::string& id, bool always) {
     auto clusterState = context_.clusterState.lock();
     Job* job = clusterState->job(id);
     if (job == nullptr) return;
@@ -144,19 +144,19 @@
     });
     if (job->undivided() || (job->slices.size() == 1 && allHere)) {
         if (allHere && job->partition == partition)
-            offer(partition, *job, job->slices.front(), true);
+            migration(partition, *job, job->slices.front(), true);
         return;
     }
     for (const auto& slice : job->slices) {
         if (slice.partition != partition || movableRange(slice).count == 0) continue;
-        offer(partition, *job, slice, false);
+        migration(partition, *job, slice, false);
         if (!always) return;
     }
 }
 
-void Moves::offer(std::uint32_t partition, Job& job, const Slice& slice, bool wholeJob) {
-    if (offers_.size() >= maxOffers) return;
-    Offer next;
+void WorkMigrator::migration(std::uint32_t partition, Job& job, const Slice& slice, bool wholeJob) {
+    if (pending_.size() >= maxPendingMigrations) return;
+    Migration next;
     next.partition = partition;
     next.job = job.spec.id;
     next.slice = slice.index;
@@ -191,48 +191,48 @@
     for (const auto& [capacity, other] : order) next.peersLeft.push_back(other);
     if (next.peersLeft.empty()) return;
     setLeaving(next, true);
-    const auto ask = nextAsk_++;
-    offers_[ask] = std::move(next);
-    askNext(ask);
+    const auto requestId = nextRequestId_++;
+    pending_[requestId] = std::move(next);
+    requestNextPeer(requestId);
 }
 
-void Moves::setLeaving(const Offer& offer, bool leaving) {
+void WorkMigrator::setLeaving(const Migration& migration, bool leaving) {
     auto clusterState = context_.clusterState.lock();
-    Job* job = clusterState->job(offer.job);
+    Job* job = clusterState->job(migration.job);
     if (job == nullptr) return;
     for (auto& slice : job->slices) {
-        if (!offer.wholeJob && slice.index != offer.slice) continue;
+        if (!migration.wholeJob && slice.index != migration.slice) continue;
         slice.leaving.reset();
-        if (leaving) slice.leaving = offer.wholeJob ? slice.range() : offer.range;
+        if (leaving) slice.leaving = migration.wholeJob ? slice.range() : migration.range;
     }
 }
 
-void Moves::askNext(std::uint64_t ask) {
-    auto& offer = offers_[ask];
-    if (offer.peersLeft.empty()) {
+void WorkMigrator::requestNextPeer(std::uint64_t requestId) {
+    auto& migration = pending_[requestId];
+    if (migration.peersLeft.empty()) {
         // All have been asked in turn: the work stays.
-        setLeaving(offer, false);
-        offers_.erase(ask);
+        setLeaving(migration, false);
+        pending_.erase(requestId);
         return;
     }
-    offer.asked = offer.peersLeft.front();
-    offer.peersLeft.erase(offer.peersLeft.begin());
-    const auto leader = context_.clusterState.lock()->partitions[offer.asked].leader;
-    protocol::MoveAsk message{ask,         offer.asked,    offer.job,
-                              offer.slice, offer.wholeJob, offer.tasks};
+    migration.asked = migration.peersLeft.front();
+    migration.peersLeft.erase(migration.peersLeft.begin());
+    const auto leader = context_.clusterState.lock()->partitions[migration.asked].leader;
+    protocol::MigrationRequest message{requestId,       migration.asked,    migration.job,
+                                       migration.slice, migration.wholeJob, migration.tasks};
     if (leader == context_.settings.name) {
         // Both partitions are ours for the time being.
-        onAsk(leader, message);
+        onMigrationRequest(leader, message);
         return;
     }
     context_.network.sendFrame(leader, protocol::encodePeer({context_.settings.name, message}));
-    context_.timers.after(answerTimeout, [this, ask, asked = offer.asked] {
-        const auto found = offers_.find(ask);
-        if (found != offers_.end() && found->second.asked == asked) askNext(ask);
+    context_.timers.after(answerTimeout, [this, requestId, asked = migration.asked] {
+        const auto found = pending_.find(requestId);
+        if (found != pending_.end() && found->second.asked == asked) requestNextPeer(requestId);
     });
 }
 
-std::uint32_t Moves::promised(std::uint32_t partition) {
+std::uint32_t WorkMigrator::promised(std::uint32_t partition) {
     const auto now = context_.now();
     std::erase_if(promises_, [now](const Promise& p) { return p.until < now; });
     std::uint32_t total = 0;
@@ -241,92 +241,101 @@
     return total;
 }
 
-void Moves::onAsk(const std::string& peer, const protocol::MoveAsk& ask) {
-    protocol::MoveAnswer answer{ask.ask, false};
+void WorkMigrator::onMigrationRequest(const std::string& peer,
+                                      const protocol::MigrationRequest& requestId) {
+    protocol::MigrationResponse answer{requestId.requestId, false};
     {
         auto clusterState = context_.clusterState.lock();
-        const Job* job = clusterState->job(ask.job);
-        if (job != nullptr && membership_.isLeader(ask.partition) && membership_.leaseStands()) {
+        const Job* job = clusterState->job(requestId.job);
+        if (job != nullptr && membership_.isLeader(requestId.partition) &&
+            membership_.isLeaseValid()) {
             // Accept only while the queue stays below low: what has room now does not queue.
             // The queue that counts is the one for the machines this work could use: what waits
             // here although they have room waits for others.
-            const auto coming = ask.tasks + promised(ask.partition);
-            const auto capacity = placement_.capacityFor(*job, ask.partition, coming);
-            answer.accepted = capacity > promised(ask.partition) &&
-                              coming - capacity < tuningFor(ask.partition).low;
+            const auto coming = requestId.tasks + promised(requestId.partition);
+            const auto capacity = placement_.capacityFor(*job, requestId.partition, coming);
+            answer.accepted = capacity > promised(requestId.partition) &&
+                              coming - capacity < tuningFor(requestId.partition).low;
         }
         if (answer.accepted)
-            promises_.push_back({ask.partition, ask.tasks, context_.now() + promiseLasts});
+            promises_.push_back(
+                {requestId.partition, requestId.tasks, context_.now() + promiseLasts});
     }
-    if (peer == context_.settings.name) return onAnswer(answer);
+    if (peer == context_.settings.name) return onMigrationResponse(answer);
     context_.network.sendFrame(peer, protocol::encodePeer({context_.settings.name, answer}));
 }
 
-void Moves::onAnswer(const protocol::MoveAnswer& answer) {
-    const auto found = offers_.find(answer.ask);
+void WorkMigrator::onMigrationResponse(const protocol::MigrationResponse& answer) {
+    const auto found = pending_.find(answer.requestId);
     // A late answer, when its peer was given up already.
-    if (found == offers_.end() || found->second.asked == context_.partitionCount()) return;
+    if (found == pending_.end() || found->second.asked == context_.partitionCount()) return;
     if (answer.accepted)
-        push(answer.ask);
+        migrate(answer.requestId);
     else
-        askNext(answer.ask);
+        requestNextPeer(answer.requestId);
 }
 
-void Moves::push(std::uint64_t ask) {
-    auto& found = offers_[ask];
+void WorkMigrator::migrate(std::uint64_t requestId) {
+    auto& found = pending_[requestId];
     const auto target = found.asked;
     found.asked = context_.partitionCount();  // no longer asking
-    const Offer offer = found;
-    if (!membership_.isLeader(offer.partition)) return finishPush(ask, target, false);
-    if (offer.wholeJob)
-        pushJob(ask, offer, target);
+    const Migration migration = found;
+    if (!membership_.isLeader(migration.partition))
+        return finishMigration(requestId, target, false);
+    if (migration.wholeJob)
+        migrateJob(requestId, migration, target);
     else
-        pushTasks(ask, offer, target);
+        migrateTasks(requestId, migration, target);
 }
 
-void Moves::pushJob(std::uint64_t ask, const Offer& offer, std::uint32_t target) {
+void WorkMigrator::migrateJob(std::uint64_t requestId, const Migration& migration,
+                              std::uint32_t target) {
     protocol::CompareAndSwap transaction;
-    const auto key = bookkeeping::keys::job(offer.job);
+    const auto key = bookkeeping::keys::job(migration.job);
     protocol::Json value;
     {
         auto clusterState = context_.clusterState.lock();
-        const Job* job = clusterState->job(offer.job);
-        if (job == nullptr || job->cancelled) return finishPush(ask, target, false);
+        const Job* job = clusterState->job(migration.job);
+        if (job == nullptr || job->cancelled) return finishMigration(requestId, target, false);
         Job next = *job;
         next.partition = target;
         value = bookkeeping::jobValue(next);
         transaction = {{{key, job->version}}, {{key, value, 0}}};
     }
-    pipeline_.commit(offer.partition, std::move(transaction),
-                     [this, ask, target, key, value](CommitResult result, std::uint64_t revision) {
-                         // As the record that it is: the job may have been pushed on, or be over,
-                         // by now.
-                         if (result == CommitResult::done)
-                             bookkeeping::applyEvent(*context_.clusterState.lock(),
-                                                     {key, value, revision}, context_.now());
-                         finishPush(ask, target, result == CommitResult::done);
-                     });
+    pipeline_.commit(
+        migration.partition, std::move(transaction),
+        [this, requestId, target, key, value](CommitResult result, std::uint64_t revision) {
+            // As the record that it is: the job may have been migrated on, or be over,
+            // by now.
+            if (result == CommitResult::done)
+                bookkeeping::applyEvent(*context_.clusterState.lock(), {key, value, revision},
+                                        context_.now());
+            finishMigration(requestId, target, result == CommitResult::done);
+        });
 }
 
-void Moves::pushTasks(std::uint64_t ask, const Offer& offer, std::uint32_t target) {
-    stateWriter_.push(offer.partition,
-                      {offer.job, offer.slice, offer.range, target, context_.now() + promiseLasts,
-                       [this, ask, target](bool pushed) { finishPush(ask, target, pushed); }});
+void WorkMigrator::migrateTasks(std::uint64_t requestId, const Migration& migration,
+                                std::uint32_t target) {
+    stateWriter_.migrate(migration.partition,
+                         {migration.job, migration.slice, migration.range, target,
+                          context_.now() + promiseLasts, [this, requestId, target](bool migrated) {
+                              finishMigration(requestId, target, migrated);
+                          }});
 }
 
-void Moves::finishPush(std::uint64_t ask, std::uint32_t target, bool pushed) {
-    const auto found = offers_.find(ask);
-    if (found == offers_.end()) return;
-    const Offer made = found->second;
-    offers_.erase(found);
+void WorkMigrator::finishMigration(std::uint64_t requestId, std::uint32_t target, bool migrated) {
+    const auto found = pending_.find(requestId);
+    if (found == pending_.end()) return;
+    const Migration made = found->second;
+    pending_.erase(found);
     setLeaving(made, false);
-    if (!pushed) return;
+    if (!migrated) return;
     queues_[made.partition].moved();
     spdlog::info("move: {} of job {}, {} tasks, part {} to {}", made.wholeJob ? "all" : "a slice",
                  made.job, made.tasks, made.partition, target);
 }
 
-std::optional<std::uint32_t> Moves::partitionOfDependencies(const Job& job) {
+std::optional<std::uint32_t> WorkMigrator::partitionOfDependencies(const Job& job) {
     // Parents with children, as DESIGN maps them: its trigger comes from the same process.
     auto clusterState = context_.clusterState.lock();
     for (auto id = job.spec.dependencies.rbegin(); id != job.spec.dependencies.rend(); ++id) {
@@ -339,7 +348,7 @@
     return std::nullopt;
 }
 
-std::uint32_t Moves::mapJob(const Job& job) {
+std::uint32_t WorkMigrator::mapJob(const Job& job) {
     // Greedy: where it would run first, by the queue there and by what its image takes to fetch.
     // Jobs of one image so come together in few partitions, whose machines have it.
     if (const auto partition = partitionOfDependencies(job)) return *partition;
--- a/src/coordination/moves.h
+++ b/src/coordination/moves.h
@@ -1,4 +1,4 @@
-// The paper's runtime adaptation: watch the ready queue, and push unstarted work to a peer.
+// The paper's runtime adaptation: watch the ready queue, and migrate unstarted work to a peer.
 #pragma once
 
 #include <random>
@@ -11,7 +11,7 @@
 namespace fawnwheel::coordination {
 
 // Exponentially weighted average of the queue and the RED-like probability of a move.
-class QueueWatch {
+class QueueAverage {
   public:
     struct Tuning {
         double weight = 0.2;
@@ -22,7 +22,7 @@
 
     void sample(double queueLength, const Tuning& tuning);
     // Probability of moving one job, given its stickiness from 0 (stays) to 1 (free to go).
-    [[nodiscard]] double moveProbability(double freedom, const Tuning& tuning) const;
+    [[nodiscard]] double moveProbability(double stickinessFactor, const Tuning& tuning) const;
     void considered() { ++count_; }
     void moved() { count_ = 0; }
     [[nodiscard]] double average() const { return average_; }
@@ -33,10 +33,10 @@
     double count_ = 0;  // jobs seen since the last move
 };
 
-class Moves {
+class WorkMigrator {
   public:
-    Moves(Context& context, Membership& membership, TransactionPipeline& pipeline,
-          StateWriter& stateWriter, Placement& placement)
+    WorkMigrator(Context& context, Membership& membership, TransactionPipeline& pipeline,
+                 StateWriter& stateWriter, Placement& placement)
         : context_(context),
           membership_(membership),
           pipeline_(pipeline),
@@ -44,13 +44,13 @@
           placement_(placement) {}
 
     void start();
-    void onAsk(const std::string& peer, const protocol::MoveAsk& ask);
-    void onAnswer(const protocol::MoveAnswer& answer);
+    void onMigrationRequest(const std::string& peer, const protocol::MigrationRequest& requestId);
+    void onMigrationResponse(const protocol::MigrationResponse& answer);
     // Where a new job starts out.
     [[nodiscard]] std::uint32_t mapJob(const Job& job);
 
   private:
-    struct Offer {
+    struct Migration {
         std::uint32_t partition = 0;  // ours
         std::string job;
         std::uint32_t slice = 0;
@@ -69,20 +69,20 @@
     void sampleAll();
     void samplePartition(std::uint32_t partition);
     void consider(std::uint32_t partition, const std::string& id, bool always);
-    // Whether some of the job's tasks here could be pushed.
+    // Whether some of the job's tasks here could be migrated.
     [[nodiscard]] bool movable(const Job& job, std::uint32_t partition);
-    // The tasks of a slice that may be pushed together; none: an empty range.
+    // The tasks of a slice that may be migrated together; none: an empty range.
     [[nodiscard]] bookkeeping::TaskRange movableRange(const Slice& slice);
-    void offer(std::uint32_t partition, Job& job, const Slice& slice, bool wholeJob);
-    void askNext(std::uint64_t ask);
-    void push(std::uint64_t ask);
-    void pushJob(std::uint64_t ask, const Offer& offer, std::uint32_t target);
-    void pushTasks(std::uint64_t ask, const Offer& offer, std::uint32_t target);
-    void finishPush(std::uint64_t ask, std::uint32_t target, bool pushed);
-    void setLeaving(const Offer& offer, bool leaving);
-    [[nodiscard]] QueueWatch::Tuning tuningFor(std::uint32_t partition);
+    void migration(std::uint32_t partition, Job& job, const Slice& slice, bool wholeJob);
+    void requestNextPeer(std::uint64_t requestId);
+    void migrate(std::uint64_t requestId);
+    void migrateJob(std::uint64_t requestId, const Migration& migration, std::uint32_t target);
+    void migrateTasks(std::uint64_t requestId, const Migration& migration, std::uint32_t target);
+    void finishMigration(std::uint64_t requestId, std::uint32_t target, bool migrated);
+    void setLeaving(const Migration& migration, bool leaving);
+    [[nodiscard]] QueueAverage::Tuning tuningFor(std::uint32_t partition);
     [[nodiscard]] std::optional<std::uint32_t> partitionOfDependencies(const Job& job);
-    [[nodiscard]] double freedom(const Job& job, std::uint32_t partition);
+    [[nodiscard]] double stickinessFactor(const Job& job, std::uint32_t partition);
     [[nodiscard]] std::uint32_t promised(std::uint32_t partition);
 
     Context& context_;
@@ -90,12 +90,12 @@
     TransactionPipeline& pipeline_;
     StateWriter& stateWriter_;
     Placement& placement_;
-    std::map<std::uint32_t, QueueWatch> queues_;
+    std::map<std::uint32_t, QueueAverage> queues_;
     // By partition and job: since when some of its tasks have waited to be placed.
     std::map<std::uint32_t, std::map<std::string, SteadyTime>> waitingSince_;
-    std::map<std::uint64_t, Offer> offers_;
+    std::map<std::uint64_t, Migration> pending_;
     std::vector<Promise> promises_;
-    std::uint64_t nextAsk_ = 1;
+    std::uint64_t nextRequestId_ = 1;
 };
 
 }  // namespace fawnwheel::coordination
--- a/src/coordination/placement.cpp
+++ b/src/coordination/placement.cpp
@@ -47,7 +47,7 @@
 
 bool Placement::takesWork(const Machine& machine, SteadyTime now) const {
     return machine.version != 0 && machine.acknowledged() && !machine.transferring &&
-           !machine.retired && !machine.emptying && !machine.interruptionAt &&
+           !machine.decommissioned && !machine.consolidating && !machine.interruptionAt &&
            machine.lastHeartbeat &&
            now - *machine.lastHeartbeat <
                ticks(context_.settings.heartbeatInterval * silentHeartbeats) &&
@@ -288,8 +288,8 @@
         }
         chooseZone(*clusterState, partition, job);
         const bool waitsTurn = blockedZones.contains(job.assemblyZone);
-        // What waits for its turn has machines rented for it, but only once: each round it once
-        // asked for all of them again.
+        // What waits for its turn has machines provisioned for it, but only once: each round it
+        // once asked for all of them again.
         auto lacking = job.spec.tasks;
         const auto missing =
             waitsTurn
--- a/src/coordination/placement.h
+++ b/src/coordination/placement.h
@@ -32,7 +32,7 @@
                                      const std::vector<UnschedulableWork>& unschedulable);
 
     // Picks a thinly used machine whose tasks fit on others and stops them to move there.
-    std::optional<std::string> emptyOne(std::uint32_t partition);
+    std::optional<std::string> consolidateOne(std::uint32_t partition);
 
     // Ready tasks of the partition: to start, without a place (the paper's readyQ).
     [[nodiscard]] std::uint32_t queueLength(std::uint32_t partition);
@@ -74,7 +74,7 @@
     [[nodiscard]] bool isSloAtRisk(const Job& job) const;
 
     // Whether the cloud may still have machines for the job in this zone (empty: in any).
-    std::function<bool(const Job&, const std::string& zone)> rentable =
+    std::function<bool(const Job&, const std::string& zone)> canProvision =
         [](const Job&, const std::string&) { return true; };
 
     static constexpr std::uint32_t taskBits = 24;
@@ -158,8 +158,8 @@
     [[nodiscard]] std::uint32_t gangCapacity(ClusterState& clusterState, std::uint32_t partition,
                                              const Job& job);
     void stopBrokenGang(Job& job);
-    bool canEmpty(ClusterState& clusterState, const Machine& machine,
-                  std::vector<Allocation*>& allocations);
+    bool canConsolidate(ClusterState& clusterState, const Machine& machine,
+                        std::vector<Allocation*>& allocations);
     // Of what runs on the partition and could be stopped for others.
     [[nodiscard]] static protocol::Priority lowestRunning(const ClusterState& clusterState,
                                                           std::uint32_t partition);
--- a/src/coordination/preemption.cpp
+++ b/src/coordination/preemption.cpp
@@ -122,8 +122,8 @@
     return machines;
 }
 
-bool Placement::canEmpty(ClusterState& clusterState, const Machine& machine,
-                         std::vector<Allocation*>& allocations) {
+bool Placement::canConsolidate(ClusterState& clusterState, const Machine& machine,
+                               std::vector<Allocation*>& allocations) {
     const auto now = context_.now();
     std::map<std::string, Resources> consumed;
     double longestLeft = 0;
@@ -155,14 +155,15 @@
     return longestLeft > leastLeftToMove;
 }
 
-std::optional<std::string> Placement::emptyOne(std::uint32_t partition) {
+std::optional<std::string> Placement::consolidateOne(std::uint32_t partition) {
     auto clusterState = context_.clusterState.lock();
     Machine* best = nullptr;
     std::vector<Allocation*> bestAllocations;
     double bestWaste = 0;
     for (auto* entry : clusterState->machinesOf(partition)) {
         Machine& machine = *entry;
-        if (machine.emptying && !machine.allocations.empty()) return std::nullopt;  // one at a time
+        if (machine.consolidating && !machine.allocations.empty())
+            return std::nullopt;  // one at a time
         const auto* type = context_.type(machine.type);
         if (type == nullptr || machine.allocations.empty() || !takesWork(machine)) continue;
         const double utilization = std::max(machine.used.cpus / std::max(1.0, type->capacity.cpus),
@@ -170,14 +171,14 @@
         if (utilization > thinUse) continue;
         const double waste = (machine.spot ? type->spotPrice : type->price) * (1 - utilization);
         std::vector<Allocation*> allocations;
-        if (waste <= bestWaste || !canEmpty(*clusterState, machine, allocations)) continue;
+        if (waste <= bestWaste || !canConsolidate(*clusterState, machine, allocations)) continue;
         best = &machine;
         bestAllocations = std::move(allocations);
         bestWaste = waste;
     }
     if (best == nullptr) return std::nullopt;
     spdlog::debug("machine {}: emptying, {} tasks", best->id, bestAllocations.size());
-    best->emptying = true;
+    best->consolidating = true;
     for (std::size_t i = 0; i < bestAllocations.size(); ++i)
         bestAllocations[i]->stopGrace =
             clusterState->job(best->allocations[i].job)->spec.checkpointDuration;
--- a/src/coordination/recorder.cpp
+++ b/src/coordination/recorder.cpp
@@ -42,8 +42,8 @@
 
 }  // namespace
 
-void StateWriter::push(std::uint32_t partition, SlicePush push) {
-    pushes_[partition].push_back(std::move(push));
+void StateWriter::migrate(std::uint32_t partition, SliceMigration migrate) {
+    migrations_[partition].push_back(std::move(migrate));
     flush(partition);
 }
 
@@ -118,14 +118,15 @@
     job.completing = true;
 }
 
-bool StateWriter::addPush(Batch& batch, Job& job, const SlicePush& push) {
-    if (!writer_.add(batch, job, job.slices[push.slice], {{push.range}, push.target})) return false;
-    batch.pushed.push_back(push.done);
+bool StateWriter::addMigration(Batch& batch, Job& job, const SliceMigration& migrate) {
+    if (!writer_.add(batch, job, job.slices[migrate.slice], {{migrate.range}, migrate.target}))
+        return false;
+    batch.migrated.push_back(migrate.done);
     return true;
 }
 
-void StateWriter::addPushes(Batch& batch, ClusterState& clusterState, std::uint32_t partition) {
-    auto& waiting = pushes_[partition];
+void StateWriter::addMigrations(Batch& batch, ClusterState& clusterState, std::uint32_t partition) {
+    auto& waiting = migrations_[partition];
     while (!waiting.empty() && !writer_.full(batch)) {
         const auto& next = waiting.front();
         Job* job = clusterState.job(next.job);
@@ -138,7 +139,7 @@
                               !batch.jobs.contains(next.job);
         if (!possible) {
             next.done(false);
-        } else if (!addPush(batch, *job, next)) {
+        } else if (!addMigration(batch, *job, next)) {
             return;
         }
         waiting.pop_front();
@@ -222,7 +223,7 @@
         addCancellations(batch, *clusterState, partition);
         addTerminals(batch, *clusterState, partition, false, writer_.mostChanges());
         addTerminals(batch, *clusterState, partition, true, writer_.mostChanges() / 2);
-        addPushes(batch, *clusterState, partition);
+        addMigrations(batch, *clusterState, partition);
         addSlices(batch, *clusterState, partition);
         addTerminals(batch, *clusterState, partition, true, writer_.mostChanges());
     }
@@ -258,7 +259,7 @@
         }
         machines = writer_.finish(*clusterState, batch, result, revision);
     }
-    for (const auto& done : batch.pushed) done(result == CommitResult::done);
+    for (const auto& done : batch.migrated) done(result == CommitResult::done);
     if (result == CommitResult::done && !batch.cancellations.empty()) onCancelled();
     if (!machines.empty()) onDurable(machines);
     // Not before what the watch has brought of these keys meanwhile is taken in.
--- a/src/coordination/recorder.h
+++ b/src/coordination/recorder.h
@@ -6,13 +6,13 @@
 namespace fawnwheel::coordination {
 
 // Tasks of a partition's slice, none of them started, that another partition shall own.
-struct SlicePush {
+struct SliceMigration {
     std::string job;
     std::uint32_t slice = 0;
     bookkeeping::TaskRange range;
     std::uint32_t target = 0;  // partition
     SteadyTime until{};        // the other partition's word holds no longer
-    std::function<void(bool pushed)> done;
+    std::function<void(bool migrated)> done;
 };
 
 class StateWriter {
@@ -26,7 +26,7 @@
     [[nodiscard]] SliceWriter& writer() { return writer_; }
     // Gives the tasks to the other partition with the next flush, in a slice of their own if they
     // are not the whole slice. Refused if one of them has started by then.
-    void push(std::uint32_t partition, SlicePush push);
+    void migrate(std::uint32_t partition, SliceMigration migrate);
 
     // A job has reached its end, durably.
     std::function<void(const std::string& job, bool cancelled)> onTerminal = [](const std::string&,
@@ -45,13 +45,13 @@
     struct Batch : SliceBatch {
         std::vector<WrittenTerminal> terminals;
         std::vector<protocol::Write> cancellations;  // of jobs that need a cancelled one
-        std::vector<std::function<void(bool pushed)>> pushed;
+        std::vector<std::function<void(bool migrated)>> migrated;
     };
 
     void addCancellations(Batch& batch, ClusterState& clusterState, std::uint32_t partition);
     // Whether there was room for it.
-    bool addPush(Batch& batch, Job& job, const SlicePush& push);
-    void addPushes(Batch& batch, ClusterState& clusterState, std::uint32_t partition);
+    bool addMigration(Batch& batch, Job& job, const SliceMigration& migrate);
+    void addMigrations(Batch& batch, ClusterState& clusterState, std::uint32_t partition);
     // A slice that has changed since its record.
     struct Dirty {
         SteadyTime due{};
@@ -80,8 +80,8 @@
     Context& context_;
     TransactionPipeline& pipeline_;
     SliceWriter writer_;
-    std::map<std::uint32_t, std::deque<SlicePush>> pushes_;  // by partition
-    std::map<std::uint32_t, SteadyTime> pausedUntil_;        // by partition, after a rejection
+    std::map<std::uint32_t, std::deque<SliceMigration>> migrations_;  // by partition
+    std::map<std::uint32_t, SteadyTime> pausedUntil_;  // by partition, after a rejection
 };
 
 }  // namespace fawnwheel::coordination
--- a/src/coordination/replica.cpp
+++ b/src/coordination/replica.cpp
@@ -138,8 +138,8 @@
                     bookkeeping::recordCancellation(*clusterState, event);
                     // From here on its new leader counts how long its worker has been silent.
                     bookkeeping::recordDeparture(*clusterState, event);
-                    // Dropped, the allocations that a new leader had recorded in a pushed slice
-                    // before the pusher had its answer were never known to it
+                    // Dropped, the allocations that a new leader had recorded in a migrated slice
+                    // before the migrating leader had its answer were never known to it
                     // (ClaimsThatOvertakeTheAnswerToAPushAreKnown).
                     deferred_[event.key] = event;
                 }
--- a/src/coordination/reports.cpp
+++ b/src/coordination/reports.cpp
@@ -62,7 +62,7 @@
                    : HeartbeatResponse{503, {}};
     }
     if (!membership_.isLeader(machine->partition) ||
-        !membership_.mayAnswerWorkers(machine->partition))
+        !membership_.canAnswerWorkers(machine->partition))
         return {503, {}};
     refreshToken(*machine);
     if (heartbeat.fencingToken > machine->fencingToken) {
@@ -70,7 +70,7 @@
         // owns its partition, so that we may go beyond that token. While it changes hands its token
         // stands still: raised to the one with which its next leader begins, two leaders once
         // answered the worker with the same token (sharing_troubles).
-        if (!membership_.leaseStands() || machine->transferring) return {503, {}};
+        if (!membership_.isLeaseValid() || machine->transferring) return {503, {}};
         machine->firstFencingToken = machine->fencingToken = heartbeat.fencingToken + 1;
         requireAcknowledgement(*machine, machine->fencingToken);
     }
@@ -157,7 +157,7 @@
         // Unless it is still to be started. Starts that don't arrive would keep it waiting for
         // ever; what this heartbeat lacks no earlier answer can start any more.
         if (!allocation->seen && !allocation->abandoned && !clusterState.knownCancelled(*job) &&
-            !machine.retired) {
+            !machine.decommissioned) {
             if (allocation->startsSent < answersBelieved || machine.transferring) continue;
             if (machine.acknowledged()) {
                 spdlog::info("machine {}: does not hear, its tasks go elsewhere", machine.id);
@@ -230,7 +230,7 @@
                       machine.id, Seconds(*allocation->ran - allocation->made).count());
     }
     if (task.state == TaskState::running) failures_.onTaskRunning(*job, *slice, *allocation);
-    if (knownCancelled || machine.retired)
+    if (knownCancelled || machine.decommissioned)
         commands.push_back({CommandKind::stop, task.job, task.index, task.attempt, {}});
     else if (allocation->stopGrace && task.state != TaskState::saving)
         commands.push_back(
@@ -250,7 +250,7 @@
 
 bool HeartbeatHandler::mayStartOn(const Machine& machine) const {
     // Without the state service a start would rest on records that may have changed.
-    return membership_.leaseStands() && !machine.retired && !machine.interruptionAt &&
+    return membership_.isLeaseValid() && !machine.decommissioned && !machine.interruptionAt &&
            machine.acknowledgedToken >= machine.firstFencingToken;
 }
 
@@ -413,7 +413,7 @@
 void HeartbeatHandler::requestHeartbeats(const std::set<std::string>& machines) {
     const auto now = context_.now();
     auto clusterState = context_.clusterState.lock();
-    if (!membership_.leaseStands()) return;
+    if (!membership_.isLeaseValid()) return;
     for (const auto& id : machines) {
         Machine* machine = clusterState->machine(id);
         if (machine == nullptr || !machine->lastHeartbeat ||
@@ -457,9 +457,9 @@
     // Until the node that gave the machine away knows the outcome of its own transaction, it goes
     // on renewing the worker's lease, also through an outage of the state service. Counted from
     // when the change was seen here, the lease once would have seemed to end in such an outage.
-    return machine.movedBy.empty() || machine.movedBy == context_.settings.name ||
-           !clusterState.nodes.contains(machine.movedBy) ||
-           membership_.appliedBy(machine.movedBy) >= machine.version;
+    return machine.transferredBy.empty() || machine.transferredBy == context_.settings.name ||
+           !clusterState.nodes.contains(machine.transferredBy) ||
+           membership_.appliedBy(machine.transferredBy) >= machine.version;
 }
 
 void HeartbeatHandler::expireSilent(std::uint32_t partition) {
--- a/src/coordination/room.cpp
+++ b/src/coordination/room.cpp
@@ -48,7 +48,7 @@
     const auto fragmentationGuard =
         context_.isBestEffort(job) ? largestOfClasses(*clusterState) : FragmentationGuard();
     for (const auto* machine : clusterState->machinesOf(partition)) {
-        if (machine->retired || (own && !takesWork(*machine)) || !mayUseLoan(job, *machine))
+        if (machine->decommissioned || (own && !takesWork(*machine)) || !mayUseLoan(job, *machine))
             continue;
         const auto* type = context_.type(machine->type);
         if (type == nullptr || !typeAllowed(job.spec, *type, machine->zone, machine->spot))
@@ -73,7 +73,7 @@
     std::map<std::string, std::uint32_t> zones;
     for (const auto* machine : clusterState.machinesOf(partition)) {
         const auto* type = context_.type(machine->type);
-        if (machine->retired || (own && !takesWork(*machine)) || type == nullptr ||
+        if (machine->decommissioned || (own && !takesWork(*machine)) || type == nullptr ||
             !typeAllowed(job.spec, *type, machine->zone, machine->spot))
             continue;
         Resources free = type->capacity;
@@ -94,7 +94,7 @@
     const auto& machines = clusterState->machinesOf(partition);
     return std::any_of(machines.begin(), machines.end(), [&](const Machine* machine) {
         const auto* type = context_.type(machine->type);
-        return !machine->retired && type != nullptr &&
+        return !machine->decommissioned && type != nullptr &&
                typeAllowed(job.spec, *type, machine->zone, machine->spot);
     });
 }
--- a/src/coordination/shares.cpp
+++ b/src/coordination/shares.cpp
@@ -8,8 +8,8 @@
 
 namespace fawnwheel::coordination {
 
-void QuotaExchange::askFor(std::uint32_t partition,
-                           const std::vector<UnschedulableWork>& unschedulable) {
+void QuotaExchange::requestQuota(std::uint32_t partition,
+                                 const std::vector<UnschedulableWork>& unschedulable) {
     auto clusterState = context_.clusterState.lock();
     for (const auto& entry : unschedulable) {
         if (!entry.overQuota) continue;
@@ -20,33 +20,33 @@
             if (other == partition || !clusterState->nodes.contains(leader)) continue;
             const auto left = placement_.remainingQuota(*clusterState, job->spec.team, other);
             if (left.cpus <= 0 && left.gpus <= 0) continue;
-            const protocol::QuotaRequest ask{other, partition, entry.job};
+            const protocol::QuotaRequest request{other, partition, entry.job};
             if (leader == context_.settings.name)
-                onAsk(leader, ask);
+                onQuotaRequest(leader, request);
             else
                 context_.network.sendFrame(leader,
-                                           protocol::encodePeer({context_.settings.name, ask}));
+                                           protocol::encodePeer({context_.settings.name, request}));
         }
         // The first in the queue's order gets what there is; the next ones ask in their turn.
         return;
     }
 }
 
-void QuotaExchange::onAsk(const std::string& peer, const protocol::QuotaRequest& ask) {
+void QuotaExchange::onQuotaRequest(const std::string& peer, const protocol::QuotaRequest& request) {
     auto clusterState = context_.clusterState.lock();
-    const Job* job = clusterState->job(ask.job);
+    const Job* job = clusterState->job(request.job);
     const auto partitions = context_.partitionCount();
-    if (job == nullptr || job->cancelled || ask.lender == ask.borrower ||
-        ask.lender >= partitions || ask.borrower >= partitions ||
-        clusterState->partitions[ask.borrower].leader != peer ||
-        !membership_.isLeader(ask.lender) || !membership_.leaseStands())
+    if (job == nullptr || job->cancelled || request.lender == request.borrower ||
+        request.lender >= partitions || request.borrower >= partitions ||
+        clusterState->partitions[request.borrower].leader != peer ||
+        !membership_.isLeader(request.lender) || !membership_.isLeaseValid())
         return;
     const auto* team = context_.team(job->spec.team);
     if (team == nullptr || clusterState->outgoingQuotas.contains(team->name)) return;
     const std::uint32_t tasks =
         job->spec.tasks - std::min(job->spec.tasks, job->doneTasks() + job->allocatedTasks());
-    const auto theirs = placement_.remainingQuota(*clusterState, team->name, ask.borrower);
-    const auto ours = placement_.remainingQuota(*clusterState, team->name, ask.lender);
+    const auto theirs = placement_.remainingQuota(*clusterState, team->name, request.borrower);
+    const auto ours = placement_.remainingQuota(*clusterState, team->name, request.lender);
     const auto given = [tasks](double each, double has, double left) {
         return std::clamp(each * tasks - std::max(0.0, has), 0.0, std::max(0.0, left));
     };
@@ -57,21 +57,21 @@
     const bool needed =
         std::any_of(clusterState->jobs.begin(), clusterState->jobs.end(), [&](const auto& entry) {
             const Job& other = entry.second;
-            return &other != job && other.partition == ask.lender &&
+            return &other != job && other.partition == request.lender &&
                    other.spec.team == team->name && clusterState->schedulable(other) &&
                    other.allocatedTasks() + other.doneTasks() < other.spec.tasks &&
                    placement_.before(other, *job);
         });
     if (needed || (moved.cpus <= 0 && moved.gpus <= 0)) return;
 
-    const auto quota = begin(*clusterState, *team, ask.lender, ask.borrower, moved);
+    const auto quota = begin(*clusterState, *team, request.lender, request.borrower, moved);
     if (!quota) return;
-    spdlog::debug("share: of {} for job {}, {} CPUs, {} GPUs, part {} to {}", team->name, ask.job,
-                  moved.cpus, moved.gpus, ask.lender, ask.borrower);
-    pipeline_.commit(ask.lender,
+    spdlog::debug("share: of {} for job {}, {} CPUs, {} GPUs, part {} to {}", team->name,
+                  request.job, moved.cpus, moved.gpus, request.lender, request.borrower);
+    pipeline_.commit(request.lender,
                      {{quota->compare,
-                       {bookkeeping::keys::partition(ask.borrower),
-                        clusterState->partitions[ask.borrower].version}},
+                       {bookkeeping::keys::partition(request.borrower),
+                        clusterState->partitions[request.borrower].version}},
                       {quota->change}},
                      [this, quota = *quota](CommitResult result, std::uint64_t revision) {
                          settle(*context_.clusterState.lock(), quota, result, revision);
--- a/src/coordination/shares.h
+++ b/src/coordination/shares.h
@@ -16,8 +16,8 @@
         : context_(context), membership_(membership), pipeline_(pipeline), placement_(placement) {}
 
     // Asks peers for what only the partition's share keeps from starting.
-    void askFor(std::uint32_t partition, const std::vector<UnschedulableWork>& unschedulable);
-    void onAsk(const std::string& peer, const protocol::QuotaRequest& ask);
+    void requestQuota(std::uint32_t partition, const std::vector<UnschedulableWork>& unschedulable);
+    void onQuotaRequest(const std::string& peer, const protocol::QuotaRequest& request);
 
     // A change of a team's quota shares, to be carried out in some transaction of the giving
     // partition.
--- a/src/coordination/standby.cpp
+++ b/src/coordination/standby.cpp
@@ -1,5 +1,5 @@
-// Which idle machines stand ready, and for how long: for classes that can't wait for a boot, and
-// for what teams are guaranteed.
+// Which idle machines in the warm pool, and for how long: for classes that can't wait for a boot,
+// and for what teams are guaranteed.
 #include <algorithm>
 
 #include "coordination/fleet.h"
@@ -17,7 +17,7 @@
 
 void Fleet::recordClasses(ClusterState& clusterState) {
     // A class most of whose jobs have objectives that leave no time to boot a machine and fetch the
-    // image needs machines that stand ready between its jobs.
+    // image needs machines that in the warm pool between its jobs.
     for (auto& [id, job] : clusterState.jobs) {
         const auto& spec = job.spec;
         auto& seen = classDemand_[spec.jobClass];
@@ -54,7 +54,7 @@
     if (guaranteed_.cpus <= 0 && guaranteed_.gpus <= 0) return;
     for (const auto& [id, machine] : clusterState.machines) {
         const auto* type = context_.type(machine.type);
-        if (machine.retired || machine.version == 0 || type == nullptr) continue;
+        if (machine.decommissioned || machine.version == 0 || type == nullptr) continue;
         upGpus_ += type->capacity.gpus;
         if (type->capacity.gpus <= 0) upCpus_ += type->capacity.cpus;
     }
@@ -68,7 +68,7 @@
                                     : guaranteed_.cpus > 0 && upCpus_ <= guaranteed_.cpus);
 }
 
-bool Fleet::standsReady(const Machine& machine) const {
+bool Fleet::isInWarmPool(const Machine& machine) const {
     return std::any_of(classDemand_.begin(), classDemand_.end(), [&](const auto& entry) {
         return entry.second.pressed * 2 > entry.second.jobs &&
                entry.second.types.contains(machine.type) &&
@@ -76,24 +76,24 @@
     });
 }
 
-bool Fleet::mayEmpty(std::uint32_t partition) {
+bool Fleet::mayConsolidate(std::uint32_t partition) {
     if (placement_.queueLength(partition) > 0) return false;
     auto clusterState = context_.clusterState.lock();
     const auto& machines = clusterState->machinesOf(partition);
     return std::none_of(machines.begin(), machines.end(), [&](const Machine* machine) {
-        return standsReady(*machine) || withinGuarantee(*machine);
+        return isInWarmPool(*machine) || withinGuarantee(*machine);
     });
 }
 
 Duration Fleet::idleLimit(const Machine& machine, const MachineType& type) const {
     // For a guarantee alone they stand twice as long: nobody wants idle ones for minutes.
-    if (!standsReady(machine))
-        return ticks(context_.tuning.idleBeforeReturn * (withinGuarantee(machine) ? 2 : 1));
+    if (!isInWarmPool(machine))
+        return ticks(context_.tuning.idleBeforeScaleIn * (withinGuarantee(machine) ? 2 : 1));
     // Renting again costs a boot, the least charge and fetching the images anew. Waiting for work
     // as long as that costs at most twice what the best choice in hindsight would have.
     Seconds again = type.bootTime + leastCharge;
     for (const auto& image : machine.images) again += Seconds(image.size / type.fetchRate);
-    return ticks(std::max(context_.tuning.idleBeforeReturn, again));
+    return ticks(std::max(context_.tuning.idleBeforeScaleIn, again));
 }
 
 }  // namespace fawnwheel::coordination
--- a/src/coordination/takeover.cpp
+++ b/src/coordination/takeover.cpp
@@ -83,7 +83,7 @@
         spdlog::info("membership: part {} active, term {}", partition, acquiredTerms_[partition]);
         onActive(partition);
     }
-    if (!joined_ || !synced() || !leaseStands()) return;
+    if (!joined_ || !synced() || !isLeaseValid()) return;
     for (std::uint32_t partition = 0; partition < context_.partitionCount(); ++partition) {
         if (settled(partition))
             reconcileLed(partition);
@@ -94,7 +94,7 @@
 
 void Membership::reconcileLed(std::uint32_t partition) {
     if (busy(partition)) return;
-    if (workersLost()) {
+    if (workersUnreachable()) {
         // Its machines' leases would run out, with all that runs on them (incident inc-59fe).
         if (const auto substitute = successorFor(partition))
             transferLeadership(partition, *substitute);
@@ -137,13 +137,13 @@
     // comes after all others.
     auto rank = (context_.preferredPartition + context_.partitionCount() - partition) %
                 context_.partitionCount();
-    if (workersLost()) rank += context_.partitionCount();
+    if (workersUnreachable()) rank += context_.partitionCount();
     if (now - since >= rank * rankPause) acquire(partition);
 }
 
 bool Membership::peerCanLead(const std::string& peer) const {
     const auto state = peers_.find(peer);
-    return state != peers_.end() && peerFresh(peer) && state->second.ready &&
+    return state != peers_.end() && isPeerAlive(peer) && state->second.ready &&
            state->second.reachable && context_.clusterState.lock()->nodes.contains(peer);
 }
 
--- a/src/coordination/triggers.cpp
+++ b/src/coordination/triggers.cpp
@@ -36,7 +36,7 @@
     return {partitions.begin(), partitions.end()};
 }
 
-void CompletionNotifier::review() {
+void CompletionNotifier::resolveDependencies() {
     const auto now = context_.now();
     std::erase_if(notBefore_, [now](const auto& entry) { return entry.second <= now; });
     std::vector<std::string> wanted;
@@ -84,11 +84,11 @@
     }
     for (const auto& leader : leaders)
         if (leader != context_.settings.name && !leader.empty())
-            context_.network.sendFrame(
-                leader, protocol::encodePeer({context_.settings.name, protocol::JobEnded{job}}));
+            context_.network.sendFrame(leader, protocol::encodePeer({context_.settings.name,
+                                                                     protocol::JobCompleted{job}}));
 }
 
-void CompletionNotifier::onEnded(const protocol::JobEnded& message) {
+void CompletionNotifier::onJobCompleted(const protocol::JobCompleted& message) {
     {
         auto clusterState = context_.clusterState.lock();
         if (clusterState->dependencyGraph.isTerminalKnown(message.job) ||
--- a/src/coordination/triggers.h
+++ b/src/coordination/triggers.h
@@ -18,10 +18,10 @@
         : context_(context), membership_(membership) {}
 
     // Reads the terminal records that jobs of our partitions wait for.
-    void review();
+    void resolveDependencies();
     // A job has ended, durably: tells the leaders of the jobs that wait for it.
     void announce(const std::string& job);
-    void onEnded(const protocol::JobEnded& message);
+    void onJobCompleted(const protocol::JobCompleted& message);
 
     // A terminal record has been read: jobs may have been released, or have to be cancelled.
     std::function<void()> onRead = [] {};
--- a/src/coordination/worker_contact.cpp
+++ b/src/coordination/worker_contact.cpp
@@ -26,23 +26,23 @@
 
 }  // namespace
 
-bool WorkerReachability::steady() const {
-    return !lost_ && (!regained_ || context_.now() - *regained_ >= steadyAfter);
+bool WorkerReachability::isStable() const {
+    return !unreachable_ && (!reachableSince_ || context_.now() - *reachableSince_ >= steadyAfter);
 }
 
 void WorkerReachability::recordContact() {
-    heard_ = context_.now();
+    lastContact_ = context_.now();
     silentRounds_ = 0;
-    if (lost_) setLost(false);
+    if (unreachable_) setUnreachable(false);
 }
 
-void WorkerReachability::setLost(bool lost) {
-    if (lost_ == lost) return;
-    lost_ = lost;
+void WorkerReachability::setUnreachable(bool lost) {
+    if (unreachable_ == lost) return;
+    unreachable_ = lost;
     if (lost)
-        lostSince_ = context_.now();
+        unreachableSince_ = context_.now();
     else
-        regained_ = context_.now();
+        reachableSince_ = context_.now();
     spdlog::info("workers: {}", lost ? "none reaches this node" : "reach this node again");
     onChange();
 }
@@ -53,7 +53,8 @@
     auto clusterState = context_.clusterState.lock();
     for (const auto partition : partitions)
         for (const auto* machine : clusterState->machinesOf(partition))
-            if (!machine->retired && (machine->lastHeartbeat || !machine->allocations.empty()))
+            if (!machine->decommissioned &&
+                (machine->lastHeartbeat || !machine->allocations.empty()))
                 ++machines;
     if (machines == 0) return std::nullopt;
     const auto period = context_.settings.heartbeatInterval;
@@ -69,20 +70,20 @@
     auto clusterState = context_.clusterState.lock();
     for (const auto partition : partitions)
         for (const auto* machine : clusterState->machinesOf(partition))
-            if (!machine->retired && !machine->address.empty())
+            if (!machine->decommissioned && !machine->address.empty())
                 addresses.push_back(machine->address);
     std::shuffle(addresses.begin(), addresses.end(), context_.rng);
     return addresses;
 }
 
-void WorkerReachability::review(const std::vector<std::uint32_t>& partitions) {
+void WorkerReachability::checkReachability(const std::vector<std::uint32_t>& partitions) {
     if (open_ > 0) return;
-    if (!lost_) {
+    if (!unreachable_) {
         const auto silence = longestSilence(partitions);
-        if (!silence || context_.now() - heard_ <= *silence) return;
+        if (!silence || context_.now() - lastContact_ <= *silence) return;
         return inspect(addressesOf(partitions));
     }
-    if (context_.now() - lostSince_ > presumedBack) return recordContact();
+    if (context_.now() - unreachableSince_ > presumedBack) return recordContact();
     auto addresses = addressesOf(partitions);
     // Its partitions are with peers now: the machines of the partition that it owns by preference
     // will do.
@@ -107,7 +108,7 @@
 
 void WorkerReachability::finishRound() {
     if (answered_) return recordContact();
-    if (!lost_ && ++silentRounds_ >= roundsToLose) setLost(true);
+    if (!unreachable_ && ++silentRounds_ >= roundsToLose) setUnreachable(true);
 }
 
 }  // namespace fawnwheel::coordination
--- a/src/protocol/cloud_client.cpp
+++ b/src/protocol/cloud_client.cpp
@@ -64,7 +64,7 @@
 void CloudClient::list(const std::string& after,
                        std::function<void(std::optional<CloudPage>)> done) {
     std::string path =
-        std::string(wire::pathRentals) + "?" + wire::queryMost + "=" + std::to_string(listPage);
+        std::string(wire::pathMachines) + "?" + wire::queryMost + "=" + std::to_string(listPage);
     if (!after.empty()) path += std::string("&") + wire::querySince + "=" + after;
     enqueue({"GET", std::move(path), {}},
             [done = std::move(done)](const std::optional<transport::HttpResponse>& response) {
@@ -74,33 +74,33 @@
             });
 }
 
-void CloudClient::rent(const std::string& rental, const std::string& type, const std::string& zone,
-                       bool spot, int count,
-                       std::function<void(RentResult, std::vector<std::string>)> done) {
-    const Json body{{wire::rental, rental},
+void CloudClient::provision(
+    const std::string& provisioningRequest, const std::string& type, const std::string& zone,
+    bool spot, int count, std::function<void(ProvisioningResult, std::vector<std::string>)> done) {
+    const Json body{{wire::provisioningRequest, provisioningRequest},
                     {wire::type, type},
                     {wire::zone, zone},
                     {wire::spot, spot},
                     {wire::count, count}};
-    enqueue({"POST", wire::pathRentals, encodeCbor(body)},
+    enqueue({"POST", wire::pathMachines, encodeCbor(body)},
             [done = std::move(done)](std::optional<transport::HttpResponse> response) {
-                if (!response) return done(RentResult::unknown, {});
+                if (!response) return done(ProvisioningResult::unknown, {});
                 const auto answer = decodeCbor(response->body);
                 if (response->status == 200 && answer) {
                     std::vector<std::string> names;
                     for (const auto& name : listOf(*answer, wire::machines))
                         if (name.is_string()) names.push_back(name.get<std::string>());
-                    return done(RentResult::rented, std::move(names));
+                    return done(ProvisioningResult::provisioned, std::move(names));
                 }
                 const bool full =
                     response->status == 503 && answer && textOf(*answer, "error") == "no capacity";
-                done(full ? RentResult::noCapacity : RentResult::failed, {});
+                done(full ? ProvisioningResult::noCapacity : ProvisioningResult::failed, {});
             });
 }
 
 void CloudClient::release(const std::vector<std::string>& machines,
                           std::function<void(bool)> done) {
-    enqueue({"POST", wire::pathRelease, encodeCbor({{wire::machines, machines}})},
+    enqueue({"POST", wire::pathReleaseMachines, encodeCbor({{wire::machines, machines}})},
             [done = std::move(done)](std::optional<transport::HttpResponse> response) {
                 done(response && response->status == 200);
             });
--- a/src/protocol/cloud_client.h
+++ b/src/protocol/cloud_client.h
@@ -9,7 +9,7 @@
 
 namespace fawnwheel::protocol {
 
-enum class RentResult { rented, noCapacity, failed, unknown };
+enum class ProvisioningResult { provisioned, noCapacity, failed, unknown };
 
 class CloudClient {
   public:
@@ -19,8 +19,9 @@
     // Empty: no answer to build on.
     void catalog(std::function<void(std::optional<std::vector<MachineType>>)> done);
     void list(const std::string& after, std::function<void(std::optional<CloudPage>)> done);
-    void rent(const std::string& rental, const std::string& type, const std::string& zone,
-              bool spot, int count, std::function<void(RentResult, std::vector<std::string>)> done);
+    void provision(const std::string& provisioningRequest, const std::string& type,
+                   const std::string& zone, bool spot, int count,
+                   std::function<void(ProvisioningResult, std::vector<std::string>)> done);
     // True: the machines and all on them are gone.
     void release(const std::vector<std::string>& machines, std::function<void(bool)> done);
 
--- a/src/protocol/peer_codec.cpp
+++ b/src/protocol/peer_codec.cpp
@@ -66,8 +66,8 @@
     visit(m.cancelled);
 }
 template <typename Visit>
-void fields(MoveAsk& m, Visit visit) {
-    visit(m.ask);
+void fields(MigrationRequest& m, Visit visit) {
+    visit(m.requestId);
     visit(m.partition);
     visit(m.job);
     visit(m.slice);
@@ -75,12 +75,12 @@
     visit(m.tasks);
 }
 template <typename Visit>
-void fields(MoveAnswer& m, Visit visit) {
-    visit(m.ask);
+void fields(MigrationResponse& m, Visit visit) {
+    visit(m.requestId);
     visit(m.accepted);
 }
 template <typename Visit>
-void fields(NoCapacity& m, Visit visit) {
+void fields(CapacityExhausted& m, Visit visit) {
     visit(m.type);
     visit(m.zone);
     visit(m.spot);
@@ -88,7 +88,7 @@
 }
 
 template <typename Visit>
-void fields(LoanAsk& m, Visit visit) {
+void fields(LoanRequest& m, Visit visit) {
     visit(m.lender);
     visit(m.borrower);
     visit(m.job);
@@ -104,7 +104,7 @@
 }
 
 template <typename Visit>
-void fields(JobEnded& m, Visit visit) {
+void fields(JobCompleted& m, Visit visit) {
     visit(m.job);
 }
 
--- a/src/protocol/peer_codec.h
+++ b/src/protocol/peer_codec.h
@@ -57,9 +57,9 @@
     std::vector<std::string> cancelled;  // jobs
 };
 
-// "May I push these tasks to your partition?"
-struct MoveAsk {
-    std::uint64_t ask = 0;
+// "May I migrate these tasks to your partition?"
+struct MigrationRequest {
+    std::uint64_t requestId = 0;
     std::uint32_t partition = 0;  // the partition asked
     std::string job;
     std::uint32_t slice = 0;
@@ -67,13 +67,13 @@
     std::uint32_t tasks = 0;
 };
 
-struct MoveAnswer {
-    std::uint64_t ask = 0;
+struct MigrationResponse {
+    std::uint64_t requestId = 0;
     bool accepted = false;
 };
 
 // "The cloud has no more machines of this kind": spares the peers the same call.
-struct NoCapacity {
+struct CapacityExhausted {
     std::string type;
     std::string zone;
     bool spot = false;
@@ -81,7 +81,7 @@
 };
 
 // "Lend my partition machines for this gang." The answer is the change of the machines' records.
-struct LoanAsk {
+struct LoanRequest {
     std::uint32_t lender = 0;  // partitions
     std::uint32_t borrower = 0;
     std::string job;
@@ -98,7 +98,7 @@
 
 // "This job has ended": the terminal record, which says how, may be read now. Unknown to the first
 // version, which drops it.
-struct JobEnded {
+struct JobCompleted {
     std::string job;
 };
 
@@ -134,8 +134,9 @@
 };
 
 // A message's place in this list is its kind on the wire: new ones come last.
-using PeerMessage = std::variant<PeerHeartbeat, MoveAsk, MoveAnswer, NoCapacity, LoanAsk,
-                                 QuotaRequest, JobEnded, DemandUpdate, LeaderHeartbeat>;
+using PeerMessage =
+    std::variant<PeerHeartbeat, MigrationRequest, MigrationResponse, CapacityExhausted, LoanRequest,
+                 QuotaRequest, JobCompleted, DemandUpdate, LeaderHeartbeat>;
 
 struct PeerEnvelope {
     std::string sender;
--- a/src/sharing/demand.cpp
+++ b/src/sharing/demand.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <cmath>
 
-namespace fawnwheel::sharing {
+namespace fawnwheel::rebalancing {
 
 namespace {
 
@@ -78,12 +78,12 @@
     return out;
 }
 
-bool DemandAverage::wants(const std::string& type, const std::string& zone, bool spot,
-                          const protocol::Resources& free) const {
+bool DemandAverage::isShortOf(const std::string& type, const std::string& zone, bool spot,
+                              const protocol::Resources& free) const {
     return std::any_of(entries_.begin(), entries_.end(), [&](const Entry& entry) {
         return entry.average >= thresholds_.low &&
                entry.latest.shape.placesOn(type, zone, spot, free, 1) > 0;
     });
 }
 
-}  // namespace fawnwheel::sharing
+}  // namespace fawnwheel::rebalancing
--- a/src/sharing/demand.h
+++ b/src/sharing/demand.h
@@ -10,7 +10,7 @@
 #include "protocol/messages.h"
 #include "transport/interfaces.h"
 
-namespace fawnwheel::sharing {
+namespace fawnwheel::rebalancing {
 
 // What a task needs of a machine. Tasks of one shape count as one demand, whatever their jobs.
 struct TaskShape {
@@ -65,8 +65,8 @@
     // Whole tasks to ask machines for, never more than wait now.
     [[nodiscard]] std::vector<Demand> asked() const;
     // Whether some shape that fits there lacks so much that a machine would be asked back.
-    [[nodiscard]] bool wants(const std::string& type, const std::string& zone, bool spot,
-                             const protocol::Resources& free) const;
+    [[nodiscard]] bool isShortOf(const std::string& type, const std::string& zone, bool spot,
+                                 const protocol::Resources& free) const;
 
   private:
     struct Entry {
@@ -78,4 +78,4 @@
     std::vector<Entry> entries_;
 };
 
-}  // namespace fawnwheel::sharing
+}  // namespace fawnwheel::rebalancing
--- a/src/sharing/flow_solver.cpp
+++ b/src/sharing/flow_solver.cpp
@@ -8,7 +8,7 @@
 
 #include "sharing/share_plan.h"
 
-namespace fawnwheel::sharing {
+namespace fawnwheel::rebalancing {
 
 namespace {
 
@@ -66,42 +66,42 @@
 
 }  // namespace
 
-std::optional<SharePlan> planByFlow(const PlanModel& model, std::size_t mostSteps) {
+std::optional<TransferPlan> planByMinCostFlow(const PlanModel& model, std::size_t mostSteps) {
     const auto supplies = model.offered.size();
-    const auto wants = model.needed.size();
-    const Vertex source = supplies + wants;
+    const auto machineDemands = model.needed.size();
+    const Vertex source = supplies + machineDemands;
     const Vertex sink = source + 1;
     // Each edge, with its reverse, is looked at at least once for each want.
-    if ((model.arcs.size() + supplies + wants * 2) * 2 > mostSteps) return std::nullopt;
+    if ((model.arcs.size() + supplies + machineDemands * 2) * 2 > mostSteps) return std::nullopt;
     FlowNetwork network(sink + 1);
     for (std::size_t i = 0; i < supplies; ++i) network.add(source, i, model.offered[i], 0);
     std::vector<Edge> lacking;
-    for (std::size_t i = 0; i < wants; ++i) {
+    for (std::size_t i = 0; i < machineDemands; ++i) {
         lacking.push_back(network.add(source, supplies + i, model.needed[i], model.lacking[i]));
         network.add(supplies + i, sink, model.needed[i], 0);
     }
     std::vector<Edge> arcs;
     for (const auto& arc : model.arcs) {
-        const auto most = std::min(model.offered[arc.supply], model.needed[arc.want]);
-        arcs.push_back(network.add(arc.supply, supplies + arc.want, most, arc.cost));
+        const auto most = std::min(model.offered[arc.supply], model.needed[arc.machineDemand]);
+        arcs.push_back(network.add(arc.supply, supplies + arc.machineDemand, most, arc.cost));
     }
     try {
         network.solve(source, sink, mostSteps);
     } catch (const TooManySteps&) {
         return std::nullopt;
     }
-    SharePlan plan;
+    TransferPlan plan;
     plan.method = PlanMethod::flow;
     for (std::size_t i = 0; i < arcs.size(); ++i) {
         const auto machines = network.flow(arcs[i]);
         plan.cost += machines * model.arcs[i].cost;
         if (machines > 0)
-            plan.moves.push_back(
-                {model.arcs[i].supply, model.arcs[i].want, static_cast<std::uint32_t>(machines)});
+            plan.transfers.push_back({model.arcs[i].supply, model.arcs[i].machineDemand,
+                                      static_cast<std::uint32_t>(machines)});
     }
-    for (std::size_t i = 0; i < wants; ++i)
+    for (std::size_t i = 0; i < machineDemands; ++i)
         plan.cost += network.flow(lacking[i]) * model.lacking[i];
     return plan;
 }
 
-}  // namespace fawnwheel::sharing
+}  // namespace fawnwheel::rebalancing
--- a/src/sharing/handover.cpp
+++ b/src/sharing/handover.cpp
@@ -4,7 +4,7 @@
 #include <roaring/roaring.hh>
 #include <set>
 
-namespace fawnwheel::sharing {
+namespace fawnwheel::rebalancing {
 
 namespace {
 
@@ -20,12 +20,12 @@
                                  const HandoverRules& rules) {
     if (machine.partition != rules.partition) return Refusal::notOurs;
     if (machine.version == 0) return Refusal::notRecorded;
-    if (machine.retired || machine.emptying || machine.interruptionAt ||
+    if (machine.decommissioned || machine.consolidating || machine.interruptionAt ||
         machine.notBefore > rules.now)
         return Refusal::leaving;
     if (machine.transferring || machine.departedTo) return Refusal::transferring;
     if (machine.lender) return Refusal::onLoan;
-    if (keptForOthers(clusterState, machine, rules.taker, rules.now)) return Refusal::reserved;
+    if (keptForOthers(clusterState, machine, rules.recipient, rules.now)) return Refusal::reserved;
     if (!machine.acknowledged() || !machine.lastHeartbeat ||
         rules.now - *machine.lastHeartbeat > rules.silent)
         return Refusal::silent;
@@ -234,20 +234,20 @@
     return total;
 }
 
-bool keptForOthers(const ClusterState& clusterState, const Machine& machine, const Taker& taker,
-                   bookkeeping::SteadyTime now) {
+bool keptForOthers(const ClusterState& clusterState, const Machine& machine,
+                   const Recipient& recipient, bookkeeping::SteadyTime now) {
     if (machine.reservedUntil <= now) return false;
     const auto found = clusterState.jobs.find(machine.reservedFor);
     if (found == clusterState.jobs.end()) return true;
     const Job& job = found->second;
-    if (job.partition == taker.partition) return false;
+    if (job.partition == recipient.partition) return false;
     if (job.spec.kind != protocol::JobKind::gang || job.anyAllocation()) return true;
     Demand kept;
     kept.urgency = urgencyOf(job.priority, false);
     kept.since = millisOf(job.submitted);
     Demand wanted;
-    wanted.urgency = taker.urgency;
-    wanted.since = taker.since;
+    wanted.urgency = recipient.urgency;
+    wanted.since = recipient.since;
     return !wanted.precedes(kept);
 }
 
@@ -256,4 +256,4 @@
     return Closure(clusterState, rules).planFrom(machine);
 }
 
-}  // namespace fawnwheel::sharing
+}  // namespace fawnwheel::rebalancing
--- a/src/sharing/handover.h
+++ b/src/sharing/handover.h
@@ -9,13 +9,13 @@
 #include "bookkeeping/ledger.h"
 #include "sharing/demand.h"
 
-namespace fawnwheel::sharing {
+namespace fawnwheel::rebalancing {
 
 // Why a machine stays where it is.
 enum class Refusal {
     notOurs,
     notRecorded,
-    leaving,       // retired, drained or noticed
+    leaving,       // decommissioned, drained or noticed
     transferring,  // already
     onLoan,
     reserved,
@@ -25,14 +25,14 @@
     taskStopping,
     gangStarting,  // or it has not been seen running by this leader
     jobEnding,     // cancelled, or its end is being recorded
-    jobLeaving,    // to a peer, as work that is pushed
+    jobLeaving,    // to a peer, as work that is migrated
     limitMoving,   // a quota share of its team's limit is under way
     tooLarge,      // for one transaction
 };
 [[nodiscard]] std::string_view describe(Refusal refusal);
 
 // The partition that gets a machine, and how its work stands among that of others.
-struct Taker {
+struct Recipient {
     std::uint32_t partition = 0;
     std::uint32_t urgency = 0;
     std::uint64_t since = 0;
@@ -40,7 +40,7 @@
 
 struct HandoverRules {
     std::uint32_t partition = 0;  // that gives
-    Taker taker;
+    Recipient recipient;
     std::size_t mostChanges = 0;  // of one transaction
     bookkeeping::SteadyTime now{};
     bookkeeping::Duration minTenure{};  // least time that a partition keeps a machine
@@ -68,15 +68,15 @@
 
 using HandoverPlan = std::variant<Handover, Refusal>;
 
-// Whether the machine is kept for work that the taker's does not precede. A gang that gathers
+// Whether the machine is kept for work that the recipient's does not precede. A gang that gathers
 // machines gives way to an earlier one of another partition: of two that each hold half of what
 // both need, one gets all.
 [[nodiscard]] bool keptForOthers(const bookkeeping::ClusterState& clusterState,
-                                 const bookkeeping::Machine& machine, const Taker& taker,
+                                 const bookkeeping::Machine& machine, const Recipient& recipient,
                                  bookkeeping::SteadyTime now);
 
 // All that goes with the machine.
 [[nodiscard]] HandoverPlan planHandover(bookkeeping::ClusterState& clusterState,
                                         const std::string& machine, const HandoverRules& rules);
 
-}  // namespace fawnwheel::sharing
+}  // namespace fawnwheel::rebalancing
--- a/src/sharing/move_budget.h
+++ b/src/sharing/move_budget.h
@@ -8,39 +8,39 @@
 
 #include "transport/interfaces.h"
 
-namespace fawnwheel::sharing {
+namespace fawnwheel::rebalancing {
 
-struct MoveLimits {
-    double movesPerSecond = 1;
-    double changesPerSecond = 1;
+struct TransferLimits {
+    double transfersPerSecond = 1;
+    double writesPerSecond = 1;
 };
 
-class MoveBudget {
+class TransferRateLimiter {
   public:
     // What has gathered since the last call, up to a few seconds' worth.
-    void fill(transport::SteadyTime now, const MoveLimits& limits) {
+    void fill(transport::SteadyTime now, const TransferLimits& limits) {
         if (filled_) {
             const double seconds = std::chrono::duration<double>(now - *filled_).count();
-            moves_ = std::min(moves_ + seconds * limits.movesPerSecond,
-                              std::max(1.0, limits.movesPerSecond * mostSeconds));
-            changes_ = std::min(changes_ + seconds * limits.changesPerSecond,
-                                limits.changesPerSecond * mostSeconds);
+            transfers_ = std::min(transfers_ + seconds * limits.transfersPerSecond,
+                                  std::max(1.0, limits.transfersPerSecond * mostSeconds));
+            writes_ = std::min(writes_ + seconds * limits.writesPerSecond,
+                               limits.writesPerSecond * mostSeconds);
         }
         filled_ = now;
     }
     // One that takes more than has gathered is carried out on credit.
-    [[nodiscard]] bool allows() const { return moves_ >= 1 && changes_ > 0; }
-    void consume(std::size_t moves, std::size_t writes) {
-        moves_ -= static_cast<double>(moves);
-        changes_ -= static_cast<double>(writes);
+    [[nodiscard]] bool allows() const { return transfers_ >= 1 && writes_ > 0; }
+    void consume(std::size_t transfers, std::size_t writes) {
+        transfers_ -= static_cast<double>(transfers);
+        writes_ -= static_cast<double>(writes);
     }
 
   private:
     static constexpr double mostSeconds = 5;
 
     std::optional<transport::SteadyTime> filled_;
-    double moves_ = 1;
-    double changes_ = 1;
+    double transfers_ = 1;
+    double writes_ = 1;
 };
 
-}  // namespace fawnwheel::sharing
+}  // namespace fawnwheel::rebalancing
--- a/src/sharing/share_plan.cpp
+++ b/src/sharing/share_plan.cpp
@@ -4,7 +4,7 @@
 #include <cmath>
 #include <numeric>
 
-namespace fawnwheel::sharing {
+namespace fawnwheel::rebalancing {
 
 namespace {
 
@@ -15,16 +15,16 @@
 constexpr std::int64_t lackingCost = 100;
 constexpr std::uint32_t mostPlaces = 64;  // more of them make no difference
 
-std::uint32_t placesOf(const Supply& supply, const Want& want) {
-    return want.demand.shape.placesOn(supply.type, supply.zone, supply.spot, supply.free,
-                                      mostPlaces);
+std::uint32_t placesOf(const Supply& supply, const MachineDemand& machineDemand) {
+    return machineDemand.demand.shape.placesOn(supply.type, supply.zone, supply.spot, supply.free,
+                                               mostPlaces);
 }
 
-std::int64_t costOf(const PlanInput& input, const Supply& supply, const Want& want,
-                    std::uint32_t places) {
+std::int64_t costOf(const PlanInput& input, const Supply& supply,
+                    const MachineDemand& machineDemand, std::uint32_t places) {
     std::int64_t cost = moveCost + worstFitCost / places;
     if (supply.busy) cost += busyCost;
-    const auto zone = input.zones.find(want.partition);
+    const auto zone = input.zones.find(machineDemand.partition);
     if (zone != input.zones.end() && zone->second != supply.zone) cost += farCost;
     return cost;
 }
@@ -32,11 +32,12 @@
 // Of two partitions that both lack machines, each with some that the other could use, one has to
 // get the rest: giving to whoever asks, two controllers with a gang each once passed the same
 // machines to and fro (sharing_machines_fail).
-bool neededFirst(const PlanInput& input, const Supply& supply, const Want& want) {
-    return std::any_of(input.wants.begin(), input.wants.end(), [&](const Want& own) {
-        return own.partition == supply.partition && !want.demand.precedes(own.demand) &&
-               placesOf(supply, own) > 0;
-    });
+bool neededFirst(const PlanInput& input, const Supply& supply, const MachineDemand& machineDemand) {
+    return std::any_of(
+        input.machineDemands.begin(), input.machineDemands.end(), [&](const MachineDemand& own) {
+            return own.partition == supply.partition &&
+                   !machineDemand.demand.precedes(own.demand) && placesOf(supply, own) > 0;
+        });
 }
 
 }  // namespace
@@ -44,8 +45,9 @@
 PlanModel makeModel(const PlanInput& input) {
     PlanModel model;
     for (const auto& supply : input.supplies) model.offered.push_back(supply.machines);
-    for (std::size_t want = 0; want < input.wants.size(); ++want) {
-        const auto& wanted = input.wants[want];
+    for (std::size_t machineDemand = 0; machineDemand < input.machineDemands.size();
+         ++machineDemand) {
+        const auto& wanted = input.machineDemands[machineDemand];
         std::uint32_t best = 1;
         for (std::size_t supply = 0; supply < input.supplies.size(); ++supply) {
             const auto& offer = input.supplies[supply];
@@ -54,7 +56,7 @@
                 neededFirst(input, offer, wanted))
                 continue;
             best = std::max(best, places);
-            model.arcs.push_back({supply, want, costOf(input, offer, wanted, places)});
+            model.arcs.push_back({supply, machineDemand, costOf(input, offer, wanted, places)});
         }
         model.needed.push_back(static_cast<std::int64_t>(std::ceil(wanted.demand.tasks / best)));
         model.lacking.push_back(lackingCost * (1 + std::int64_t{wanted.demand.urgency}));
@@ -62,8 +64,8 @@
     return model;
 }
 
-SharePlan planGreedily(const PlanModel& model) {
-    SharePlan plan;
+TransferPlan planGreedily(const PlanModel& model) {
+    TransferPlan plan;
     plan.method = PlanMethod::greedy;
     auto offered = model.offered;
     auto needed = model.needed;
@@ -72,36 +74,37 @@
     std::stable_sort(order.begin(), order.end(), [&model](std::size_t one, std::size_t other) {
         const auto& a = model.arcs[one];
         const auto& b = model.arcs[other];
-        return std::pair(-model.lacking[a.want], a.cost) <
-               std::pair(-model.lacking[b.want], b.cost);
+        return std::pair(-model.lacking[a.machineDemand], a.cost) <
+               std::pair(-model.lacking[b.machineDemand], b.cost);
     });
     for (const auto index : order) {
         const auto& arc = model.arcs[index];
-        const auto machines = std::min(offered[arc.supply], needed[arc.want]);
+        const auto machines = std::min(offered[arc.supply], needed[arc.machineDemand]);
         if (machines <= 0) continue;
         offered[arc.supply] -= machines;
-        needed[arc.want] -= machines;
+        needed[arc.machineDemand] -= machines;
         plan.cost += machines * arc.cost;
-        plan.moves.push_back({arc.supply, arc.want, static_cast<std::uint32_t>(machines)});
+        plan.transfers.push_back(
+            {arc.supply, arc.machineDemand, static_cast<std::uint32_t>(machines)});
     }
-    for (std::size_t want = 0; want < needed.size(); ++want)
-        plan.cost += needed[want] * model.lacking[want];
+    for (std::size_t machineDemand = 0; machineDemand < needed.size(); ++machineDemand)
+        plan.cost += needed[machineDemand] * model.lacking[machineDemand];
     return plan;
 }
 
-SharePlan makePlan(const PlanInput& input, std::size_t mostSteps) {
+TransferPlan makePlan(const PlanInput& input, std::size_t mostSteps) {
     const auto model = makeModel(input);
-    if (auto plan = planByFlow(model, mostSteps)) return *plan;
+    if (auto plan = planByMinCostFlow(model, mostSteps)) return *plan;
     return planGreedily(model);
 }
 
-std::map<std::uint32_t, std::int64_t> targets(const PlanInput& input, const SharePlan& plan,
+std::map<std::uint32_t, std::int64_t> targets(const PlanInput& input, const TransferPlan& plan,
                                               std::map<std::uint32_t, std::int64_t> held) {
-    for (const auto& move : plan.moves) {
-        held[input.supplies[move.supply].partition] -= move.machines;
-        held[input.wants[move.want].partition] += move.machines;
+    for (const auto& transfer : plan.transfers) {
+        held[input.supplies[transfer.supply].partition] -= transfer.machines;
+        held[input.machineDemands[transfer.machineDemand].partition] += transfer.machines;
     }
     return held;
 }
 
-}  // namespace fawnwheel::sharing
+}  // namespace fawnwheel::rebalancing
--- a/src/sharing/share_plan.h
+++ b/src/sharing/share_plan.h
@@ -7,7 +7,7 @@
 
 #include "sharing/demand.h"
 
-namespace fawnwheel::sharing {
+namespace fawnwheel::rebalancing {
 
 // Equal machines of a partition that could serve others.
 struct Supply {
@@ -22,27 +22,27 @@
 
 // What a partition lacks beyond what its own machines, also those that are still coming up, have
 // room for.
-struct Want {
+struct MachineDemand {
     std::uint32_t partition = 0;
     Demand demand;
 };
 
 struct PlanInput {
     std::vector<Supply> supplies;
-    std::vector<Want> wants;
+    std::vector<MachineDemand> machineDemands;
     std::map<std::uint32_t, std::string> zones;  // of the partitions' leaders
 };
 
-struct ShareMove {
-    std::size_t supply = 0;  // of `PlanInput::supplies`
-    std::size_t want = 0;    // of `PlanInput::wants`
+struct MachineTransfer {
+    std::size_t supply = 0;         // of `PlanInput::supplies`
+    std::size_t machineDemand = 0;  // of `PlanInput::machineDemands`
     std::uint32_t machines = 0;
 };
 
 enum class PlanMethod { flow, greedy };
 
-struct SharePlan {
-    std::vector<ShareMove> moves;
+struct TransferPlan {
+    std::vector<MachineTransfer> transfers;
     std::int64_t cost = 0;  // of moves, and of machines that are still lacking
     PlanMethod method = PlanMethod::flow;
 };
@@ -51,7 +51,7 @@
 struct PlanModel {
     struct Arc {
         std::size_t supply = 0;
-        std::size_t want = 0;
+        std::size_t machineDemand = 0;
         std::int64_t cost = 0;  // of one machine
     };
     std::vector<std::int64_t> offered;  // machines, by supply
@@ -63,14 +63,14 @@
 PlanModel makeModel(const PlanInput& input);
 
 // In the order of urgency, the cheapest machines first.
-SharePlan planGreedily(const PlanModel& model);
+TransferPlan planGreedily(const PlanModel& model);
 // The least cost by a minimum-cost flow; none: not found within so many looked-at arcs.
-std::optional<SharePlan> planByFlow(const PlanModel& model, std::size_t mostSteps);
+std::optional<TransferPlan> planByMinCostFlow(const PlanModel& model, std::size_t mostSteps);
 // By flow, and greedily where that takes too long.
-SharePlan makePlan(const PlanInput& input, std::size_t mostSteps);
+TransferPlan makePlan(const PlanInput& input, std::size_t mostSteps);
 
 // Machines that each partition would have after the plan, by partition.
-std::map<std::uint32_t, std::int64_t> targets(const PlanInput& input, const SharePlan& plan,
+std::map<std::uint32_t, std::int64_t> targets(const PlanInput& input, const TransferPlan& plan,
                                               std::map<std::uint32_t, std::int64_t> held);
 
-}  // namespace fawnwheel::sharing
+}  // namespace fawnwheel::rebalancing
--- a/tests/loopback/loopback_main.cpp
+++ b/tests/loopback/loopback_main.cpp
@@ -84,7 +84,7 @@
 }
 
 int report(const sim::World& world, int endedThemselves, std::vector<std::string> breaches) {
-    const auto& figures = world.moveFigures();
+    const auto& figures = world.transferFigures();
     const auto perMove = [&figures](double total) {
         return total / std::max(1.0, static_cast<double>(figures.moves));
     };
@@ -131,7 +131,7 @@
     type.spotCapacity = 0;
     spec.types = {type};
     sim::World world(spec);
-    world.checker().watchMoves();
+    world.checker().watchTransfers();
     plan(world, length, seed);
     processes.play(world, length);
     world.finish();
--- a/tests/sim/checker.h
+++ b/tests/sim/checker.h
@@ -53,7 +53,7 @@
     void disturbed(const std::string& job, std::uint32_t task, const std::string& machine,
                    const std::string& why, Time at);
     // Moves must disturb no task: only where nothing else stops any.
-    void watchMoves() { watchesMoves_ = true; }
+    void watchTransfers() { watchesMoves_ = true; }
     // An audit after all troubles has found records, cluster states and machines apart.
     void auditFailed(const std::string& what) { breach("audit", what); }
     // Since when there has been no trouble.
--- a/tests/sim/scenario_main.cpp
+++ b/tests/sim/scenario_main.cpp
@@ -120,7 +120,7 @@
                 for (int i = 0; i < line.numberAt(3); ++i)
                     world.addMachine(line.at(1), line.at(2), line.has("spot"));
             else if (word == "watch-moves")
-                world.checker().watchMoves();
+                world.checker().watchTransfers();
             else if (word == "end")
                 end = Time(line.numberAt(1));
             else if (word == "at")
@@ -136,17 +136,17 @@
     }
 
   private:
-    static void describeSharing(sim::WorldSpec& spec, const Line& line) {
-        auto& sharing = spec.tuning.sharing;
-        sharing.enabled = true;
-        sharing.period = Time(line.number("period", sharing.period.count()));
-        sharing.minTenure = Time(line.number("hold", sharing.minTenure.count()));
-        sharing.low = line.number("low", sharing.low);
-        sharing.high = line.number("high", sharing.high);
-        sharing.movesPerMinute = line.number("moves", sharing.movesPerMinute);
-        sharing.busyMachines = !line.has("idle-only");
+    static void describeRebalancing(sim::WorldSpec& spec, const Line& line) {
+        auto& rebalancing = spec.tuning.rebalancing;
+        rebalancing.enabled = true;
+        rebalancing.period = Time(line.number("period", rebalancing.period.count()));
+        rebalancing.minTenure = Time(line.number("hold", rebalancing.minTenure.count()));
+        rebalancing.low = line.number("low", rebalancing.low);
+        rebalancing.high = line.number("high", rebalancing.high);
+        rebalancing.transfersPerMinute = line.number("moves", rebalancing.transfersPerMinute);
+        rebalancing.busyMachines = !line.has("idle-only");
         for (const auto& node : names(line.text("without")))
-            spec.withoutSharing.insert(std::stoi(node));
+            spec.withoutRebalancing.insert(std::stoi(node));
     }
 
     static void describe(sim::WorldSpec& spec, const Line& line) {
@@ -156,7 +156,7 @@
         if (word == "lease") spec.lease = Time(line.numberAt(1));
         if (word == "cancel-limit") spec.cancel = Time(line.numberAt(1));
         if (word == "list-lag") spec.listLag = Time(line.numberAt(1));
-        if (word == "idle") spec.tuning.idleBeforeReturn = Time(line.numberAt(1));
+        if (word == "idle") spec.tuning.idleBeforeScaleIn = Time(line.numberAt(1));
         if (word == "state-limits") {
             spec.stateRequests = line.numberAt(1);
             spec.stateWrites = line.numberAt(2);
@@ -166,7 +166,7 @@
         if (word == "next-limits")
             spec.nextLimits = {line.numberAt(1), static_cast<std::size_t>(line.numberAt(2))};
         if (word == "old-version") spec.oldVersion = true;
-        if (word == "sharing") describeSharing(spec, line);
+        if (word == "sharing") describeRebalancing(spec, line);
         if (word == "team") {
             app::Team team;
             team.name = line.at(1);
@@ -228,7 +228,7 @@
         } else if (word == "cancel") {
             world.cancel(line.at(3));
         } else if (word == "ask") {
-            world.askAbout(line.at(3));
+            world.getStatus(line.at(3));
         } else if (word == "kill") {
             world.kill(index(3), length(5));
         } else if (word == "upgrade") {
@@ -320,11 +320,11 @@
             if (static_cast<double>(world.checker().starts()) > line.numberAt(2))
                 failures.push_back(std::to_string(world.checker().starts()) + " starts");
         } else if (word == "moves-at-least") {
-            if (static_cast<double>(world.machineMoves()) < line.numberAt(2))
-                failures.push_back(std::to_string(world.machineMoves()) + " machine moves");
+            if (static_cast<double>(world.machineTransfers()) < line.numberAt(2))
+                failures.push_back(std::to_string(world.machineTransfers()) + " machine moves");
         } else if (word == "moves-at-most") {
-            if (static_cast<double>(world.machineMoves()) > line.numberAt(2))
-                failures.push_back(std::to_string(world.machineMoves()) + " machine moves");
+            if (static_cast<double>(world.machineTransfers()) > line.numberAt(2))
+                failures.push_back(std::to_string(world.machineTransfers()) + " machine moves");
         } else if (word == "starts-after-cancel-at-most") {
             if (static_cast<double>(world.checker().startsAfterCancel()) > line.numberAt(2))
                 failures.push_back(std::to_string(world.checker().startsAfterCancel()) +
--- a/tests/sim/world.cpp
+++ b/tests/sim/world.cpp
@@ -38,7 +38,7 @@
         node->name = "node-" + std::to_string(i);
         node->oldVersion = spec_.oldVersion;
         node->tuning = spec_.tuning;
-        if (spec_.withoutSharing.contains(i)) node->tuning.sharing.enabled = false;
+        if (spec_.withoutRebalancing.contains(i)) node->tuning.rebalancing.enabled = false;
         setLimits(*node);
         auto& s = node->settings;
         s.name = node->name;
--- a/tests/sim/world.h
+++ b/tests/sim/world.h
@@ -48,7 +48,7 @@
 
 struct Costs {
     Cost heartbeats;  // from workers
-    Cost steps;       // timers: rounds of placement, failovers, housekeeping
+    Cost steps;       // timers: rounds of placement, failovers, maintenance
 };
 
 // Nodes that are processes of their own, in place of controllers inside the world.
@@ -65,7 +65,7 @@
 };
 
 // What machines that changed hands for good cost, and what their workers noticed.
-struct MoveFigures {
+struct TransferFigures {
     std::size_t moves = 0;
     std::size_t moved = 0;   // tasks on them
     std::size_t writes = 0;  // in the transactions that moved them
@@ -82,7 +82,7 @@
     std::vector<TypeSpec> types;
     std::vector<app::Team> teams;
     app::OperatorSettings tuning;
-    std::set<int> withoutSharing;  // nodes whose operators have not turned it on
+    std::set<int> withoutRebalancing;  // nodes whose operators have not turned it on
     Time lease{30};
     Time cancel{60};  // `cancel_s`
     Time listLag{4};
@@ -120,7 +120,7 @@
     // Any body, once, to any node that serves; `done` gets the status, 0 if there was no answer.
     void post(const protocol::Json& body, std::function<void(int status, std::string state)> done);
     void cancel(const std::string& job);
-    void askAbout(const std::string& job);
+    void getStatus(const std::string& job);
 
     // Troubles
     void kill(int node, Time down);
@@ -210,8 +210,8 @@
     [[nodiscard]] const Costs& costs() const { return costs_; }
     [[nodiscard]] std::size_t machinesUp() const;
     // How often machines have changed hands between partitions for good.
-    [[nodiscard]] std::size_t machineMoves() const { return moveFigures_.moves; }
-    [[nodiscard]] const MoveFigures& moveFigures() const { return moveFigures_; }
+    [[nodiscard]] std::size_t machineTransfers() const { return transferFigures_.moves; }
+    [[nodiscard]] const TransferFigures& transferFigures() const { return transferFigures_; }
     [[nodiscard]] Time now() const { return now_; }
     // Of all that could be seen so far.
     [[nodiscard]] const HistoryDigest& history() const { return history_; }
@@ -269,8 +269,8 @@
     void setLimits(Node& node) const;
     void changed(const std::string& key, bool deleted);
     // A transaction moves machines to other partitions for good.
-    void recordMachineMoves(const protocol::Json& writes);
-    void recordMove(Worker& worker, std::uint64_t floor);
+    void recordMachineTransfers(const protocol::Json& writes);
+    void recordTransfer(Worker& worker, std::uint64_t floor);
     // The worker has taken an answer of this node.
     void recordAnswered(Worker& worker, const std::string& node, std::uint64_t fencingToken);
     [[nodiscard]] bool nodeUp(std::size_t index) const;
@@ -338,7 +338,7 @@
         bool delayed = false;
     };
     std::map<std::pair<std::string, std::string>, Cut> cuts_;
-    std::map<std::string, std::vector<std::string>> rentals_;
+    std::map<std::string, std::vector<std::string>> provisioningRequests_;
     int nextMachine_ = 0;
     double lostAnswers_ = 0;
     double duplicatedFraction_ = 0;
@@ -359,7 +359,7 @@
     double stormFactor_ = 1;
     Time stormUntil_{};
     int oddJobs_ = 0;
-    MoveFigures moveFigures_;
+    TransferFigures transferFigures_;
     Time givenAt_{};  // when the answer that is being taken in was given
 };
 
--- a/tests/sim/world_cloud.cpp
+++ b/tests/sim/world_cloud.cpp
@@ -22,7 +22,7 @@
         }
         return reply(answer(200, protocol::encodeCatalog(types)));
     }
-    if (path == wire::pathRelease) {
+    if (path == wire::pathReleaseMachines) {
         for (const auto& name : protocol::listOf(*body, wire::machines)) {
             Worker* target = worker(name.get<std::string>());
             if (target == nullptr || target->gone) continue;
@@ -32,9 +32,10 @@
         return reply(answer(200));
     }
     if (request.method == "POST") {
-        const auto name = protocol::textOf(*body, wire::rental);
-        const auto known = rentals_.find(name);
-        if (known != rentals_.end()) return reply(answer(200, {{wire::machines, known->second}}));
+        const auto name = protocol::textOf(*body, wire::provisioningRequest);
+        const auto known = provisioningRequests_.find(name);
+        if (known != provisioningRequests_.end())
+            return reply(answer(200, {{wire::machines, known->second}}));
         const auto type = protocol::textOf(*body, wire::type);
         const auto zone = protocol::textOf(*body, wire::zone);
         const bool spot = protocol::flagOf(*body, wire::spot);
@@ -45,7 +46,7 @@
             if (!w->gone && w->type == type && w->zone == zone && w->spot == spot) --room;
         const auto count = std::min(room, static_cast<int>(protocol::countOf(*body, wire::count)));
         if (count <= 0) return reply(answer(503, {{"error", "no capacity"}}));
-        auto& names = rentals_[name];
+        auto& names = provisioningRequests_[name];
         for (int i = 0; i < count; ++i) {
             addMachine(type, zone, spot);
             names.push_back(workers_.rbegin()->first);
@@ -64,7 +65,7 @@
     bool more = false;
     for (auto at = workers_.upper_bound(since); at != workers_.end(); ++at) {
         const auto& [id, w] = *at;
-        if (w->rented > moment || w->gone) continue;
+        if (w->provisionedAt > moment || w->gone) continue;
         more = machines.size() == most;
         if (more) break;
         machines.push_back(
@@ -74,7 +75,7 @@
              {wire::zone, w->zone},
              {wire::spot, w->spot},
              {wire::state, w->up ? wire::stateRunning : wire::stateBooting},
-             {wire::age, (moment - w->rented).count()}});
+             {wire::age, (moment - w->provisionedAt).count()}});
     }
     reply(answer(200, {{wire::machines, machines}, {wire::more, more}}));
 }
--- a/tests/sim/world_parts.h
+++ b/tests/sim/world_parts.h
@@ -131,7 +131,7 @@
     bool up = false;
     bool gone = false;
     bool faulty = false;
-    Time rented{};
+    Time provisionedAt{};
     Time hangsUntil{};
     Time downstreamLostUntil{};
     Time upstreamLostUntil{};
@@ -152,8 +152,8 @@
     std::vector<Task> tasks;
     std::optional<Time> answeredAt;
     // Its record names another partition since then, whose answers begin with this token.
-    std::optional<Time> movedAt;
-    std::uint64_t movedFloor = 0;
+    std::optional<Time> transferredAt;
+    std::uint64_t transferredFloor = 0;
 };
 
 }  // namespace fawnwheel::sim
--- a/tests/sim/world_state.cpp
+++ b/tests/sim/world_state.cpp
@@ -112,9 +112,9 @@
     return body;
 }
 
-void World::recordMachineMoves(const Json& writes) {
+void World::recordMachineTransfers(const Json& writes) {
     const auto prefix = bookkeeping::keys::machine({});
-    const auto before = moveFigures_.moves;
+    const auto before = transferFigures_.moves;
     for (const auto& write : writes) {
         const auto key = protocol::textOf(write, wire::put);
         const auto known = records_.find(key);
@@ -124,9 +124,9 @@
         if (last["part"] == next["part"] || next.contains("lender") || last.contains("lender"))
             continue;
         if (Worker* moved = worker(key.substr(prefix.size())))
-            recordMove(*moved, protocol::countOf(next, "floor"));
+            recordTransfer(*moved, protocol::countOf(next, "floor"));
     }
-    if (moveFigures_.moves > before) moveFigures_.writes += writes.size();
+    if (transferFigures_.moves > before) transferFigures_.writes += writes.size();
 }
 
 HttpResponse World::stateTransaction(const Json& body) {
@@ -145,7 +145,7 @@
     }
     if (!failed.empty()) return answer(409, {{wire::failed, failed}, {wire::revision, revision_}});
     if (!writes.empty()) ++revision_;
-    recordMachineMoves(writes);
+    recordMachineTransfers(writes);
     for (const auto& write : writes) {
         auto key = protocol::textOf(write, wire::put);
         if (key.empty()) {
--- a/tests/sim/world_users.cpp
+++ b/tests/sim/world_users.cpp
@@ -91,12 +91,12 @@
 
 void World::poll(const std::string& id) {
     at(now_ + (now_ < stormUntil_ ? pollPeriod / stormFactor_ : pollPeriod), [this, id] {
-        askAbout(id);
+        getStatus(id);
         poll(id);
     });
 }
 
-void World::askAbout(const std::string& id) {
+void World::getStatus(const std::string& id) {
     request("users", nodes_[static_cast<std::size_t>(someNode())]->name,
             {"GET", std::string(wire::pathJobs) + "/" + id, {}}, Time(2),
             [this, id](const std::optional<HttpResponse>& response) {
--- a/tests/sim/world_workers.cpp
+++ b/tests/sim/world_workers.cpp
@@ -27,7 +27,7 @@
     w->type = type;
     w->zone = zone;
     w->spot = spot;
-    w->rented = now_;
+    w->provisionedAt = now_;
     w->node = someNode();
     const auto found = std::find_if(spec_.types.begin(), spec_.types.end(),
                                     [&](const auto& t) { return t.type.name == type; });
@@ -135,13 +135,13 @@
             });
 }
 
-void World::recordMove(Worker& w, std::uint64_t floor) {
-    ++moveFigures_.moves;
-    w.movedAt = now_;
-    w.movedFloor = floor;
+void World::recordTransfer(Worker& w, std::uint64_t floor) {
+    ++transferFigures_.moves;
+    w.transferredAt = now_;
+    w.transferredFloor = floor;
     for (const auto& task : w.tasks) {
         if (!task.placed) continue;
-        ++moveFigures_.moved;
+        ++transferFigures_.moved;
         checker_.changedHands(task.job, task.index, w.id, now_);
     }
 }
@@ -149,13 +149,14 @@
 void World::recordAnswered(Worker& w, const std::string& node, std::uint64_t fencingToken) {
     checker_.answered(w.id, node, fencingToken);
     const auto before = std::exchange(w.answeredAt, now_);
-    if (!w.movedAt || fencingToken < w.movedFloor) return;
-    const Time took = now_ - *w.movedAt;
-    ++moveFigures_.heard;
-    moveFigures_.untilHeard += took;
-    moveFigures_.longestUntilHeard = std::max(moveFigures_.longestUntilHeard, took);
-    if (before) moveFigures_.longestPause = std::max(moveFigures_.longestPause, now_ - *before);
-    w.movedAt.reset();
+    if (!w.transferredAt || fencingToken < w.transferredFloor) return;
+    const Time took = now_ - *w.transferredAt;
+    ++transferFigures_.heard;
+    transferFigures_.untilHeard += took;
+    transferFigures_.longestUntilHeard = std::max(transferFigures_.longestUntilHeard, took);
+    if (before)
+        transferFigures_.longestPause = std::max(transferFigures_.longestPause, now_ - *before);
+    w.transferredAt.reset();
 }
 
 void World::obey(Worker& w, const Json& calls) {
--- a/tests/unit/checker_test.cpp
+++ b/tests/unit/checker_test.cpp
@@ -50,8 +50,8 @@
     checker.answered("m-1", "node-0", 71);
     expectOnly("two_owners");
 }
-TEST_F(Planted, DisturbedByAMove) {
-    checker.watchMoves();
+TEST_F(Planted, DisturbedByATransfer) {
+    checker.watchTransfers();
     checker.changedHands("run-1", 0, "m-1", Time(5));
     checker.disturbed("run-1", 1, "m-1", "halted", Time(6));    // did not change hands
     checker.disturbed("run-1", 0, "m-1", "halted", Time(200));  // long after it
@@ -60,7 +60,7 @@
     expectOnly("disturbed");
 }
 TEST_F(Planted, ACancelledTaskIsNotDisturbed) {
-    checker.watchMoves();
+    checker.watchTransfers();
     checker.changedHands("run-1", 0, "m-1", Time(5));
     checker.askedToCancel("run-1");
     checker.disturbed("run-1", 0, "m-1", "halted", Time(6));
--- a/tests/unit/machine_transfer_test.cpp
+++ b/tests/unit/machine_transfer_test.cpp
@@ -75,24 +75,25 @@
         putJob(made);
         putSlice(made, made.slices[0]);
     }
-    [[nodiscard]] sharing::HandoverRules rules() const {
+    [[nodiscard]] rebalancing::HandoverRules rules() const {
         return {0, {2, 0, 0}, settings_.transactionChanges, context.now(), 30s, 10s, true};
     }
-    sharing::HandoverPlan planFor(const std::string& id) {
-        return sharing::planHandover(*context.clusterState.lock(), id, rules());
+    rebalancing::HandoverPlan planFor(const std::string& id) {
+        return rebalancing::planHandover(*context.clusterState.lock(), id, rules());
     }
-    sharing::Refusal refusalFor(const std::string& id) {
+    rebalancing::Refusal refusalFor(const std::string& id) {
         const auto plan = planFor(id);
-        EXPECT_TRUE(std::holds_alternative<sharing::Refusal>(plan));
-        return std::holds_alternative<sharing::Refusal>(plan) ? std::get<sharing::Refusal>(plan)
-                                                              : sharing::Refusal::notOurs;
+        EXPECT_TRUE(std::holds_alternative<rebalancing::Refusal>(plan));
+        return std::holds_alternative<rebalancing::Refusal>(plan)
+                   ? std::get<rebalancing::Refusal>(plan)
+                   : rebalancing::Refusal::notOurs;
     }
     void give(const std::string& id) {
         const auto plan = planFor(id);
-        ASSERT_TRUE(std::holds_alternative<sharing::Handover>(plan))
-            << describe(std::get<sharing::Refusal>(plan));
+        ASSERT_TRUE(std::holds_alternative<rebalancing::Handover>(plan))
+            << describe(std::get<rebalancing::Refusal>(plan));
         given.reset();
-        EXPECT_FALSE(transfers.give(0, 2, std::get<sharing::Handover>(plan),
+        EXPECT_FALSE(transfers.give(0, 2, std::get<rebalancing::Handover>(plan),
                                     [this](bool done) { given = done; }));
     }
     // What a reader knows that has nothing but the records.
@@ -121,7 +122,7 @@
     putArray();
     loadHeard();
     const auto plan = planFor("m-1");
-    const auto& handover = std::get<sharing::Handover>(plan);
+    const auto& handover = std::get<rebalancing::Handover>(plan);
     ASSERT_EQ(handover.slices.size(), 1U);
     // The done task between two that stay apart from the others keeps no piece of its own.
     EXPECT_EQ(handover.slices[0].ranges, (std::vector<TaskRange>{{2, 2}, {6, 1}}));
@@ -146,7 +147,7 @@
     EXPECT_EQ(coverInClusterState("run-1"), std::vector<int>(10, 1));
     // Its worker has to show the new leader's token before anything is concluded.
     EXPECT_GT(fresh.machine("m-1")->minFencingToken, 65'536U);
-    EXPECT_EQ(fresh.machine("m-1")->movedBy, "node-0");
+    EXPECT_EQ(fresh.machine("m-1")->transferredBy, "node-0");
 }
 
 // Both divided, they once added their pieces under the same index.
@@ -187,13 +188,13 @@
     loadHeard();
     context.clusterState.lock()->job("run-1")->slices[0].allocations[1].state =
         protocol::TaskState::waiting;
-    EXPECT_EQ(refusalFor("m-1"), sharing::Refusal::gangStarting);
-    EXPECT_EQ(refusalFor("m-2"), sharing::Refusal::gangStarting);
+    EXPECT_EQ(refusalFor("m-1"), rebalancing::Refusal::gangStarting);
+    EXPECT_EQ(refusalFor("m-2"), rebalancing::Refusal::gangStarting);
     // Half placed, the other half given up.
     auto clusterState = context.clusterState.lock();
     clusterState->removeAllocation(*clusterState->job("run-1"),
                                    clusterState->job("run-1")->slices[0], 1);
-    EXPECT_EQ(refusalFor("m-1"), sharing::Refusal::gangStarting);
+    EXPECT_EQ(refusalFor("m-1"), rebalancing::Refusal::gangStarting);
 }
 
 TEST_F(TransferBench, WhatIsLeavingOrUnsureStays) {
@@ -211,9 +212,9 @@
         known.allocations = allocations;
         return refusal;
     };
-    using sharing::Refusal;
-    EXPECT_EQ(refusedWith([&] { known.retired = true; }), Refusal::leaving);
-    EXPECT_EQ(refusedWith([&] { known.emptying = true; }), Refusal::leaving);
+    using rebalancing::Refusal;
+    EXPECT_EQ(refusedWith([&] { known.decommissioned = true; }), Refusal::leaving);
+    EXPECT_EQ(refusedWith([&] { known.consolidating = true; }), Refusal::leaving);
     EXPECT_EQ(refusedWith([&] { known.interruptionAt = context.now() + 30s; }), Refusal::leaving);
     EXPECT_EQ(refusedWith([&] { known.transferring = true; }), Refusal::transferring);
     EXPECT_EQ(refusedWith([&] { known.departedTo = 1; }), Refusal::transferring);
@@ -249,7 +250,7 @@
 TEST_F(FewTransferChanges, WhatDoesNotFitIntoOneTransactionStays) {
     putArray();
     loadHeard();
-    EXPECT_EQ(refusalFor("m-1"), sharing::Refusal::tooLarge);
+    EXPECT_EQ(refusalFor("m-1"), rebalancing::Refusal::tooLarge);
 }
 
 // The room that the tasks leave must not be filled under the giver's old share of the limit.
@@ -390,7 +391,7 @@
     EXPECT_EQ(coverInRecords("run-1"), std::vector<int>(10, 1));
 }
 
-TEST_F(TransferBench, DamagedOrImpossibleRecordsMoveNoMachine) {
+TEST_F(TransferBench, DamagedOrImpossibleRecordsTransferNoMachine) {
     putArray();
     loadHeard();
     const Json good = state.records[machine("m-1")].value;
--- a/tests/unit/membership_test.cpp
+++ b/tests/unit/membership_test.cpp
@@ -37,7 +37,7 @@
         context.clusterState.lock()->recordCancellation("run-" + std::to_string(i), 1'000 + i);
     bool told = false;
     std::set<std::string> heard;
-    membership.spreadCancellations([&] {
+    membership.broadcastCancellations([&] {
         told = true;
         for (const auto& [peer, payload] : state.frames) {
             const auto envelope = protocol::decodePeer(payload);
@@ -95,11 +95,11 @@
         auto ready = std::exchange(state.pending, {});
         for (const auto& request : ready) state.serve(request);
     }
-    ASSERT_TRUE(membership.leaseStands());
+    ASSERT_TRUE(membership.isLeaseValid());
     current = context.now() - 1s;
-    EXPECT_TRUE(membership.mayAnswerWorkers(0));
+    EXPECT_TRUE(membership.canAnswerWorkers(0));
     current = context.now() - 5s;
-    EXPECT_FALSE(membership.mayAnswerWorkers(0));
+    EXPECT_FALSE(membership.canAnswerWorkers(0));
 }
 
 }  // namespace
--- a/tests/unit/moves_test.cpp
+++ b/tests/unit/moves_test.cpp
@@ -5,18 +5,18 @@
 namespace fawnwheel::coordination {
 namespace {
 
-TEST(QueueWatch, AveragesWithTheGivenWeight) {
-    QueueWatch watch;
-    const QueueWatch::Tuning tuning;
+TEST(QueueAverage, AveragesWithTheGivenWeight) {
+    QueueAverage watch;
+    const QueueAverage::Tuning tuning;
     watch.sample(100, tuning);
     EXPECT_DOUBLE_EQ(watch.average(), 20);
     watch.sample(100, tuning);
     EXPECT_DOUBLE_EQ(watch.average(), 36);
 }
 
-TEST(QueueWatch, MovesNothingBelowLowAndAllAboveHigh) {
-    QueueWatch watch;
-    QueueWatch::Tuning tuning;
+TEST(QueueAverage, TransfersNothingBelowLowAndAllAboveHigh) {
+    QueueAverage watch;
+    QueueAverage::Tuning tuning;
     tuning.weight = 1;
     watch.sample(19, tuning);
     EXPECT_EQ(watch.moveProbability(1, tuning), 0);
@@ -25,9 +25,9 @@
     EXPECT_EQ(watch.moveProbability(0, tuning), 1);
 }
 
-TEST(QueueWatch, ProbabilityGrowsWithTheAverageAndTheCount) {
-    QueueWatch watch;
-    QueueWatch::Tuning tuning;
+TEST(QueueAverage, ProbabilityGrowsWithTheAverageAndTheCount) {
+    QueueAverage watch;
+    QueueAverage::Tuning tuning;
     tuning.weight = 1;
     watch.sample(110, tuning);  // halfway: p_b = 0.05
     EXPECT_NEAR(watch.moveProbability(1, tuning), 0.05, 1e-9);
--- a/tests/unit/peer_codec_test.cpp
+++ b/tests/unit/peer_codec_test.cpp
@@ -31,20 +31,20 @@
     EXPECT_EQ(status.position, 13U);
     EXPECT_EQ(status.next, 15U);
     EXPECT_EQ(status.cancelled, (std::vector<std::string>{"run-4", "run-5"}));
-    const auto ask = roundTrip(MoveAsk{300, 2, "run-1", 7, true, 100'000});
-    EXPECT_EQ(ask.ask, 300U);
-    EXPECT_EQ(ask.partition, 2U);
-    EXPECT_EQ(ask.job, "run-1");
-    EXPECT_EQ(ask.slice, 7U);
-    EXPECT_TRUE(ask.wholeJob);
-    EXPECT_EQ(ask.tasks, 100'000U);
-    EXPECT_TRUE(roundTrip(MoveAnswer{1, true}).accepted);
-    const auto full = roundTrip(NoCapacity{"g8", "a", true, 8000});
+    const auto request = roundTrip(MigrationRequest{300, 2, "run-1", 7, true, 100'000});
+    EXPECT_EQ(request.requestId, 300U);
+    EXPECT_EQ(request.partition, 2U);
+    EXPECT_EQ(request.job, "run-1");
+    EXPECT_EQ(request.slice, 7U);
+    EXPECT_TRUE(request.wholeJob);
+    EXPECT_EQ(request.tasks, 100'000U);
+    EXPECT_TRUE(roundTrip(MigrationResponse{1, true}).accepted);
+    const auto full = roundTrip(CapacityExhausted{"g8", "a", true, 8000});
     EXPECT_EQ(full.type, "g8");
     EXPECT_EQ(full.zone, "a");
     EXPECT_TRUE(full.spot);
     EXPECT_EQ(full.pauseMillis, 8000U);
-    const auto loan = roundTrip(LoanAsk{1, 4, "run-2", "b", 12});
+    const auto loan = roundTrip(LoanRequest{1, 4, "run-2", "b", 12});
     EXPECT_EQ(loan.lender, 1U);
     EXPECT_EQ(loan.borrower, 4U);
     EXPECT_EQ(loan.job, "run-2");
@@ -54,7 +54,7 @@
     EXPECT_EQ(quota.lender, 3U);
     EXPECT_EQ(quota.borrower, 0U);
     EXPECT_EQ(quota.job, "run-3");
-    EXPECT_EQ(roundTrip(JobEnded{"run-4"}).job, "run-4");
+    EXPECT_EQ(roundTrip(JobCompleted{"run-4"}).job, "run-4");
     const auto update = roundTrip(
         DemandUpdate{2, {{}, {1500, 2000, 64'000, {"g8", "g4"}, "a", true, 12, true, 5, 99}}});
     EXPECT_EQ(update.partition, 2U);
@@ -78,7 +78,7 @@
 }
 
 TEST(PeerCodec, RefusesOtherVersionsKindsAndTrailingBytes) {
-    auto frame = encodePeer({"n", MoveAnswer{1, true}});
+    auto frame = encodePeer({"n", MigrationResponse{1, true}});
     auto other = frame;
     other[0] = 9;
     EXPECT_FALSE(decodePeer(other));
@@ -111,7 +111,7 @@
 TEST(PeerCodec, SurvivesRandomAndDamagedFrames) {
     std::mt19937 rng(42);
     const std::vector<std::string> good{
-        encodePeer({"node-1", MoveAsk{300, 2, "run-1", 7, true, 5}}),
+        encodePeer({"node-1", MigrationRequest{300, 2, "run-1", 7, true, 5}}),
         encodePeer({"node-1", DemandUpdate{1, {{1, 2, 3, {"g8"}, "a", true, 4, true, 5, 6}}}})};
     for (int i = 0; i < 40'000; ++i) {
         std::string frame = good[static_cast<std::size_t>(i / 2 % 2)];
--- a/tests/unit/recorder_test.cpp
+++ b/tests/unit/recorder_test.cpp
@@ -169,9 +169,9 @@
     EXPECT_EQ(state.records.at(slice("run-1", 0)).value["claims"].size(), 1U);
 }
 
-// The new leader of a pushed slice may record allocations in it before the pusher has its answer.
-// What the watch brings meanwhile was once dropped, and for the job's home the tasks had no places:
-// called off, it ended while they ran.
+// The new leader of a migrated slice may record allocations in it before the migrating leader has
+// its answer. What the watch brings meanwhile was once dropped, and for the job's home the tasks
+// had no places: called off, it ended while they ran.
 TEST_F(RecordBench, AllocationsThatOvertakeTheAnswerToAMigrationAreKnown) {
     Job made = makeJob(8, 4);
     putJob(made);
@@ -179,16 +179,16 @@
     load();
     replica.start();
     serveAll();
-    stateWriter.push(
+    stateWriter.migrate(
         0, {"run-1", 1, {4, 4}, 2, context.now() + std::chrono::seconds(10), [](bool) {}});
     timers.advance(std::chrono::milliseconds(20));
-    const auto push = state.nextTransaction();
-    const auto answer = state.carryOut(push.request);
+    const auto migrate = state.nextTransaction();
+    const auto answer = state.carryOut(migrate.request);
     made.slices[1].partition = 2;
     made.slices[1].allocations.push_back(makeAllocation(5, "m-2", 9));
     putSlice(made, made.slices[1]);
     serveAll();
-    push.done(answer);
+    migrate.done(answer);
     serveAll();
     EXPECT_EQ(context.clusterState.lock()->job("run-1")->allocatedTasks(), 1U);
 }
@@ -201,11 +201,11 @@
     made.slices[1].partition = 1;
     for (const auto& piece : made.slices) putSlice(made, piece);
     load();
-    stateWriter.push(
+    stateWriter.migrate(
         1, {"run-1", 1, {4, 4}, 2, context.now() + std::chrono::seconds(10), [](bool) {}});
     timers.advance(std::chrono::milliseconds(20));
-    const auto push = state.nextTransaction();
-    state.carryOut(push.request);
+    const auto migrate = state.nextTransaction();
+    state.carryOut(migrate.request);
     made.slices[1].partition = 2;
     made.slices[1].allocations.push_back(makeAllocation(5, "m-2", 9));
     putSlice(made, made.slices[1]);
--- a/tests/unit/records_test.cpp
+++ b/tests/unit/records_test.cpp
@@ -82,7 +82,7 @@
     EXPECT_EQ(clusterState.job("run-1"), nullptr);
 }
 
-TEST_F(Records, AMoveOfTheJobTakesAlongOnlySlicesWithoutRecords) {
+TEST_F(Records, ATransferOfTheJobTakesAlongOnlySlicesWithoutRecords) {
     Job job = makeJob(8);
     put(keys::job("run-1"), jobValue(job), 2);
     put(keys::slice("run-1", 0), sliceValue(job.slices[0]), 3);
--- a/tests/unit/shared_formats_test.cpp
+++ b/tests/unit/shared_formats_test.cpp
@@ -81,7 +81,7 @@
     EXPECT_EQ(machineValue(*clusterState.machine("m-000232")).dump(), lentMachineText);
     EXPECT_EQ(clusterState.machine("m-000232")->lender, 1U);
     EXPECT_EQ(clusterState.machine("m-000232")->minFencingToken, 720897U);
-    EXPECT_TRUE(clusterState.machine("m-000232")->retired);
+    EXPECT_TRUE(clusterState.machine("m-000232")->decommissioned);
 }
 
 TEST_F(SharedRecords, PartitionsQuotasTermsCatalogAndTerminalsAreReadAndRewrittenAsTheyWere) {
