--- a/tests/unit/sharing_plan_test.cpp
+++ b/tests/unit/sharing_plan_test.cpp
@@ -6,7 +6,7 @@
 #include "sharing/move_budget.h"
 #include "sharing/share_plan.h"
 
-namespace fawnwheel::sharing {
+namespace fawnwheel::rebalancing {
 namespace {
 
 constexpr std::size_t manySteps = 10'000'000;
@@ -19,44 +19,45 @@
     return {partition, "large", "a", false, busy, {cpus, 0, 100}, machines};
 }
 
-Want wantOf(std::uint32_t partition, TaskShape shape, double tasks, std::uint32_t urgency = 0) {
+MachineDemand wantOf(std::uint32_t partition, TaskShape shape, double tasks,
+                     std::uint32_t urgency = 0) {
     return {partition, {std::move(shape), tasks, false, urgency}};
 }
 
-PlanInput inputOf(std::vector<Supply> supplies, std::vector<Want> wants) {
-    return {std::move(supplies), std::move(wants), {{0, "a"}, {1, "a"}, {2, "b"}}};
+PlanInput inputOf(std::vector<Supply> supplies, std::vector<MachineDemand> machineDemands) {
+    return {std::move(supplies), std::move(machineDemands), {{0, "a"}, {1, "a"}, {2, "b"}}};
 }
 
-std::int64_t machinesTo(const SharePlan& plan, std::size_t want) {
+std::int64_t machinesTo(const TransferPlan& plan, std::size_t machineDemand) {
     std::int64_t total = 0;
-    for (const auto& move : plan.moves)
-        if (move.want == want) total += move.machines;
+    for (const auto& move : plan.transfers)
+        if (move.machineDemand == machineDemand) total += move.machines;
     return total;
 }
 
-TEST(SharePlan, TakesIdleMachinesBeforeBusyOnesAndNoMoreThanNeeded) {
+TEST(TransferPlan, TakesIdleMachinesBeforeBusyOnesAndNoMoreThanNeeded) {
     const auto input =
         inputOf({supplyOf(1, 8, 5, true), supplyOf(2, 8, 2)}, {wantOf(0, shapeOf(4), 6)});
     const auto plan = makePlan(input, manySteps);
     EXPECT_EQ(plan.method, PlanMethod::flow);
     EXPECT_EQ(machinesTo(plan, 0), 3);
-    for (const auto& move : plan.moves) EXPECT_EQ(move.machines, move.supply == 1 ? 2U : 1U);
+    for (const auto& move : plan.transfers) EXPECT_EQ(move.machines, move.supply == 1 ? 2U : 1U);
     EXPECT_EQ(targets(input, plan, {{0, 1}, {1, 5}, {2, 2}}),
               (std::map<std::uint32_t, std::int64_t>{{0, 4}, {1, 4}, {2, 0}}));
 }
 
-TEST(SharePlan, GivesNothingToWhoseMachinesTheyAreNorWhereTheyDoNotFit) {
+TEST(TransferPlan, GivesNothingToWhoseMachinesTheyAreNorWhereTheyDoNotFit) {
     auto input = inputOf({supplyOf(0, 8, 5)}, {wantOf(0, shapeOf(4), 6)});
-    EXPECT_TRUE(makePlan(input, manySteps).moves.empty());
-    input.wants = {wantOf(1, shapeOf(9), 6), wantOf(1, shapeOf(4, "b"), 6)};
-    EXPECT_TRUE(makePlan(input, manySteps).moves.empty());
+    EXPECT_TRUE(makePlan(input, manySteps).transfers.empty());
+    input.machineDemands = {wantOf(1, shapeOf(9), 6), wantOf(1, shapeOf(4, "b"), 6)};
+    EXPECT_TRUE(makePlan(input, manySteps).transfers.empty());
     input.supplies[0].spot = true;
-    input.wants = {wantOf(1, shapeOf(4), 6)};
-    input.wants[0].demand.shape.spot = false;
-    EXPECT_TRUE(makePlan(input, manySteps).moves.empty());
+    input.machineDemands = {wantOf(1, shapeOf(4), 6)};
+    input.machineDemands[0].demand.shape.spot = false;
+    EXPECT_TRUE(makePlan(input, manySteps).transfers.empty());
 }
 
-TEST(SharePlan, WhatIsMoreUrgentGoesFirst) {
+TEST(TransferPlan, WhatIsMoreUrgentGoesFirst) {
     const auto input =
         inputOf({supplyOf(2, 8, 3)}, {wantOf(0, shapeOf(8), 3, 0), wantOf(1, shapeOf(8), 2, 4)});
     for (const auto& plan : {makePlan(input, manySteps), makePlan(input, 0)}) {
@@ -67,22 +68,22 @@
 
 // Two gangs, each with machines that the other lacks: the earlier one gets them, and nothing goes
 // back.
-TEST(SharePlan, OfTwoThatLackMachinesOnlyTheLaterGives) {
+TEST(TransferPlan, OfTwoThatLackMachinesOnlyTheLaterGives) {
     auto input = inputOf({supplyOf(0, 8, 3), supplyOf(1, 8, 3)},
                          {wantOf(0, shapeOf(8), 2), wantOf(1, shapeOf(8), 2)});
-    input.wants[0].demand.since = 500;
-    input.wants[1].demand.since = 400;
+    input.machineDemands[0].demand.since = 500;
+    input.machineDemands[1].demand.since = 400;
     for (const auto& plan : {makePlan(input, manySteps), makePlan(input, 0)}) {
         EXPECT_EQ(machinesTo(plan, 0), 0);
         EXPECT_EQ(machinesTo(plan, 1), 2);
     }
-    input.wants[0].demand.urgency = 1;
+    input.machineDemands[0].demand.urgency = 1;
     EXPECT_EQ(machinesTo(makePlan(input, manySteps), 0), 2);
     EXPECT_EQ(machinesTo(makePlan(input, manySteps), 1), 0);
 }
 
 // The greedy plan gives the machines that serve both to the first and leaves the second without.
-TEST(SharePlan, FlowServesWhatTheGreedyPlanLeavesOut) {
+TEST(TransferPlan, FlowServesWhatTheGreedyPlanLeavesOut) {
     auto onlyLarge = shapeOf(8);
     auto any = shapeOf(2);
     auto small = supplyOf(2, 2, 2, true);
@@ -97,7 +98,7 @@
     EXPECT_EQ(machinesTo(greedy, 1), 0);
 }
 
-TEST(SharePlan, BothPlansKeepToWhatThereIsAndFlowIsNeverDearer) {
+TEST(TransferPlan, BothPlansKeepToWhatThereIsAndFlowIsNeverDearer) {
     std::mt19937 rng(7);
     const auto number = [&rng](int least, int most) {
         return std::uniform_int_distribution<>(least, most)(rng);
@@ -109,30 +110,33 @@
                 supplyOf(static_cast<std::uint32_t>(number(0, 2)), number(1, 32),
                          static_cast<std::uint32_t>(number(0, 9)), number(0, 1) == 1));
         for (int i = number(1, 8); i > 0; --i)
-            input.wants.push_back(wantOf(static_cast<std::uint32_t>(number(0, 2)),
-                                         shapeOf(number(1, 32), number(0, 3) == 0 ? "b" : ""),
-                                         number(1, 40), static_cast<std::uint32_t>(number(0, 7))));
+            input.machineDemands.push_back(
+                wantOf(static_cast<std::uint32_t>(number(0, 2)),
+                       shapeOf(number(1, 32), number(0, 3) == 0 ? "b" : ""), number(1, 40),
+                       static_cast<std::uint32_t>(number(0, 7))));
         const auto model = makeModel(input);
-        const auto flow = planByFlow(model, manySteps);
+        const auto flow = planByMinCostFlow(model, manySteps);
         ASSERT_TRUE(flow.has_value());
         const auto greedy = planGreedily(model);
         EXPECT_LE(flow->cost, greedy.cost) << "round " << round;
         for (const auto& plan : {*flow, greedy}) {
             auto offered = model.offered;
             auto needed = model.needed;
-            for (const auto& move : plan.moves) {
+            for (const auto& move : plan.transfers) {
                 EXPECT_GE(offered[move.supply] -= move.machines, 0);
-                EXPECT_GE(needed[move.want] -= move.machines, 0);
-                EXPECT_NE(input.supplies[move.supply].partition, input.wants[move.want].partition);
+                EXPECT_GE(needed[move.machineDemand] -= move.machines, 0);
+                EXPECT_NE(input.supplies[move.supply].partition,
+                          input.machineDemands[move.machineDemand].partition);
             }
         }
     }
 }
 
-TEST(SharePlan, TooManyStepsGiveTheGreedyPlan) {
+TEST(TransferPlan, TooManyStepsGiveTheGreedyPlan) {
     PlanInput input = inputOf({}, {});
     for (std::uint32_t i = 0; i < 40; ++i) input.supplies.push_back(supplyOf(i % 3, 4 + i, 3));
-    for (std::uint32_t i = 0; i < 40; ++i) input.wants.push_back(wantOf(i % 3, shapeOf(1 + i), 9));
+    for (std::uint32_t i = 0; i < 40; ++i)
+        input.machineDemands.push_back(wantOf(i % 3, shapeOf(1 + i), 9));
     EXPECT_EQ(makePlan(input, 6000).method, PlanMethod::greedy);
     EXPECT_EQ(makePlan(input, manySteps).method, PlanMethod::flow);
 }
@@ -147,8 +151,8 @@
     EXPECT_EQ(average.asked().front().tasks, 1);
     for (int i = 0; i < 12; ++i) average.sample({{shapeOf(1), 40, false, 1}});
     EXPECT_EQ(average.asked().front().tasks, 40);
-    EXPECT_TRUE(average.wants("large", "a", true, {1, 0, 1}));
-    EXPECT_FALSE(average.wants("large", "a", true, {0.5, 0, 1}));
+    EXPECT_TRUE(average.isShortOf("large", "a", true, {1, 0, 1}));
+    EXPECT_FALSE(average.isShortOf("large", "a", true, {0.5, 0, 1}));
     average.sample({});
     EXPECT_TRUE(average.asked().empty());
 }
@@ -159,9 +163,9 @@
     EXPECT_EQ(average.asked().front().tasks, 12);
 }
 
-TEST(MoveBudget, AllowsSoManyMovesAndChanges) {
+TEST(TransferRateLimiter, AllowsSoManyTransfersAndChanges) {
     using namespace std::chrono_literals;
-    MoveBudget budget;
+    TransferRateLimiter budget;
     const transport::SteadyTime start{1h};
     budget.fill(start, {1, 2});
     EXPECT_TRUE(budget.allows());
@@ -179,4 +183,4 @@
 }
 
 }  // namespace
-}  // namespace fawnwheel::sharing
+}  // namespace fawnwheel::rebalancing
