--- a/src/app/operator_file.cpp
+++ b/src/config/operator_settings.cpp
@@ -4,9 +4,9 @@
 #include <charconv>
 #include <functional>
 
-#include "app/settings.h"
+#include "config/settings.h"
 
-namespace fawnwheel::app {
+namespace fawnwheel::config {
 
 namespace {
 
@@ -126,4 +126,4 @@
     return parse.settings;
 }
 
-}  // namespace fawnwheel::app
+}  // namespace fawnwheel::config
--- a/src/app/settings.cpp
+++ b/src/config/settings.cpp
@@ -1,4 +1,4 @@
-#include "app/settings.h"
+#include "config/settings.h"
 
 #include <algorithm>
 #include <fstream>
@@ -6,7 +6,7 @@
 #include <set>
 #include <sstream>
 
-namespace fawnwheel::app {
+namespace fawnwheel::config {
 
 namespace {
 
@@ -183,4 +183,4 @@
     return parseOperatorSettings(whole(path));
 }
 
-}  // namespace fawnwheel::app
+}  // namespace fawnwheel::config
--- a/src/app/settings.h
+++ b/src/config/settings.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-namespace fawnwheel::app {
+namespace fawnwheel::config {
 
 // The message names the field.
 struct SettingsError : std::runtime_error {
@@ -115,4 +115,4 @@
 OperatorSettings loadOperatorSettings(const std::string& path);
 OperatorSettings parseOperatorSettings(const std::string& text);
 
-}  // namespace fawnwheel::app
+}  // namespace fawnwheel::config
--- a/src/coordination/admission.cpp
+++ b/src/coordination/api/admission.cpp
@@ -1,12 +1,12 @@
-#include "coordination/admission.h"
+#include "coordination/api/admission.h"
 
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
 #include <cmath>
 
-#include "bookkeeping/records.h"
 #include "protocol/names.h"
+#include "storage/records.h"
 
 namespace fawnwheel::coordination {
 
@@ -78,15 +78,15 @@
     job.spec = spec;
     job.submitted = context_.timers.wallNow();
     job.sliceSize =
-        bookkeeping::sliceSizeFor(spec, {context_.settings.valueKb, context_.settings.stateWrites},
-                                  context_.jobDependenciesEnabled(*context_.clusterState.lock()));
+        storage::sliceSizeFor(spec, {context_.settings.valueKb, context_.settings.stateWrites},
+                              context_.jobDependenciesEnabled(*context_.clusterState.lock()));
     return job;
 }
 
 bool Admission::recordable(const protocol::JobSpec& spec) const {
     Job job = newJob(spec);
     job.partition = context_.partitionCount();
-    return bookkeeping::jobValue(job).dump().size() <= context_.settings.valueBytes() &&
+    return storage::jobValue(job).dump().size() <= context_.settings.valueBytes() &&
            spec.dependencies.size() + ownConditions <= context_.settings.transactionConditions();
 }
 
@@ -149,7 +149,7 @@
                  (live->dependencyCancelled || clusterState.knownCancelled(*live)))
             judgement.refusal = later();
         judgement.cancelled = judgement.cancelled || live->cancelled;
-        judgement.compares.push_back({bookkeeping::keys::job(id), live->version});
+        judgement.compares.push_back({storage::keys::job(id), live->version});
     }
     return judgement;
 }
@@ -191,14 +191,14 @@
     const auto& spec = submission->spec;
     Job job = newJob(spec);
     job.partition = migrator_.mapJob(job);
-    const auto key = bookkeeping::keys::job(spec.id);
-    const auto value = bookkeeping::jobValue(job);
+    const auto key = storage::keys::job(spec.id);
+    const auto value = storage::jobValue(job);
     // Also if this is carried out late it can't revive a job: its end is a record as well. Nor can
     // it follow a job that has been called off or has ended meanwhile: that changes its live
     // record.
     protocol::CompareAndSwap transaction{judgement.compares, {{key, value, 0}}};
     transaction.compares.push_back({key, 0});
-    transaction.compares.push_back({bookkeeping::keys::terminal(spec.id), 0});
+    transaction.compares.push_back({storage::keys::terminal(spec.id), 0});
     context_.state.transact(
         std::move(transaction), protocol::RequestPriority::userRequest,
         [this, submission, key, value](const protocol::CompareAndSwapResponse& answer) {
@@ -206,8 +206,7 @@
             if (answer.result != StateResult::ok) return submission->reply(later());
             {
                 auto clusterState = context_.clusterState.lock();
-                bookkeeping::applyEvent(*clusterState, {key, value, answer.revision},
-                                        context_.now());
+                storage::applyEvent(*clusterState, {key, value, answer.revision}, context_.now());
             }
             submission->reply(ok(
                 protocol::encodeJobState(submission->spec.id, protocol::wire::stateQueued), 201));
@@ -218,11 +217,11 @@
 void Admission::createCancelled(const SubmissionPtr& submission, const Judgement& judgement) {
     // It is accepted all the same, and ends there and then.
     const auto& id = submission->spec.id;
-    const auto final = bookkeeping::keys::terminal(id);
+    const auto final = storage::keys::terminal(id);
     protocol::CompareAndSwap transaction{
         judgement.compares,
-        {{final, bookkeeping::terminalValue({true, context_.timers.wallNow()}), 0}}};
-    transaction.compares.push_back({bookkeeping::keys::job(id), 0});
+        {{final, storage::terminalValue({true, context_.timers.wallNow()}), 0}}};
+    transaction.compares.push_back({storage::keys::job(id), 0});
     transaction.compares.push_back({final, 0});
     context_.state.transact(
         std::move(transaction), protocol::RequestPriority::userRequest,
@@ -241,8 +240,8 @@
     const auto& id = submission->spec.id;
     std::vector<std::string> moved;  // dependencies whose records have changed
     for (const auto& dependency : submission->spec.dependencies)
-        if (std::find(answer.failed.begin(), answer.failed.end(),
-                      bookkeeping::keys::job(dependency)) != answer.failed.end())
+        if (std::find(answer.failed.begin(), answer.failed.end(), storage::keys::job(dependency)) !=
+            answer.failed.end())
             moved.push_back(dependency);
     const auto failedOwn = answer.failed.size() > moved.size();
     if (failedOwn || moved.empty()) return tellKnown(id, submission->reply);
@@ -309,14 +308,14 @@
         if (status != JobStatus::active) return tell(id, status, true, reply);
         protocol::CompareAndSwap transaction;
         protocol::Json value;
-        const auto key = bookkeeping::keys::job(id);
+        const auto key = storage::keys::job(id);
         {
             auto clusterState = context_.clusterState.lock();
             const Job* job = clusterState->job(id);
             if (job == nullptr) return reply(later());
             Job next = *job;
             next.cancelled = true;
-            value = bookkeeping::jobValue(next);
+            value = storage::jobValue(next);
             transaction = {{{key, job->version}}, {{key, value, 0}}};
         }
         context_.state.transact(
@@ -327,8 +326,8 @@
                 if (answer.result != StateResult::ok) return reply(later());
                 {
                     auto clusterState = context_.clusterState.lock();
-                    bookkeeping::applyEvent(*clusterState, {key, value, answer.revision},
-                                            context_.now());
+                    storage::applyEvent(*clusterState, {key, value, answer.revision},
+                                        context_.now());
                 }
                 spdlog::debug("job {}: cancelled by its user", id);
                 tell(id, JobStatus::cancelled, true, reply);
--- a/src/coordination/admission.h
+++ b/src/coordination/api/admission.h
@@ -3,9 +3,9 @@
 // another node's.
 #pragma once
 
-#include "coordination/job_lookup.h"
-#include "coordination/membership.h"
-#include "coordination/moves.h"
+#include "coordination/api/job_status_reader.h"
+#include "coordination/membership/membership.h"
+#include "coordination/migration/work_migrator.h"
 
 namespace fawnwheel::coordination {
 
--- a/src/coordination/job_lookup.cpp
+++ b/src/coordination/api/job_status_reader.cpp
@@ -1,8 +1,8 @@
-#include "coordination/job_lookup.h"
+#include "coordination/api/job_status_reader.h"
 
 #include <algorithm>
 
-#include "bookkeeping/records.h"
+#include "storage/records.h"
 
 namespace fawnwheel::coordination {
 
@@ -70,12 +70,12 @@
                 StatusRequest statusRequest = std::move(queue.front());
                 queue.pop_front();
                 const Job* job = clusterState->job(statusRequest.id);
-                const auto key = bookkeeping::keys::job(statusRequest.id);
+                const auto key = storage::keys::job(statusRequest.id);
                 if (job != nullptr) {
                     compare.compares.push_back({key, job->version});
                 } else {
                     compare.compares.push_back({key, 0});
-                    compare.compares.push_back({bookkeeping::keys::terminal(statusRequest.id), 0});
+                    compare.compares.push_back({storage::keys::terminal(statusRequest.id), 0});
                 }
                 batch->push_back({std::move(statusRequest), job != nullptr});
             }
@@ -92,7 +92,7 @@
     const auto has = [&answer](const std::string& key) {
         return std::find(answer.failed.begin(), answer.failed.end(), key) != answer.failed.end();
     };
-    return has(bookkeeping::keys::job(id)) || has(bookkeeping::keys::terminal(id));
+    return has(storage::keys::job(id)) || has(storage::keys::terminal(id));
 }
 
 void JobStatusReader::settle(const Asked& asked, const protocol::CompareAndSwapResponse& answer) {
@@ -132,18 +132,18 @@
 
 void JobStatusReader::readTerminal(const StatusRequest& statusRequest) {
     context_.state.read(
-        bookkeeping::keys::terminal(statusRequest.id),
+        storage::keys::terminal(statusRequest.id),
         [this, statusRequest](const protocol::ReadResponse& end) {
             if (end.result != StateResult::ok) return statusRequest.done(JobStatus::noAnswer);
             if (end.items.empty()) return readLive(statusRequest);
-            const bool cancelled = bookkeeping::readTerminal(end.items.front().value).cancelled;
+            const bool cancelled = storage::readTerminal(end.items.front().value).cancelled;
             recordTerminal(statusRequest.id, cancelled);
             statusRequest.done(cancelled ? JobStatus::terminalCancelled : JobStatus::terminalDone);
         });
 }
 
 void JobStatusReader::readLive(const StatusRequest& statusRequest) {
-    context_.state.read(bookkeeping::keys::job(statusRequest.id),
+    context_.state.read(storage::keys::job(statusRequest.id),
                         [this, statusRequest](const protocol::ReadResponse& live) {
                             if (live.result != StateResult::ok)
                                 return statusRequest.done(JobStatus::noAnswer);
@@ -153,9 +153,9 @@
                             JobStatus status = JobStatus::noAnswer;
                             {
                                 auto clusterState = context_.clusterState.lock();
-                                bookkeeping::applyEvent(*clusterState,
-                                                        {item.key, item.value, item.version},
-                                                        context_.now());
+                                storage::applyEvent(*clusterState,
+                                                    {item.key, item.value, item.version},
+                                                    context_.now());
                                 if (const Job* job = clusterState->job(statusRequest.id))
                                     status = statusOf(*job);
                             }
--- a/src/coordination/context.h
+++ b/src/coordination/context.h
@@ -8,22 +8,22 @@
 #include <random>
 #include <set>
 
-#include "app/settings.h"
-#include "bookkeeping/guarded.h"
-#include "bookkeeping/ledger.h"
+#include "config/settings.h"
 #include "protocol/cloud_client.h"
 #include "protocol/state_client.h"
+#include "storage/cluster_state.h"
+#include "storage/synchronized.h"
 
 namespace fawnwheel::coordination {
 
-using bookkeeping::Allocation;
-using bookkeeping::ClusterState;
-using bookkeeping::Job;
-using bookkeeping::Machine;
-using bookkeeping::Slice;
 using protocol::MachineType;
 using protocol::Resources;
 using protocol::Seconds;
+using storage::Allocation;
+using storage::ClusterState;
+using storage::Job;
+using storage::Machine;
+using storage::Slice;
 using transport::Duration;
 using transport::SteadyTime;
 
@@ -36,7 +36,7 @@
 }
 
 struct Context {
-    Context(const app::Settings& platform, const app::OperatorSettings& operators,
+    Context(const config::Settings& platform, const config::OperatorSettings& operators,
             transport::Timers& clock, transport::Network& net, std::uint64_t seed)
         : settings(platform),
           tuning(operators),
@@ -61,7 +61,7 @@
             if (t.name == name) return &t;
         return nullptr;
     }
-    [[nodiscard]] const app::Team* team(const std::string& name) const {
+    [[nodiscard]] const config::Team* team(const std::string& name) const {
         for (const auto& t : settings.teams)
             if (t.name == name) return &t;
         return nullptr;
@@ -126,15 +126,15 @@
         return ticks(Seconds(around) * std::uniform_real_distribution<>(0.75, 1.25)(rng));
     }
 
-    const app::Settings& settings;
-    const app::OperatorSettings& tuning;
+    const config::Settings& settings;
+    const config::OperatorSettings& tuning;
     transport::Timers& timers;
     transport::Network& network;
     std::vector<std::string> nodes;
     std::uint32_t preferredPartition = 0;
     protocol::StateClient state;
     protocol::CloudClient cloud;
-    bookkeeping::Synchronized<ClusterState> clusterState;
+    storage::Synchronized<ClusterState> clusterState;
     std::vector<MachineType> catalog;
     std::mt19937_64 rng;
 
--- a/src/coordination/controller.cpp
+++ b/src/coordination/controller.cpp
@@ -18,7 +18,7 @@
 
 }  // namespace
 
-Controller::Controller(const app::Settings& settings, const app::OperatorSettings& tuning,
+Controller::Controller(const config::Settings& settings, const config::OperatorSettings& tuning,
                        transport::Timers& timers, transport::Network& network, std::uint64_t seed)
     : context_(settings, tuning, timers, network, seed),
       replica_(context_),
--- a/src/coordination/controller.h
+++ b/src/coordination/controller.h
@@ -2,21 +2,21 @@
 // them work in turn.
 #pragma once
 
-#include "coordination/admission.h"
-#include "coordination/fleet.h"
-#include "coordination/loans.h"
-#include "coordination/machine_sharing.h"
-#include "coordination/moves.h"
-#include "coordination/replica.h"
-#include "coordination/shares.h"
-#include "coordination/triggers.h"
-#include "coordination/worker_contact.h"
+#include "coordination/api/admission.h"
+#include "coordination/membership/worker_reachability.h"
+#include "coordination/migration/machine_lending.h"
+#include "coordination/migration/rebalancer.h"
+#include "coordination/migration/work_migrator.h"
+#include "coordination/provisioning/fleet.h"
+#include "coordination/replication/replica.h"
+#include "coordination/scheduling/completion_notifier.h"
+#include "coordination/scheduling/quota_exchange.h"
 
 namespace fawnwheel::coordination {
 
 class Controller {
   public:
-    Controller(const app::Settings& settings, const app::OperatorSettings& tuning,
+    Controller(const config::Settings& settings, const config::OperatorSettings& tuning,
                transport::Timers& timers, transport::Network& network, std::uint64_t seed);
 
     void start();
@@ -25,7 +25,7 @@
 
     [[nodiscard]] bool healthy() const { return membership_.healthy(); }
     // For audits: what this process knows.
-    [[nodiscard]] bookkeeping::Synchronized<ClusterState>& clusterState() {
+    [[nodiscard]] storage::Synchronized<ClusterState>& clusterState() {
         return context_.clusterState;
     }
     [[nodiscard]] bool synced() const { return replica_.synced(); }
--- a/src/coordination/takeover.cpp
+++ b/src/coordination/membership/failover.cpp
@@ -4,8 +4,8 @@
 
 #include <algorithm>
 
-#include "bookkeeping/records.h"
-#include "coordination/membership.h"
+#include "coordination/membership/membership.h"
+#include "storage/records.h"
 
 namespace fawnwheel::coordination {
 
@@ -109,7 +109,7 @@
 void Membership::reconcileUnled(std::uint32_t partition) {
     const auto now = context_.now();
     const auto& natural = context_.nodes[partition];
-    bookkeeping::Partition record;
+    storage::Partition record;
     bool leaderAlive = false;
     bool naturalAlive = false;
     {
@@ -188,22 +188,22 @@
         return;
     if (!acquiring_.insert(partition).second) return;
     protocol::CompareAndSwap transaction;
-    bookkeeping::Partition next;
+    storage::Partition next;
     {
         auto clusterState = context_.clusterState.lock();
         const auto& record = clusterState->partitions[partition];
         next.leader = context_.settings.name;
         next.term = clusterState->lastTerm + 1;
-        transaction.compares = {{bookkeeping::keys::partition(partition), record.version},
-                                {bookkeeping::keys::term, clusterState->termVersion}};
+        transaction.compares = {{storage::keys::partition(partition), record.version},
+                                {storage::keys::term, clusterState->termVersion}};
         if (!record.leader.empty() && record.leader != next.leader)
-            transaction.compares.push_back({bookkeeping::keys::node(record.leader), 0});
+            transaction.compares.push_back({storage::keys::node(record.leader), 0});
         // Our own life is a condition too: a late acquisition by a process that has ended fails.
         transaction.compares.push_back(
-            {bookkeeping::keys::node(next.leader), clusterState->nodes[next.leader]});
+            {storage::keys::node(next.leader), clusterState->nodes[next.leader]});
         transaction.writes = {
-            {bookkeeping::keys::partition(partition), bookkeeping::partitionValue(next), 0},
-            {bookkeeping::keys::term, protocol::Json{{"term", next.term}}, 0}};
+            {storage::keys::partition(partition), storage::partitionValue(next), 0},
+            {storage::keys::term, protocol::Json{{"term", next.term}}, 0}};
     }
     context_.state.transact(
         std::move(transaction), protocol::RequestPriority::lease,
@@ -235,17 +235,17 @@
 void Membership::transferLeadership(std::uint32_t partition, const std::string& node) {
     if (!acquiring_.insert(partition).second) return;
     protocol::CompareAndSwap transaction;
-    bookkeeping::Partition next;
+    storage::Partition next;
     {
         auto clusterState = context_.clusterState.lock();
         const auto& record = clusterState->partitions[partition];
         next = record;
         next.leader = node;
         transaction.compares = {
-            {bookkeeping::keys::partition(partition), record.version},
-            {bookkeeping::keys::node(next.leader), clusterState->nodes[next.leader]}};
+            {storage::keys::partition(partition), record.version},
+            {storage::keys::node(next.leader), clusterState->nodes[next.leader]}};
         transaction.writes = {
-            {bookkeeping::keys::partition(partition), bookkeeping::partitionValue(next), 0}};
+            {storage::keys::partition(partition), storage::partitionValue(next), 0}};
     }
     // Answering nobody for the partition from now on: the new leader may start at any moment.
     acquiredTerms_.erase(partition);
--- a/src/coordination/membership.cpp
+++ b/src/coordination/membership/membership.cpp
@@ -1,10 +1,10 @@
-#include "coordination/membership.h"
+#include "coordination/membership/membership.h"
 
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
 
-#include "bookkeeping/records.h"
+#include "storage/records.h"
 
 namespace fawnwheel::coordination {
 
@@ -157,8 +157,8 @@
     {
         auto clusterState = context_.clusterState.lock();
         for (const auto& job : status.cancelled)
-            fresh |= clusterState->recordCancellation(
-                job, bookkeeping::CancellationLog::unknownRevision);
+            fresh |=
+                clusterState->recordCancellation(job, storage::CancellationLog::unknownRevision);
     }
     // A list that begins after what we have leaves a gap, and the peer sends it again.
     const bool connects = status.position <= peer.cancellationsReceived;
@@ -242,25 +242,25 @@
         const auto known = clusterState->nodes.find(name);
         // The version guards against a late write by an earlier life of this node, which would
         // hang the record on a lease that nobody renews.
-        transaction.compares.push_back({bookkeeping::keys::node(name),
-                                        known == clusterState->nodes.end() ? 0 : known->second});
+        transaction.compares.push_back(
+            {storage::keys::node(name), known == clusterState->nodes.end() ? 0 : known->second});
         // While we were out, a peer may have taken our partitions. Answering their workers once
         // more would prolong leases that the dependent counts down. Of very many partitions those
         // that don't fit are taken anew.
         while (acquiredTerms_.size() + 1 > context_.settings.transactionConditions())
             acquiredTerms_.erase(std::prev(acquiredTerms_.end()));
         for (const auto& [partition, term] : acquiredTerms_)
-            transaction.compares.push_back({bookkeeping::keys::partition(partition),
-                                            clusterState->partitions[partition].version});
-        transaction.writes.push_back({bookkeeping::keys::node(name),
-                                      protocol::Json{{"term", clusterState->lastTerm}}, lease});
+            transaction.compares.push_back(
+                {storage::keys::partition(partition), clusterState->partitions[partition].version});
+        transaction.writes.push_back(
+            {storage::keys::node(name), protocol::Json{{"term", clusterState->lastTerm}}, lease});
         // Tied to no lease and never lowered: however late this is carried out, it says the truth.
         if (!clusterState->nodesWithJobDependencies.contains(name))
             transaction.writes.push_back(
-                {bookkeeping::keys::jobDependenciesGate(name), bookkeeping::featureGateValue(), 0});
+                {storage::keys::jobDependenciesGate(name), storage::featureGateValue(), 0});
         if (!clusterState->nodesWithMachineTransfers.contains(name))
-            transaction.writes.push_back({bookkeeping::keys::machineTransfersGate(name),
-                                          bookkeeping::featureGateValue(), 0});
+            transaction.writes.push_back(
+                {storage::keys::machineTransfersGate(name), storage::featureGateValue(), 0});
     }
     context_.state.transact(
         std::move(transaction), protocol::RequestPriority::lease,
@@ -269,7 +269,7 @@
                 for (const auto& key : answer.failed)
                     for (std::uint32_t partition = 0; partition < context_.partitionCount();
                          ++partition)
-                        if (key == bookkeeping::keys::partition(partition))
+                        if (key == storage::keys::partition(partition))
                             acquiredTerms_.erase(partition);
                 return refreshNodeVersion(lease, sent);
             }
@@ -288,7 +288,7 @@
 }
 
 void Membership::refreshNodeVersion(std::uint64_t lease, SteadyTime sent) {
-    const auto key = bookkeeping::keys::node(context_.settings.name);
+    const auto key = storage::keys::node(context_.settings.name);
     context_.state.read(key, [this, lease, sent](const protocol::ReadResponse& answer) {
         if (answer.result != protocol::StateResult::ok) return rejoinLater();
         {
--- a/src/coordination/worker_contact.cpp
+++ b/src/coordination/membership/worker_reachability.cpp
@@ -1,4 +1,4 @@
-#include "coordination/worker_contact.h"
+#include "coordination/membership/worker_reachability.h"
 
 #include <spdlog/spdlog.h>
 
--- a/src/coordination/loans.cpp
+++ b/src/coordination/migration/machine_lending.cpp
@@ -1,4 +1,4 @@
-#include "coordination/loans.h"
+#include "coordination/migration/machine_lending.h"
 
 #include <spdlog/spdlog.h>
 
--- a/src/coordination/loans.h
+++ b/src/coordination/migration/machine_lending.h
@@ -4,9 +4,9 @@
 // worker, holds its allocations and their proofs, and gives it back when the gang has ended.
 #pragma once
 
-#include "coordination/machine_transfers.h"
-#include "coordination/placement.h"
-#include "coordination/request_throttle.h"
+#include "coordination/migration/machine_transfers.h"
+#include "coordination/scheduling/placement.h"
+#include "coordination/scheduling/request_throttle.h"
 
 namespace fawnwheel::coordination {
 
--- a/src/coordination/machine_transfers.cpp
+++ b/src/coordination/migration/machine_transfers.cpp
@@ -1,6 +1,6 @@
-#include "coordination/machine_transfers.h"
+#include "coordination/migration/machine_transfers.h"
 
-#include "bookkeeping/records.h"
+#include "storage/records.h"
 
 namespace fawnwheel::coordination {
 
@@ -8,7 +8,7 @@
 
 // A transfer that was given up may still be carried out late, and its giver's token grows
 // meanwhile: the next leader's begins well above it. With the very next one two leaders once
-// answered a worker with the same token (sharing_troubles).
+// answered a worker with the same token (rebalancing_troubles).
 constexpr std::uint64_t tokenReserve = 256;
 
 }  // namespace
@@ -24,18 +24,18 @@
 
 void MachineTransfers::addMachine(Transfer& transfer, const Machine& machine,
                                   const Machine& next) const {
-    const auto key = bookkeeping::keys::machine(machine.id);
+    const auto key = storage::keys::machine(machine.id);
     transfer.machines.push_back(machine.id);
-    transfer.records.push_back({key, bookkeeping::machineValue(next), 0});
+    transfer.records.push_back({key, storage::machineValue(next), 0});
     transfer.batch.transaction.compares.push_back({key, machine.version});
     transfer.batch.transaction.writes.push_back(transfer.records.back());
 }
 
 void MachineTransfers::addJob(Transfer& transfer, const Job& job, std::uint32_t to) const {
-    const auto key = bookkeeping::keys::job(job.spec.id);
+    const auto key = storage::keys::job(job.spec.id);
     Job next = job;
     next.partition = to;
-    transfer.records.push_back({key, bookkeeping::jobValue(next), 0});
+    transfer.records.push_back({key, storage::jobValue(next), 0});
     if (transfer.batch.jobs.insert(job.spec.id).second)
         transfer.batch.transaction.compares.push_back({key, job.version});
     transfer.batch.transaction.writes.push_back(transfer.records.back());
@@ -49,7 +49,7 @@
     for (const auto& [name, used] : handover.used) {
         const auto* team = context_.team(name);
         if (team == nullptr || (team->cpusMax <= 0 && team->gpusMax <= 0)) continue;
-        bookkeeping::QuotaShare moved;
+        storage::QuotaShare moved;
         if (team->cpusMax > 0) moved.cpus = used.cpus;
         if (team->gpusMax > 0) moved.gpus = used.gpus;
         auto quota = quotas_.begin(clusterState, *team, from, to, moved);
@@ -68,7 +68,7 @@
         auto clusterState = context_.clusterState.lock();
         // The borrower's record is a condition: a leader that has changed since asks anew.
         transfer.batch.transaction.compares.push_back(
-            {bookkeeping::keys::partition(to), clusterState->partitions[to].version});
+            {storage::keys::partition(to), clusterState->partitions[to].version});
         for (const auto& id : machines) {
             Machine& machine = *clusterState->machine(id);
             Machine next = leaving(machine, to);
@@ -93,8 +93,7 @@
         auto clusterState = context_.clusterState.lock();
         transfer.batch.generation = clusterState->generation;
         auto& compares = transfer.batch.transaction.compares;
-        compares.push_back(
-            {bookkeeping::keys::partition(to), clusterState->partitions[to].version});
+        compares.push_back({storage::keys::partition(to), clusterState->partitions[to].version});
         bool fits = true;
         for (const auto& slice : handover.slices) {
             Job& job = *clusterState->job(slice.job);
@@ -141,8 +140,8 @@
             quotas_.settle(*clusterState, quota, result, revision);
         if (result == CommitResult::done)
             for (const auto& record : transfer.records)
-                bookkeeping::applyEvent(*clusterState, {record.key, record.value, revision},
-                                        context_.now());
+                storage::applyEvent(*clusterState, {record.key, record.value, revision},
+                                    context_.now());
     }
     if (!durable.empty()) onDurable(durable);
     if (result != CommitResult::done) return;
--- a/src/coordination/machine_transfers.h
+++ b/src/coordination/migration/machine_transfers.h
@@ -3,9 +3,9 @@
 // them.
 #pragma once
 
-#include "coordination/reports.h"
-#include "coordination/shares.h"
-#include "sharing/handover.h"
+#include "coordination/scheduling/quota_exchange.h"
+#include "coordination/workers/heartbeat_handler.h"
+#include "rebalancing/handover.h"
 
 namespace fawnwheel::coordination {
 
--- a/src/coordination/machine_sharing.cpp
+++ b/src/coordination/migration/rebalancer.cpp
@@ -1,4 +1,4 @@
-#include "coordination/machine_sharing.h"
+#include "coordination/migration/rebalancer.h"
 
 #include <spdlog/spdlog.h>
 
--- a/src/coordination/machine_sharing.h
+++ b/src/coordination/migration/rebalancer.h
@@ -3,10 +3,10 @@
 // takes from its own.
 #pragma once
 
-#include "coordination/machine_transfers.h"
-#include "coordination/placement.h"
-#include "sharing/move_budget.h"
-#include "sharing/share_plan.h"
+#include "coordination/migration/machine_transfers.h"
+#include "coordination/scheduling/placement.h"
+#include "rebalancing/transfer_plan.h"
+#include "rebalancing/transfer_rate_limiter.h"
 
 namespace fawnwheel::coordination {
 
--- a/src/coordination/moves.cpp
+++ b/src/coordination/migration/work_migrator.cpp
@@ -1,10 +1,10 @@
-#include "coordination/moves.h"
+#include "coordination/migration/work_migrator.h"
 
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
 
-#include "bookkeeping/records.h"
+#include "storage/records.h"
 
 namespace fawnwheel::coordination {
 
@@ -116,9 +116,9 @@
     }
 }
 
-bookkeeping::TaskRange WorkMigrator::movableRange(const Slice& slice) {
+storage::TaskRange WorkMigrator::movableRange(const Slice& slice) {
     if (slice.leaving) return {};
-    if (slice.untouched()) return slice.dirty ? bookkeeping::TaskRange{} : slice.range();
+    if (slice.untouched()) return slice.dirty ? storage::TaskRange{} : slice.range();
     // The rest of a slice that has begun becomes a slice of its own. It once never moved, and
     // waited beside idle machines of other partitions (slice_left_behind).
     if (!context_.jobDependenciesEnabled(*context_.clusterState.lock())) return {};
@@ -291,7 +291,7 @@
 void WorkMigrator::migrateJob(std::uint64_t requestId, const Migration& migration,
                               std::uint32_t target) {
     protocol::CompareAndSwap transaction;
-    const auto key = bookkeeping::keys::job(migration.job);
+    const auto key = storage::keys::job(migration.job);
     protocol::Json value;
     {
         auto clusterState = context_.clusterState.lock();
@@ -299,7 +299,7 @@
         if (job == nullptr || job->cancelled) return finishMigration(requestId, target, false);
         Job next = *job;
         next.partition = target;
-        value = bookkeeping::jobValue(next);
+        value = storage::jobValue(next);
         transaction = {{{key, job->version}}, {{key, value, 0}}};
     }
     pipeline_.commit(
@@ -308,8 +308,8 @@
             // As the record that it is: the job may have been migrated on, or be over,
             // by now.
             if (result == CommitResult::done)
-                bookkeeping::applyEvent(*context_.clusterState.lock(), {key, value, revision},
-                                        context_.now());
+                storage::applyEvent(*context_.clusterState.lock(), {key, value, revision},
+                                    context_.now());
             finishMigration(requestId, target, result == CommitResult::done);
         });
 }
--- a/src/coordination/moves.h
+++ b/src/coordination/migration/work_migrator.h
@@ -3,9 +3,9 @@
 
 #include <random>
 
-#include "coordination/committer.h"
-#include "coordination/placement.h"
-#include "coordination/recorder.h"
+#include "coordination/replication/state_writer.h"
+#include "coordination/replication/transaction_pipeline.h"
+#include "coordination/scheduling/placement.h"
 #include "protocol/peer_codec.h"
 
 namespace fawnwheel::coordination {
@@ -55,7 +55,7 @@
         std::string job;
         std::uint32_t slice = 0;
         bool wholeJob = false;
-        bookkeeping::TaskRange range;  // of the slice
+        storage::TaskRange range;  // of the slice
         std::uint32_t tasks = 0;
         std::vector<std::uint32_t> peersLeft;  // partitions to ask, in turn
         std::uint32_t asked = 0;               // partition
@@ -72,7 +72,7 @@
     // Whether some of the job's tasks here could be migrated.
     [[nodiscard]] bool movable(const Job& job, std::uint32_t partition);
     // The tasks of a slice that may be migrated together; none: an empty range.
-    [[nodiscard]] bookkeeping::TaskRange movableRange(const Slice& slice);
+    [[nodiscard]] storage::TaskRange movableRange(const Slice& slice);
     void migration(std::uint32_t partition, Job& job, const Slice& slice, bool wholeJob);
     void requestNextPeer(std::uint64_t requestId);
     void migrate(std::uint64_t requestId);
--- a/src/coordination/renting.cpp
+++ b/src/coordination/provisioning/autoscaler.cpp
@@ -3,7 +3,7 @@
 
 #include <algorithm>
 
-#include "coordination/fleet.h"
+#include "coordination/provisioning/fleet.h"
 
 namespace fawnwheel::coordination {
 
--- a/src/coordination/fleet.cpp
+++ b/src/coordination/provisioning/fleet.cpp
@@ -1,11 +1,11 @@
-#include "coordination/fleet.h"
+#include "coordination/provisioning/fleet.h"
 
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
 #include <cmath>
 
-#include "bookkeeping/records.h"
+#include "storage/records.h"
 
 namespace fawnwheel::coordination {
 
@@ -53,7 +53,7 @@
     // A controller that starts while the cloud does not answer would else know no machine types,
     // and take in and place nothing (incident inc-058e).
     if (!membership_.isLeader(0) || !membership_.isLeaseValid()) return;
-    auto value = bookkeeping::catalogValue(context_.catalog);
+    auto value = storage::catalogValue(context_.catalog);
     std::uint64_t version = 0;
     {
         auto clusterState = context_.clusterState.lock();
@@ -69,16 +69,15 @@
     }
     if (value.dump().size() > context_.settings.valueBytes()) return;
     const auto types = context_.catalog;
-    pipeline_.commit(0,
-                     {{{bookkeeping::keys::catalog, version}},
-                      {{bookkeeping::keys::catalog, std::move(value), 0}}},
-                     [this, types](CommitResult result, std::uint64_t revision) {
-                         if (result != CommitResult::done) return;
-                         auto clusterState = context_.clusterState.lock();
-                         if (clusterState->catalogVersion >= revision) return;
-                         clusterState->catalog = types;
-                         clusterState->catalogVersion = revision;
-                     });
+    pipeline_.commit(
+        0, {{{storage::keys::catalog, version}}, {{storage::keys::catalog, std::move(value), 0}}},
+        [this, types](CommitResult result, std::uint64_t revision) {
+            if (result != CommitResult::done) return;
+            auto clusterState = context_.clusterState.lock();
+            if (clusterState->catalogVersion >= revision) return;
+            clusterState->catalog = types;
+            clusterState->catalogVersion = revision;
+        });
 }
 
 void Fleet::adoptCatalog() {
@@ -248,7 +247,7 @@
                 writes.pending.erase(id);
                 continue;
             }
-            const auto key = bookkeeping::keys::machine(id);
+            const auto key = storage::keys::machine(id);
             transaction.compares.push_back({key, machine->version});
             transaction.writes.push_back({key, writes.value(*machine), 0});
             ids.push_back(id);
@@ -273,7 +272,7 @@
 }
 
 void Fleet::setUpWrites() {
-    recording_.value = [](const Machine& machine) { return bookkeeping::machineValue(machine); };
+    recording_.value = [](const Machine& machine) { return storage::machineValue(machine); };
     recording_.settled = [this](Machine& machine, CommitResult result, std::uint64_t revision) {
         if (result == CommitResult::done) {
             machine.version = std::max(machine.version, revision);
@@ -286,7 +285,7 @@
     decommissioning_.value = [](const Machine& machine) {
         Machine decommissioned = machine;
         decommissioned.decommissioned = true;
-        return bookkeeping::machineValue(decommissioned);
+        return storage::machineValue(decommissioned);
     };
     decommissioning_.settled = [](Machine& machine, CommitResult result, std::uint64_t revision) {
         // Also if the records have been read anew meanwhile, as they stood before.
--- a/src/coordination/fleet.h
+++ b/src/coordination/provisioning/fleet.h
@@ -2,8 +2,8 @@
 // telling which are gone.
 #pragma once
 
-#include "coordination/placement.h"
-#include "coordination/reports.h"
+#include "coordination/scheduling/placement.h"
+#include "coordination/workers/heartbeat_handler.h"
 
 namespace fawnwheel::coordination {
 
--- a/src/coordination/standby.cpp
+++ b/src/coordination/provisioning/warm_pool.cpp
@@ -2,7 +2,7 @@
 // and for what teams are guaranteed.
 #include <algorithm>
 
-#include "coordination/fleet.h"
+#include "coordination/provisioning/fleet.h"
 
 namespace fawnwheel::coordination {
 
@@ -28,8 +28,8 @@
         const auto consider = [&slack](Seconds s) { slack = slack ? std::min(*slack, s) : s; };
         for (const auto& objective : context_.settings.objectives) {
             if (objective.jobClass != spec.jobClass) continue;
-            if (objective.kind == app::ObjectiveKind::wait) consider(objective.within);
-            if (objective.kind == app::ObjectiveKind::finished)
+            if (objective.kind == config::ObjectiveKind::wait) consider(objective.within);
+            if (objective.kind == config::ObjectiveKind::finished)
                 consider(objective.within - spec.estimate);
         }
         if (spec.deadline) consider(*spec.deadline - spec.estimate);
--- a/src/coordination/replica.cpp
+++ b/src/coordination/replication/replica.cpp
@@ -1,8 +1,8 @@
-#include "coordination/replica.h"
+#include "coordination/replication/replica.h"
 
 #include <spdlog/spdlog.h>
 
-#include "bookkeeping/records.h"
+#include "storage/records.h"
 
 namespace fawnwheel::coordination {
 
@@ -37,7 +37,7 @@
 
 void Replica::readPage(const std::string& after, std::uint64_t generation) {
     context_.state.readRange(
-        bookkeeping::keys::activePrefix, after,
+        storage::keys::activePrefix, after,
         [this, after, generation](const protocol::ReadResponse& answer) {
             if (generation != generation_) return;
             // An empty page that says more is no end: all behind it would seem to be gone.
@@ -68,14 +68,14 @@
         clusterState->clearRecords();
         for (const auto& item : items_) {
             if (const auto slash = item.key.rfind('/');
-                item.key.starts_with(bookkeeping::keys::machine({}))) {
+                item.key.starts_with(storage::keys::machine({}))) {
                 if (const auto old = machines.find(item.key.substr(slash + 1));
                     old != machines.end()) {
                     old->second.version = 0;
                     clusterState->machines.insert(machines.extract(old));
                 }
             }
-            bookkeeping::applyEvent(*clusterState, {item.key, item.value, item.version}, now);
+            storage::applyEvent(*clusterState, {item.key, item.value, item.version}, now);
         }
         clusterState->rebuildIndexes();
         clusterState->applied = firstRevision_;
@@ -93,7 +93,7 @@
         for (const auto& key : keys) {
             const auto found = deferred_.find(key);
             if (found == deferred_.end() || inFlight(key)) continue;
-            bookkeeping::applyEvent(*clusterState, found->second, context_.now());
+            storage::applyEvent(*clusterState, found->second, context_.now());
             deferred_.erase(found);
             changed = true;
         }
@@ -116,7 +116,7 @@
     const auto wait = std::clamp(context_.cancellationSlack() / watchesPerCancellationSlack,
                                  shortestWatch, longestWatch);
     context_.state.watch(
-        bookkeeping::keys::activePrefix, since, wait,
+        storage::keys::activePrefix, since, wait,
         [this, generation, asked](const protocol::WatchResponse& answer) {
             if (generation != generation_) return;
             if (answer.tooOld) return resync();
@@ -130,14 +130,14 @@
                 auto clusterState = context_.clusterState.lock();
                 for (const auto& event : answer.events) {
                     if (!inFlight(event.key)) {
-                        bookkeeping::applyEvent(*clusterState, event, context_.now());
+                        storage::applyEvent(*clusterState, event, context_.now());
                         continue;
                     }
                     // Its answer may not come for as long as an outage lasts, and until then the
                     // job's tasks must be stopped all the same.
-                    bookkeeping::recordCancellation(*clusterState, event);
+                    storage::recordCancellation(*clusterState, event);
                     // From here on its new leader counts how long its worker has been silent.
-                    bookkeeping::recordDeparture(*clusterState, event);
+                    storage::recordDeparture(*clusterState, event);
                     // Dropped, the allocations that a new leader had recorded in a migrated slice
                     // before the migrating leader had its answer were never known to it
                     // (ClaimsThatOvertakeTheAnswerToAPushAreKnown).
--- a/src/coordination/slice_writer.cpp
+++ b/src/coordination/replication/slice_writer.cpp
@@ -1,8 +1,8 @@
-#include "coordination/slice_writer.h"
+#include "coordination/replication/slice_writer.h"
 
 #include <spdlog/spdlog.h>
 
-#include "bookkeeping/records.h"
+#include "storage/records.h"
 
 namespace fawnwheel::coordination {
 
@@ -15,7 +15,7 @@
 
 // Where the slice has to be cut so that each range becomes a piece of its own.
 std::vector<std::uint32_t> cutsAround(const Slice& slice,
-                                      const std::vector<bookkeeping::TaskRange>& ranges) {
+                                      const std::vector<storage::TaskRange>& ranges) {
     std::vector<std::uint32_t> cuts;
     const auto cutBefore = [&](std::uint32_t task) {
         const bool inside = task > slice.first && task < slice.range().end();
@@ -28,7 +28,7 @@
     return cuts;
 }
 
-bool contains(const bookkeeping::SliceContent& content, const Allocation& allocation) {
+bool contains(const storage::SliceContent& content, const Allocation& allocation) {
     return std::any_of(content.allocations.begin(), content.allocations.end(),
                        [&allocation](const Allocation& other) {
                            return other.task == allocation.task &&
@@ -45,15 +45,15 @@
 std::vector<std::uint32_t> SliceWriter::cutsToFit(const Slice& slice) const {
     std::vector<std::uint32_t> cuts;
     // Halved as often as need be. Most are so small that they need not be written out to see it.
-    std::vector<bookkeeping::TaskRange> open{slice.range()};
+    std::vector<storage::TaskRange> open{slice.range()};
     while (!open.empty()) {
         const auto range = open.back();
         open.pop_back();
         if (range.count * bytesPerAllocation + bytesPerChange < mostValueBytes_ || range.count < 2)
             continue;
-        const auto pieces = bookkeeping::cutSlice(slice, cutsAround(slice, {range}), 0);
+        const auto pieces = storage::cutSlice(slice, cutsAround(slice, {range}), 0);
         const auto& piece = range.first == slice.first ? pieces.front() : pieces[1];
-        if (bookkeeping::sliceValue(piece).dump().size() <= mostValueBytes_) continue;
+        if (storage::sliceValue(piece).dump().size() <= mostValueBytes_) continue;
         const auto half = range.count / 2;
         cuts.push_back(range.first + half);
         open.push_back({range.first, half});
@@ -73,20 +73,20 @@
         // Recorded while values could be larger, by the version before (limits_lowered).
         written.cuts = cutsToFit(slice);
     // Two slices of one job that were divided in one transaction once added pieces under the same
-    // index, and the tasks of one of them were in no slice any more (sharing_limit).
+    // index, and the tasks of one of them were in no slice any more (rebalancing_limit).
     auto& added = batch.addedSlices[job.spec.id];
     written.nextIndex = static_cast<std::uint32_t>(job.slices.size()) + added;
-    const auto pieces = bookkeeping::cutSlice(slice, written.cuts, written.nextIndex);
+    const auto pieces = storage::cutSlice(slice, written.cuts, written.nextIndex);
     if (writes.size() + pieces.size() > mostChanges_ && !writes.empty()) return false;
     added += static_cast<std::uint32_t>(pieces.size() - 1);
     // The job's version fails an allocation made while a user cancels the job.
     if (batch.jobs.insert(job.spec.id).second)
-        compares.push_back({bookkeeping::keys::job(job.spec.id), job.version});
+        compares.push_back({storage::keys::job(job.spec.id), job.version});
     for (auto piece : pieces) {
         if (written.leaving.contains(piece.range())) piece.partition = written.leaving.target;
-        const auto key = bookkeeping::keys::slice(job.spec.id, piece.index);
+        const auto key = storage::keys::slice(job.spec.id, piece.index);
         compares.push_back({key, piece.version});
-        written.writes.push_back({key, bookkeeping::sliceValue(piece), 0});
+        written.writes.push_back({key, storage::sliceValue(piece), 0});
         writes.push_back(written.writes.back());
     }
     batch.bytes += bytesPerChange * pieces.size() + bytesPerAllocation * slice.allocations.size();
@@ -106,11 +106,10 @@
         // of the piece that had been divided off (TwoDivisionsOfOneJobLeaveEveryTaskInOneSlice,
         // ADivisionBetweenTwoPagesLeavesEveryTaskInOneSlice).
         for (const auto& write : written.writes)
-            bookkeeping::applyEvent(clusterState, {write.key, write.value, revision},
-                                    context_.now());
+            storage::applyEvent(clusterState, {write.key, write.value, revision}, context_.now());
         return;
     }
-    auto pieces = bookkeeping::cutSlice(slice, written.cuts, written.nextIndex);
+    auto pieces = storage::cutSlice(slice, written.cuts, written.nextIndex);
     for (std::size_t i = 0; i < pieces.size(); ++i) {
         Slice& piece = pieces[i];
         const auto& value = *written.writes[i].value;
@@ -119,9 +118,9 @@
         else if (i == 0 && slice.leaving)
             piece.leaving = slice.leaving;
         piece.version = revision;
-        piece.dirty = value != bookkeeping::sliceValue(piece);
+        piece.dirty = value != storage::sliceValue(piece);
         piece.dirtySince.reset();
-        auto recorded = bookkeeping::readSlice(job, piece.index, value);
+        auto recorded = storage::readSlice(job, piece.index, value);
         for (auto& allocation : piece.allocations)
             // Only what this transaction carried; a later allocation waits for the next.
             if (!allocation.durable && recorded && contains(*recorded, allocation)) {
--- a/src/coordination/slice_writer.h
+++ b/src/coordination/replication/slice_writer.h
@@ -2,17 +2,17 @@
 // and takes its outcome in.
 #pragma once
 
-#include "coordination/committer.h"
+#include "coordination/replication/transaction_pipeline.h"
 
 namespace fawnwheel::coordination {
 
 // Tasks of a slice that another partition shall own: ascending, and in slices of their own
 // afterwards.
 struct LeavingTasks {
-    std::vector<bookkeeping::TaskRange> ranges;
+    std::vector<storage::TaskRange> ranges;
     std::uint32_t target = 0;  // partition
 
-    [[nodiscard]] bool contains(const bookkeeping::TaskRange& range) const {
+    [[nodiscard]] bool contains(const storage::TaskRange& range) const {
         return std::find(ranges.begin(), ranges.end(), range) != ranges.end();
     }
 };
@@ -22,7 +22,7 @@
     std::string job;
     std::uint32_t index = 0;
     std::uint64_t version = 0;        // before
-    bookkeeping::TaskRange range;     // before
+    storage::TaskRange range;         // before
     std::vector<std::uint32_t> cuts;  // tasks that begin a new piece
     std::uint32_t nextIndex = 0;      // of the pieces that are added
     LeavingTasks leaving;
--- a/src/coordination/recorder.cpp
+++ b/src/coordination/replication/state_writer.cpp
@@ -1,10 +1,10 @@
-#include "coordination/recorder.h"
+#include "coordination/replication/state_writer.h"
 
 #include <spdlog/spdlog.h>
 
 #include <numeric>
 
-#include "bookkeeping/records.h"
+#include "storage/records.h"
 
 namespace fawnwheel::coordination {
 
@@ -26,7 +26,7 @@
                        [](const Allocation& allocation) { return !allocation.durable; });
 }
 
-bool allUnstarted(const Slice& slice, const bookkeeping::TaskRange& range) {
+bool allUnstarted(const Slice& slice, const storage::TaskRange& range) {
     for (auto task = range.first; task < range.end(); ++task)
         if (!slice.unstarted(task)) return false;
     return range.count > 0;
@@ -49,7 +49,7 @@
 
 bool StateWriter::sliceUnderWay(const Job& job) const {
     return std::any_of(job.slices.begin(), job.slices.end(), [&](const Slice& slice) {
-        return pipeline_.inFlight(bookkeeping::keys::slice(job.spec.id, slice.index));
+        return pipeline_.inFlight(storage::keys::slice(job.spec.id, slice.index));
     });
 }
 
@@ -78,11 +78,11 @@
         if (!job.dependencyCancelled || job.cancelled || job.completing ||
             job.partition != partition)
             continue;
-        const auto key = bookkeeping::keys::job(id);
+        const auto key = storage::keys::job(id);
         Job next = job;
         next.cancelled = true;
         batch.transaction.compares.push_back({key, job.version});
-        batch.cancellations.push_back({key, bookkeeping::jobValue(next), 0});
+        batch.cancellations.push_back({key, storage::jobValue(next), 0});
         batch.transaction.writes.push_back(batch.cancellations.back());
         batch.bytes += SliceWriter::bytesPerJob;
         batch.jobs.insert(id);
@@ -92,25 +92,24 @@
 void StateWriter::addTerminal(Batch& batch, const ClusterState& clusterState, Job& job) {
     auto& writes = batch.transaction.writes;
     if (writes.size() + 2 > writer_.mostChanges()) return;
-    batch.transaction.compares.push_back({bookkeeping::keys::job(job.spec.id), job.version});
+    batch.transaction.compares.push_back({storage::keys::job(job.spec.id), job.version});
     // Ends that are not recorded hold for the term in which they were proved: another leader of
     // that partition would know nothing of them, and may have started the tasks once more.
     for (const auto other : partitionsWithUnrecorded(job))
         if (other != job.partition)
             batch.transaction.compares.push_back(
-                {bookkeeping::keys::partition(other), clusterState.partitions.at(other).version});
-    writes.push_back({bookkeeping::keys::job(job.spec.id), std::nullopt, 0});
-    bookkeeping::TerminalState state{job.cancelled, std::nullopt};
+                {storage::keys::partition(other), clusterState.partitions.at(other).version});
+    writes.push_back({storage::keys::job(job.spec.id), std::nullopt, 0});
+    storage::TerminalState state{job.cancelled, std::nullopt};
     // Those that wait for it count their time from now on, also with a dependent of this leader.
     if (context_.jobDependenciesEnabled(clusterState)) state.at = context_.timers.wallNow();
-    writes.push_back(
-        {bookkeeping::keys::terminal(job.spec.id), bookkeeping::terminalValue(state), 0});
+    writes.push_back({storage::keys::terminal(job.spec.id), storage::terminalValue(state), 0});
     for (const auto& slice : job.slices) {
         // The others become strays once the job has ended, and not before: deleted on a hope, the
         // records of a job that lived on were missing, and its running tasks known to nobody
         // (ARefusedEndLeavesTheSlicesOfTheJob).
         if (slice.version == 0 || writes.size() >= writer_.mostChanges()) continue;
-        const auto key = bookkeeping::keys::slice(job.spec.id, slice.index);
+        const auto key = storage::keys::slice(job.spec.id, slice.index);
         writes.push_back({key, std::nullopt, 0});
     }
     batch.bytes += SliceWriter::bytesPerChange * 2;
@@ -247,8 +246,8 @@
         auto clusterState = context_.clusterState.lock();
         if (result == CommitResult::done)
             for (const auto& write : batch.cancellations)
-                bookkeeping::applyEvent(*clusterState, {write.key, write.value, revision},
-                                        context_.now());
+                storage::applyEvent(*clusterState, {write.key, write.value, revision},
+                                    context_.now());
         for (const auto& [id, state] : batch.terminals) {
             if (Job* job = clusterState->job(id)) job->completing = false;
             if (result != CommitResult::done) continue;
@@ -285,7 +284,7 @@
     }
     if (transaction.writes.empty()) return;
     // A job that has had slices and has no active record has ended, and is never created again.
-    for (const auto& id : jobs) transaction.compares.push_back({bookkeeping::keys::job(id), 0});
+    for (const auto& id : jobs) transaction.compares.push_back({storage::keys::job(id), 0});
     const auto writes = transaction.writes;
     pipeline_.commit(partition, std::move(transaction),
                      [this, partition, writes](CommitResult result, std::uint64_t) {
--- a/src/coordination/recorder.h
+++ b/src/coordination/replication/state_writer.h
@@ -1,7 +1,7 @@
 // Makes a leader's changes of slices and jobs durable, many in one transaction.
 #pragma once
 
-#include "coordination/slice_writer.h"
+#include "coordination/replication/slice_writer.h"
 
 namespace fawnwheel::coordination {
 
@@ -9,7 +9,7 @@
 struct SliceMigration {
     std::string job;
     std::uint32_t slice = 0;
-    bookkeeping::TaskRange range;
+    storage::TaskRange range;
     std::uint32_t target = 0;  // partition
     SteadyTime until{};        // the other partition's word holds no longer
     std::function<void(bool migrated)> done;
@@ -40,7 +40,7 @@
   private:
     struct WrittenTerminal {
         std::string job;
-        bookkeeping::TerminalState state;
+        storage::TerminalState state;
     };
     struct Batch : SliceBatch {
         std::vector<WrittenTerminal> terminals;
--- a/src/coordination/committer.cpp
+++ b/src/coordination/replication/transaction_pipeline.cpp
@@ -1,8 +1,8 @@
-#include "coordination/committer.h"
+#include "coordination/replication/transaction_pipeline.h"
 
 #include <spdlog/spdlog.h>
 
-#include "bookkeeping/records.h"
+#include "storage/records.h"
 
 namespace fawnwheel::coordination {
 
@@ -59,8 +59,7 @@
     // decision. With the one at the time of sending, what was decided under one term was once
     // carried out under the next, against what a dependent had done meanwhile
     // (WhatWasDecidedInAnEarlierTermIsNotSentInALaterOne).
-    transaction.compares.push_back(
-        {bookkeeping::keys::partition(partition), pending.partitionVersion});
+    transaction.compares.push_back({storage::keys::partition(partition), pending.partitionVersion});
     context_.state.transact(
         std::move(transaction), protocol::RequestPriority::write,
         [this, partition, id = pending.id](const protocol::CompareAndSwapResponse& answer) {
@@ -110,7 +109,7 @@
 
 void TransactionPipeline::readBack(std::uint32_t partition) {
     const PendingTransaction& pending = queues_[partition].front();
-    std::set<std::string> wanted{bookkeeping::keys::partition(partition)};
+    std::set<std::string> wanted{storage::keys::partition(partition)};
     for (const auto& compare : pending.transaction.compares) wanted.insert(compare.key);
     for (const auto& write : pending.transaction.writes) wanted.insert(write.key);
 
@@ -168,9 +167,9 @@
             revision = stored->version;
         }
     }
-    bool partitionLost = missing.contains(bookkeeping::keys::partition(partition));
+    bool partitionLost = missing.contains(storage::keys::partition(partition));
     for (const auto& item : items)
-        if (item.key == bookkeeping::keys::partition(partition))
+        if (item.key == storage::keys::partition(partition))
             partitionLost = item.version != pending.partitionVersion;
     // A first try without an answer may have been the one that landed.
     if (landed && pending.sent && !partitionLost)
@@ -180,12 +179,12 @@
     if (!partitionLost) {
         auto clusterState = context_.clusterState.lock();
         for (const auto& item : items)
-            bookkeeping::applyEvent(*clusterState, {item.key, item.value, item.version},
-                                    context_.now());
+            storage::applyEvent(*clusterState, {item.key, item.value, item.version},
+                                context_.now());
         // The watch passes over keys of ours that are under way, so a deletion has to be taken
         // in here: a job that had ended was once kept for ever, and failed every later write.
         for (const auto& [key, asOf] : missing)
-            bookkeeping::applyEvent(*clusterState, {key, std::nullopt, asOf}, context_.now());
+            storage::applyEvent(*clusterState, {key, std::nullopt, asOf}, context_.now());
     }
     settle(partition,
            partitionLost      ? CommitResult::partitionLost
--- a/src/coordination/room.cpp
+++ b/src/coordination/scheduling/capacity.cpp
@@ -1,7 +1,7 @@
 // How much of a job a partition's machines have room for.
 #include <algorithm>
 
-#include "coordination/placement.h"
+#include "coordination/scheduling/placement.h"
 
 namespace fawnwheel::coordination {
 
--- a/src/coordination/triggers.cpp
+++ b/src/coordination/scheduling/completion_notifier.cpp
@@ -1,10 +1,10 @@
-#include "coordination/triggers.h"
+#include "coordination/scheduling/completion_notifier.h"
 
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
 
-#include "bookkeeping/records.h"
+#include "storage/records.h"
 
 namespace fawnwheel::coordination {
 
@@ -56,7 +56,7 @@
 void CompletionNotifier::read(const std::string& dependency) {
     reading_.insert(dependency);
     context_.state.read(
-        bookkeeping::keys::terminal(dependency),
+        storage::keys::terminal(dependency),
         [this, dependency](const protocol::ReadResponse& answer) {
             reading_.erase(dependency);
             if (answer.result != protocol::StateResult::ok || answer.items.empty()) {
@@ -65,7 +65,7 @@
                 notBefore_[dependency] = context_.now() + context_.jittered(pauseAfterFailure);
                 return;
             }
-            const auto state = bookkeeping::readTerminal(answer.items.front().value);
+            const auto state = storage::readTerminal(answer.items.front().value);
             spdlog::debug("job {}: read to be {}", dependency,
                           state.cancelled ? "cancelled" : "done");
             context_.clusterState.lock()->dependencyGraph.recordTerminal(dependency, state);
--- a/src/coordination/triggers.h
+++ b/src/coordination/scheduling/completion_notifier.h
@@ -8,7 +8,7 @@
 #include <functional>
 #include <set>
 
-#include "coordination/membership.h"
+#include "coordination/membership/membership.h"
 
 namespace fawnwheel::coordination {
 
--- a/src/coordination/gathering.cpp
+++ b/src/coordination/scheduling/gang_assembler.cpp
@@ -1,7 +1,7 @@
 // Gangs that can't start yet: the zone they gather in and the machines that are kept for them.
 #include <algorithm>
 
-#include "coordination/placement.h"
+#include "coordination/scheduling/placement.h"
 
 namespace fawnwheel::coordination {
 
--- a/src/coordination/placement.cpp
+++ b/src/coordination/scheduling/placement.cpp
@@ -1,4 +1,4 @@
-#include "coordination/placement.h"
+#include "coordination/scheduling/placement.h"
 
 #include <spdlog/spdlog.h>
 
@@ -59,14 +59,14 @@
     return (membership_.term(partition) << taskBits) | (++sequence_ & ((1U << taskBits) - 1));
 }
 
-bookkeeping::QuotaShare Placement::quotaShareOf(const ClusterState& clusterState,
-                                                const app::Team& team,
-                                                std::uint32_t partition) const {
+storage::QuotaShare Placement::quotaShareOf(const ClusterState& clusterState,
+                                            const config::Team& team,
+                                            std::uint32_t partition) const {
     const auto partitions = static_cast<double>(context_.partitionCount());
-    bookkeeping::QuotaShare quota{team.cpusMax / partitions, team.gpusMax / partitions};
+    storage::QuotaShare quota{team.cpusMax / partitions, team.gpusMax / partitions};
     const auto known = clusterState.quotas.find(team.name);
     if (known == clusterState.quotas.end() || !known->second.contains(partition)) return quota;
-    bookkeeping::QuotaShare total;
+    storage::QuotaShare total;
     for (const auto& [number, recorded] : known->second) {
         total.cpus += recorded.cpus;
         total.gpus += recorded.gpus;
@@ -77,8 +77,8 @@
                       std::abs(total.cpus - team.cpusMax) < quotaTolerance &&
                       std::abs(total.gpus - team.gpusMax) < quotaTolerance;
     return fits ? mine
-                : bookkeeping::QuotaShare{std::min(quota.cpus, mine.cpus),
-                                          std::min(quota.gpus, mine.gpus)};
+                : storage::QuotaShare{std::min(quota.cpus, mine.cpus),
+                                      std::min(quota.gpus, mine.gpus)};
 }
 
 Resources Placement::remainingQuota(ClusterState& clusterState, const std::string& name,
--- a/src/coordination/placement.h
+++ b/src/coordination/scheduling/placement.h
@@ -1,7 +1,7 @@
 // Which waiting task goes to which machine of a partition.
 #pragma once
 
-#include "coordination/membership.h"
+#include "coordination/membership/membership.h"
 
 namespace fawnwheel::coordination {
 
@@ -56,9 +56,9 @@
     // What a partition may still use of a team's limit, and its share of it.
     [[nodiscard]] Resources remainingQuota(ClusterState& clusterState, const std::string& team,
                                            std::uint32_t partition) const;
-    [[nodiscard]] bookkeeping::QuotaShare quotaShareOf(const ClusterState& clusterState,
-                                                       const app::Team& team,
-                                                       std::uint32_t partition) const;
+    [[nodiscard]] storage::QuotaShare quotaShareOf(const ClusterState& clusterState,
+                                                   const config::Team& team,
+                                                   std::uint32_t partition) const;
     // Whether what the job's team uses, with one more task of it, lies within its guarantee.
     [[nodiscard]] bool withinGuarantee(const ClusterState& clusterState, const Job& job) const;
     // The queue's order.
--- a/src/coordination/preemption.cpp
+++ b/src/coordination/scheduling/preemption.cpp
@@ -4,7 +4,7 @@
 #include <algorithm>
 #include <limits>
 
-#include "coordination/placement.h"
+#include "coordination/scheduling/placement.h"
 
 namespace fawnwheel::coordination {
 
--- a/src/coordination/queue_order.cpp
+++ b/src/coordination/scheduling/queue_order.cpp
@@ -2,7 +2,7 @@
 // placed.
 #include <algorithm>
 
-#include "coordination/placement.h"
+#include "coordination/scheduling/placement.h"
 
 namespace fawnwheel::coordination {
 
@@ -34,8 +34,8 @@
     const auto sinceReady = [&job](Seconds time) { return plus(job.readySince, time); };
     for (const auto& objective : context_.settings.objectives) {
         if (objective.jobClass != job.spec.jobClass) continue;
-        if (objective.kind == app::ObjectiveKind::wait) consider(sinceReady(objective.within));
-        if (objective.kind == app::ObjectiveKind::finished)
+        if (objective.kind == config::ObjectiveKind::wait) consider(sinceReady(objective.within));
+        if (objective.kind == config::ObjectiveKind::finished)
             consider(sinceReady(objective.within - job.spec.estimate));
     }
     if (job.spec.deadline) consider(plus(job.submitted, *job.spec.deadline - job.spec.estimate));
--- a/src/coordination/shares.cpp
+++ b/src/coordination/scheduling/quota_exchange.cpp
@@ -1,10 +1,10 @@
-#include "coordination/shares.h"
+#include "coordination/scheduling/quota_exchange.h"
 
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
 
-#include "bookkeeping/records.h"
+#include "storage/records.h"
 
 namespace fawnwheel::coordination {
 
@@ -50,7 +50,7 @@
     const auto given = [tasks](double each, double has, double left) {
         return std::clamp(each * tasks - std::max(0.0, has), 0.0, std::max(0.0, left));
     };
-    bookkeeping::QuotaShare moved;
+    storage::QuotaShare moved;
     if (team->cpusMax > 0) moved.cpus = given(job->spec.each.cpus, theirs.cpus, ours.cpus);
     if (team->gpusMax > 0) moved.gpus = given(job->spec.each.gpus, theirs.gpus, ours.gpus);
     // Work of this partition that comes earlier keeps its share.
@@ -70,7 +70,7 @@
                   request.job, moved.cpus, moved.gpus, request.lender, request.borrower);
     pipeline_.commit(request.lender,
                      {{quota->compare,
-                       {bookkeeping::keys::partition(request.borrower),
+                       {storage::keys::partition(request.borrower),
                         clusterState->partitions[request.borrower].version}},
                       {quota->change}},
                      [this, quota = *quota](CommitResult result, std::uint64_t revision) {
@@ -79,12 +79,12 @@
 }
 
 std::optional<QuotaExchange::QuotaTransfer> QuotaExchange::begin(ClusterState& clusterState,
-                                                                 const app::Team& team,
+                                                                 const config::Team& team,
                                                                  std::uint32_t from,
                                                                  std::uint32_t to,
-                                                                 bookkeeping::QuotaShare moved) {
+                                                                 storage::QuotaShare moved) {
     if (clusterState.outgoingQuotas.contains(team.name)) return std::nullopt;
-    std::map<std::uint32_t, bookkeeping::QuotaShare> next;
+    std::map<std::uint32_t, storage::QuotaShare> next;
     for (std::uint32_t partition = 0; partition < context_.partitionCount(); ++partition)
         next[partition] = placement_.quotaShareOf(clusterState, team, partition);
     next[from].cpus -= moved.cpus;
@@ -92,17 +92,17 @@
     next[to].cpus += moved.cpus;
     next[to].gpus += moved.gpus;
     clusterState.outgoingQuotas[team.name] = {from, moved};
-    const auto key = bookkeeping::keys::quota(team.name);
+    const auto key = storage::keys::quota(team.name);
     return QuotaTransfer{team.name,
                          {key, clusterState.quotaVersions[team.name]},
-                         {key, bookkeeping::quotaValue(next), 0}};
+                         {key, storage::quotaValue(next), 0}};
 }
 
 void QuotaExchange::settle(ClusterState& clusterState, const QuotaTransfer& change,
                            CommitResult result, std::uint64_t revision) {
     if (result == CommitResult::done)
-        bookkeeping::applyEvent(clusterState, {change.change.key, change.change.value, revision},
-                                context_.now());
+        storage::applyEvent(clusterState, {change.change.key, change.change.value, revision},
+                            context_.now());
     clusterState.outgoingQuotas.erase(change.team);
 }
 
--- a/src/coordination/shares.h
+++ b/src/coordination/scheduling/quota_exchange.h
@@ -3,9 +3,9 @@
 // once it is recorded.
 #pragma once
 
-#include "coordination/committer.h"
-#include "coordination/placement.h"
-#include "coordination/request_throttle.h"
+#include "coordination/replication/transaction_pipeline.h"
+#include "coordination/scheduling/placement.h"
+#include "coordination/scheduling/request_throttle.h"
 
 namespace fawnwheel::coordination {
 
@@ -29,9 +29,8 @@
     // From now on the giving partition does not use what is moved, whatever becomes of the change;
     // none: another change of the team's quota shares has no outcome yet.
     [[nodiscard]] std::optional<QuotaTransfer> begin(ClusterState& clusterState,
-                                                     const app::Team& team, std::uint32_t from,
-                                                     std::uint32_t to,
-                                                     bookkeeping::QuotaShare moved);
+                                                     const config::Team& team, std::uint32_t from,
+                                                     std::uint32_t to, storage::QuotaShare moved);
     // The transaction has its outcome.
     void settle(ClusterState& clusterState, const QuotaTransfer& change, CommitResult result,
                 std::uint64_t revision);
--- a/src/coordination/failure_review.cpp
+++ b/src/coordination/workers/fault_attribution.cpp
@@ -1,4 +1,4 @@
-#include "coordination/failure_review.h"
+#include "coordination/workers/fault_attribution.h"
 
 #include <spdlog/spdlog.h>
 
--- a/src/coordination/reports.cpp
+++ b/src/coordination/workers/heartbeat_handler.cpp
@@ -1,4 +1,4 @@
-#include "coordination/reports.h"
+#include "coordination/workers/heartbeat_handler.h"
 
 #include <spdlog/spdlog.h>
 
@@ -28,7 +28,7 @@
 }
 
 const protocol::TaskStatus* find(const protocol::Heartbeat& heartbeat,
-                                 const bookkeeping::TaskRef& ref) {
+                                 const storage::TaskRef& ref) {
     for (const auto& task : heartbeat.tasks)
         if (task.index == ref.task && task.attempt == ref.attempt && task.job == ref.job)
             return &task;
@@ -69,7 +69,7 @@
         // An earlier leader of the machine had a later term. While our lease stands nobody else
         // owns its partition, so that we may go beyond that token. While it changes hands its token
         // stands still: raised to the one with which its next leader begins, two leaders once
-        // answered the worker with the same token (sharing_troubles).
+        // answered the worker with the same token (rebalancing_troubles).
         if (!membership_.isLeaseValid() || machine->transferring) return {503, {}};
         machine->firstFencingToken = machine->fencingToken = heartbeat.fencingToken + 1;
         requireAcknowledgement(*machine, machine->fencingToken);
--- a/src/coordination/reports.h
+++ b/src/coordination/workers/heartbeat_handler.h
@@ -1,9 +1,9 @@
 // Workers' heartbeats: what they prove, and the commands they are answered with.
 #pragma once
 
-#include "coordination/failure_review.h"
-#include "coordination/membership.h"
-#include "coordination/recorder.h"
+#include "coordination/membership/membership.h"
+#include "coordination/replication/state_writer.h"
+#include "coordination/workers/fault_attribution.h"
 
 namespace fawnwheel::coordination {
 
--- a/src/app/main.cpp
+++ b/src/main.cpp
@@ -7,7 +7,7 @@
 #include <iostream>
 #include <random>
 
-#include "app/settings.h"
+#include "config/settings.h"
 #include "coordination/controller.h"
 #include "transport/http_server.h"
 #include "transport/tcp_network.h"
@@ -38,7 +38,7 @@
     spdlog::flush_on(spdlog::level::info);
 }
 
-int serve(const app::Settings& settings, const app::OperatorSettings& tuning) {
+int serve(const config::Settings& settings, const config::OperatorSettings& tuning) {
     transport::Loop loop;
     std::map<std::string, std::string> peers;
     for (const auto& peer : settings.peers) peers[peer.name] = peer.address;
@@ -82,12 +82,12 @@
     }
     try {
         setUpLogging();
-        const auto settings = app::loadSettings(configFile);
-        const auto tuning = operatorFile.empty() ? app::OperatorSettings{}
-                                                 : app::loadOperatorSettings(operatorFile);
+        const auto settings = config::loadSettings(configFile);
+        const auto tuning = operatorFile.empty() ? config::OperatorSettings{}
+                                                 : config::loadOperatorSettings(operatorFile);
         if (checkOnly) return 0;
         return serve(settings, tuning);
-    } catch (const app::SettingsError& error) {
+    } catch (const config::SettingsError& error) {
         std::cerr << "fawnwheeld: " << error.what() << '\n';
         return exitSettings;
     } catch (const std::exception& error) {
--- a/src/sharing/demand.cpp
+++ b/src/rebalancing/demand.cpp
@@ -1,4 +1,4 @@
-#include "sharing/demand.h"
+#include "rebalancing/demand.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/sharing/flow_solver.cpp
+++ b/src/rebalancing/flow_solver.cpp
@@ -6,7 +6,7 @@
 #include <boost/graph/successive_shortest_path_nonnegative_weights.hpp>
 #include <boost/property_map/function_property_map.hpp>
 
-#include "sharing/share_plan.h"
+#include "rebalancing/transfer_plan.h"
 
 namespace fawnwheel::rebalancing {
 
--- a/src/sharing/handover.cpp
+++ b/src/rebalancing/handover.cpp
@@ -1,4 +1,4 @@
-#include "sharing/handover.h"
+#include "rebalancing/handover.h"
 
 #include <algorithm>
 #include <roaring/roaring.hh>
@@ -8,13 +8,13 @@
 
 namespace {
 
-using bookkeeping::Allocation;
-using bookkeeping::ClusterState;
-using bookkeeping::Job;
-using bookkeeping::Machine;
-using bookkeeping::Slice;
-using bookkeeping::TaskRange;
 using protocol::TaskState;
+using storage::Allocation;
+using storage::ClusterState;
+using storage::Job;
+using storage::Machine;
+using storage::Slice;
+using storage::TaskRange;
 
 std::optional<Refusal> refusalOf(const ClusterState& clusterState, const Machine& machine,
                                  const HandoverRules& rules) {
@@ -175,7 +175,7 @@
         plan_.slices.push_back(std::move(partition));
     }
 
-    static bookkeeping::Resources times(const bookkeeping::Resources& each, std::uint64_t count) {
+    static storage::Resources times(const storage::Resources& each, std::uint64_t count) {
         const auto factor = static_cast<double>(count);
         return {each.cpus * factor, each.gpus * factor, each.memory * factor};
     }
@@ -235,7 +235,7 @@
 }
 
 bool keptForOthers(const ClusterState& clusterState, const Machine& machine,
-                   const Recipient& recipient, bookkeeping::SteadyTime now) {
+                   const Recipient& recipient, storage::SteadyTime now) {
     if (machine.reservedUntil <= now) return false;
     const auto found = clusterState.jobs.find(machine.reservedFor);
     if (found == clusterState.jobs.end()) return true;
--- a/src/sharing/handover.h
+++ b/src/rebalancing/handover.h
@@ -6,8 +6,8 @@
 #include <string_view>
 #include <variant>
 
-#include "bookkeeping/ledger.h"
-#include "sharing/demand.h"
+#include "rebalancing/demand.h"
+#include "storage/cluster_state.h"
 
 namespace fawnwheel::rebalancing {
 
@@ -42,9 +42,9 @@
     std::uint32_t partition = 0;  // that gives
     Recipient recipient;
     std::size_t mostChanges = 0;  // of one transaction
-    bookkeeping::SteadyTime now{};
-    bookkeeping::Duration minTenure{};  // least time that a partition keeps a machine
-    bookkeeping::Duration silent{};     // a heartbeat must not be older
+    storage::SteadyTime now{};
+    storage::Duration minTenure{};  // least time that a partition keeps a machine
+    storage::Duration silent{};     // a heartbeat must not be older
     bool busyMachines = true;
 };
 
@@ -52,16 +52,16 @@
 struct SliceHandover {
     std::string job;
     std::uint32_t slice = 0;
-    std::vector<bookkeeping::TaskRange> ranges;
+    std::vector<storage::TaskRange> ranges;
     std::size_t pieces = 1;  // that the slice becomes
 };
 
 struct Handover {
     std::vector<std::string> machines;
     std::vector<SliceHandover> slices;
-    std::vector<std::string> jobs;                       // that go as a whole, with their home
-    std::map<std::string, bookkeeping::Resources> used;  // by team
-    std::size_t writes = 0;                              // of machines, slices and jobs
+    std::vector<std::string> jobs;                   // that go as a whole, with their home
+    std::map<std::string, storage::Resources> used;  // by team
+    std::size_t writes = 0;                          // of machines, slices and jobs
 
     [[nodiscard]] std::size_t tasks() const;
 };
@@ -71,12 +71,12 @@
 // Whether the machine is kept for work that the recipient's does not precede. A gang that gathers
 // machines gives way to an earlier one of another partition: of two that each hold half of what
 // both need, one gets all.
-[[nodiscard]] bool keptForOthers(const bookkeeping::ClusterState& clusterState,
-                                 const bookkeeping::Machine& machine, const Recipient& recipient,
-                                 bookkeeping::SteadyTime now);
+[[nodiscard]] bool keptForOthers(const storage::ClusterState& clusterState,
+                                 const storage::Machine& machine, const Recipient& recipient,
+                                 storage::SteadyTime now);
 
 // All that goes with the machine.
-[[nodiscard]] HandoverPlan planHandover(bookkeeping::ClusterState& clusterState,
+[[nodiscard]] HandoverPlan planHandover(storage::ClusterState& clusterState,
                                         const std::string& machine, const HandoverRules& rules);
 
 }  // namespace fawnwheel::rebalancing
--- a/src/sharing/share_plan.cpp
+++ b/src/rebalancing/transfer_plan.cpp
@@ -1,4 +1,4 @@
-#include "sharing/share_plan.h"
+#include "rebalancing/transfer_plan.h"
 
 #include <algorithm>
 #include <cmath>
@@ -31,7 +31,7 @@
 
 // Of two partitions that both lack machines, each with some that the other could use, one has to
 // get the rest: giving to whoever asks, two controllers with a gang each once passed the same
-// machines to and fro (sharing_machines_fail).
+// machines to and fro (rebalancing_machines_fail).
 bool neededFirst(const PlanInput& input, const Supply& supply, const MachineDemand& machineDemand) {
     return std::any_of(
         input.machineDemands.begin(), input.machineDemands.end(), [&](const MachineDemand& own) {
--- a/src/sharing/share_plan.h
+++ b/src/rebalancing/transfer_plan.h
@@ -5,7 +5,7 @@
 #include <map>
 #include <optional>
 
-#include "sharing/demand.h"
+#include "rebalancing/demand.h"
 
 namespace fawnwheel::rebalancing {
 
--- a/src/bookkeeping/cancellations.cpp
+++ b/src/storage/cancellation_log.cpp
@@ -1,8 +1,8 @@
-#include "bookkeeping/cancellations.h"
+#include "storage/cancellation_log.h"
 
 #include <algorithm>
 
-namespace fawnwheel::bookkeeping {
+namespace fawnwheel::storage {
 
 bool CancellationLog::append(const std::string& job, std::uint64_t revision) {
     if (!known_.insert(job).second) return false;
@@ -31,4 +31,4 @@
     return extract;
 }
 
-}  // namespace fawnwheel::bookkeeping
+}  // namespace fawnwheel::storage
--- a/src/bookkeeping/cancellations.h
+++ b/src/storage/cancellation_log.h
@@ -11,7 +11,7 @@
 #include <unordered_set>
 #include <vector>
 
-namespace fawnwheel::bookkeeping {
+namespace fawnwheel::storage {
 
 class CancellationLog {
   public:
@@ -51,4 +51,4 @@
     std::uint64_t droppedRevision_ = 0;  // the latest of those dropped
 };
 
-}  // namespace fawnwheel::bookkeeping
+}  // namespace fawnwheel::storage
--- a/src/bookkeeping/ledger.cpp
+++ b/src/storage/cluster_state.cpp
@@ -1,10 +1,10 @@
-#include "bookkeeping/ledger.h"
+#include "storage/cluster_state.h"
 
 #include <algorithm>
 
-#include "bookkeeping/records.h"
+#include "storage/records.h"
 
-namespace fawnwheel::bookkeeping {
+namespace fawnwheel::storage {
 
 void GoneMachines::insert(const std::string& id) {
     if (!known_.insert(id).second) return;
@@ -302,4 +302,4 @@
     return total;
 }
 
-}  // namespace fawnwheel::bookkeeping
+}  // namespace fawnwheel::storage
--- a/src/bookkeeping/ledger.h
+++ b/src/storage/cluster_state.h
@@ -13,11 +13,11 @@
 #include <unordered_set>
 #include <vector>
 
-#include "bookkeeping/cancellations.h"
-#include "bookkeeping/dependencies.h"
-#include "bookkeeping/job.h"
+#include "storage/cancellation_log.h"
+#include "storage/dependency_graph.h"
+#include "storage/job.h"
 
-namespace fawnwheel::bookkeeping {
+namespace fawnwheel::storage {
 
 struct TaskRef {
     std::string job;
@@ -241,4 +241,4 @@
     std::map<std::string, std::map<std::uint32_t, std::uint32_t>> imageUse_;  // by partition
 };
 
-}  // namespace fawnwheel::bookkeeping
+}  // namespace fawnwheel::storage
--- a/src/bookkeeping/dependencies.cpp
+++ b/src/storage/dependency_graph.cpp
@@ -1,8 +1,8 @@
-#include "bookkeeping/dependencies.h"
+#include "storage/dependency_graph.h"
 
 #include <algorithm>
 
-namespace fawnwheel::bookkeeping {
+namespace fawnwheel::storage {
 
 bool DependencyGraph::stopped(const Job& job) {
     return job.cancelled || job.knownCancelled || job.dependencyCancelled;
@@ -149,4 +149,4 @@
     }
 }
 
-}  // namespace fawnwheel::bookkeeping
+}  // namespace fawnwheel::storage
--- a/src/bookkeeping/dependencies.h
+++ b/src/storage/dependency_graph.h
@@ -13,9 +13,9 @@
 #include <unordered_map>
 #include <vector>
 
-#include "bookkeeping/job.h"
+#include "storage/job.h"
 
-namespace fawnwheel::bookkeeping {
+namespace fawnwheel::storage {
 
 // What a terminal record says.
 struct TerminalState {
@@ -82,4 +82,4 @@
     std::set<std::string> unresolved_;
 };
 
-}  // namespace fawnwheel::bookkeeping
+}  // namespace fawnwheel::storage
--- a/src/bookkeeping/job.cpp
+++ b/src/storage/job.cpp
@@ -1,8 +1,8 @@
-#include "bookkeeping/job.h"
+#include "storage/job.h"
 
 #include <algorithm>
 
-namespace fawnwheel::bookkeeping {
+namespace fawnwheel::storage {
 
 namespace {
 
@@ -173,4 +173,4 @@
     return pieces;
 }
 
-}  // namespace fawnwheel::bookkeeping
+}  // namespace fawnwheel::storage
--- a/src/bookkeeping/job.h
+++ b/src/storage/job.h
@@ -11,7 +11,7 @@
 #include "protocol/messages.h"
 #include "transport/interfaces.h"
 
-namespace fawnwheel::bookkeeping {
+namespace fawnwheel::storage {
 
 using protocol::JobSpec;
 using protocol::Resources;
@@ -165,4 +165,4 @@
 std::vector<Slice> cutSlice(const Slice& slice, const std::vector<std::uint32_t>& cuts,
                             std::uint32_t nextIndex);
 
-}  // namespace fawnwheel::bookkeeping
+}  // namespace fawnwheel::storage
--- a/src/bookkeeping/records.cpp
+++ b/src/storage/records.cpp
@@ -1,10 +1,10 @@
-#include "bookkeeping/records.h"
+#include "storage/records.h"
 
 #include <algorithm>
 #include <charconv>
 #include <cmath>
 
-namespace fawnwheel::bookkeeping {
+namespace fawnwheel::storage {
 
 namespace {
 
@@ -433,4 +433,4 @@
     }
 }
 
-}  // namespace fawnwheel::bookkeeping
+}  // namespace fawnwheel::storage
--- a/src/bookkeeping/records.h
+++ b/src/storage/records.h
@@ -6,10 +6,10 @@
 
 #include <string>
 
-#include "bookkeeping/ledger.h"
 #include "protocol/state_client.h"
+#include "storage/cluster_state.h"
 
-namespace fawnwheel::bookkeeping {
+namespace fawnwheel::storage {
 
 using protocol::Json;
 
@@ -65,4 +65,4 @@
 // Notes that a machine's record names another partition, and nothing else of it.
 void recordDeparture(ClusterState& clusterState, const protocol::Event& event);
 
-}  // namespace fawnwheel::bookkeeping
+}  // namespace fawnwheel::storage
--- a/src/bookkeeping/guarded.h
+++ b/src/storage/synchronized.h
@@ -4,7 +4,7 @@
 
 #include <mutex>
 
-namespace fawnwheel::bookkeeping {
+namespace fawnwheel::storage {
 
 template <typename T>
 class Synchronized {
@@ -27,4 +27,4 @@
     std::recursive_mutex mutex_;
 };
 
-}  // namespace fawnwheel::bookkeeping
+}  // namespace fawnwheel::storage
--- a/tests/loopback/loopback_main.cpp
+++ b/tests/loopback/loopback_main.cpp
@@ -106,7 +106,7 @@
         bool keepLogs) {
     std::string directory = "/tmp/fawnwheel-loopback-XXXXXX";
     if (::mkdtemp(directory.data()) == nullptr) throw std::runtime_error("no directory in /tmp");
-    app::Team team;
+    config::Team team;
     team.name = "crew";
     team.cpusMax = machines * 32.0;
     loopback::Processes processes(
--- a/tests/loopback/processes.h
+++ b/tests/loopback/processes.h
@@ -17,7 +17,7 @@
     std::string directory;     // for settings and logs
     int nodes = 3;
     std::vector<std::string> zones;
-    std::vector<app::Team> teams;
+    std::vector<config::Team> teams;
     sim::Time lease{30};
     sim::Time cancel{60};
 };
--- a/tests/sim/checker.h
+++ b/tests/sim/checker.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "app/settings.h"
+#include "config/settings.h"
 #include "protocol/messages.h"
 
 namespace fawnwheel::sim {
@@ -24,7 +24,7 @@
 
 class Checker {
   public:
-    Checker(std::vector<app::Team> teams, Time cancelLimit)
+    Checker(std::vector<config::Team> teams, Time cancelLimit)
         : teams_(std::move(teams)), cancelLimit_(cancelLimit) {}
 
     // From the world: what truly happens.
@@ -107,7 +107,7 @@
     void checkPartlyPlaced(const std::string& id, JobTruth& job, Time at);
     void checkOrphaned(const std::string& id, const JobTruth& job, Time given);
 
-    std::vector<app::Team> teams_;
+    std::vector<config::Team> teams_;
     std::map<std::string, Time> unclaimedSince_;  // by task and machine
     Time cancelLimit_;
     Time quietSince_{};  // all troubles are over
--- a/tests/sim/scenario_main.cpp
+++ b/tests/sim/scenario_main.cpp
@@ -74,8 +74,8 @@
     spec.spread = line.has("spread");
     spec.spot = line.has("spot");
     spec.estimate = Time(line.number("runs", 10));
-    spec.checkpointInterval = Time(line.number("checkpoint", 0));
-    spec.checkpointDuration = Time(line.number("save", 1));
+    spec.checkpointInterval = Time(line.number("checkpoint-interval", 0));
+    spec.checkpointDuration = Time(line.number("checkpoint-duration", 1));
     if (line.has("deadline")) spec.deadline = Time(line.number("deadline"));
     if (line.has("after")) spec.dependencies = names(line.text("after"));
     return spec;
@@ -119,7 +119,7 @@
             if (word == "machines")
                 for (int i = 0; i < line.numberAt(3); ++i)
                     world.addMachine(line.at(1), line.at(2), line.has("spot"));
-            else if (word == "watch-moves")
+            else if (word == "watch-transfers")
                 world.checker().watchTransfers();
             else if (word == "end")
                 end = Time(line.numberAt(1));
@@ -140,10 +140,10 @@
         auto& rebalancing = spec.tuning.rebalancing;
         rebalancing.enabled = true;
         rebalancing.period = Time(line.number("period", rebalancing.period.count()));
-        rebalancing.minTenure = Time(line.number("hold", rebalancing.minTenure.count()));
+        rebalancing.minTenure = Time(line.number("min-tenure", rebalancing.minTenure.count()));
         rebalancing.low = line.number("low", rebalancing.low);
         rebalancing.high = line.number("high", rebalancing.high);
-        rebalancing.transfersPerMinute = line.number("moves", rebalancing.transfersPerMinute);
+        rebalancing.transfersPerMinute = line.number("transfers", rebalancing.transfersPerMinute);
         rebalancing.busyMachines = !line.has("idle-only");
         for (const auto& node : names(line.text("without")))
             spec.withoutRebalancing.insert(std::stoi(node));
@@ -166,9 +166,9 @@
         if (word == "next-limits")
             spec.nextLimits = {line.numberAt(1), static_cast<std::size_t>(line.numberAt(2))};
         if (word == "old-version") spec.oldVersion = true;
-        if (word == "sharing") describeRebalancing(spec, line);
+        if (word == "rebalancing") describeRebalancing(spec, line);
         if (word == "team") {
-            app::Team team;
+            config::Team team;
             team.name = line.at(1);
             team.cpusMax = line.number("cpus_max");
             team.gpusMax = line.number("gpus_max");
@@ -227,7 +227,7 @@
                                 Time(line.number("latest")), Time(line.number("for")));
         } else if (word == "cancel") {
             world.cancel(line.at(3));
-        } else if (word == "ask") {
+        } else if (word == "get-status") {
             world.getStatus(line.at(3));
         } else if (word == "kill") {
             world.kill(index(3), length(5));
@@ -258,13 +258,13 @@
             world.hang(machine(3), length(5));
         } else if (word == "die") {
             world.die(machine(3));
-        } else if (word == "notice") {
+        } else if (word == "interruption-notice") {
             world.sendInterruptionNotice(machine(3), length(4));
         } else if (word == "break") {
             world.breakMachine(machine(3));
-        } else if (word == "deaf") {
+        } else if (word == "drop-downstream") {
             world.dropDownstream(machine(3), length(5));
-        } else if (word == "copy-reports") {
+        } else if (word == "duplicate-heartbeats") {
             world.duplicateHeartbeats(line.numberAt(3), length(4));
         } else if (word == "repeat-requests") {
             world.repeatRequests(line.numberAt(3), length(4));
@@ -274,7 +274,7 @@
             world.pollStorm(line.numberAt(3), length(5));
         } else if (word == "slow-state") {
             world.slowState(length(3), length(5));
-        } else if (word == "mute") {
+        } else if (word == "drop-upstream") {
             world.dropUpstream(machine(3), length(5));
         } else if (word == "slow-links") {
             world.slowLinks(machine(3), length(4), length(6));
@@ -288,7 +288,7 @@
             world.randomTroubles(index(3), length(5));
         } else if (word == "cut-zone") {
             world.cutZone(line.at(3), length(5), line.has("hold"));
-        } else if (word == "part-zones") {
+        } else if (word == "separate-zones") {
             world.separateZones(line.at(3), line.at(4), length(6), line.has("hold"));
         } else if (word == "refuse-peers") {
             world.refusePeers(length(4));
@@ -307,11 +307,11 @@
 
     static void expect(sim::World& world, const Line& line, std::vector<std::string>& failures) {
         const auto& word = line.at(1);
-        if (word == "told") {
+        if (word == "status") {
             const auto told = world.lastTold(line.at(2));
             if (told != line.at(3))
                 failures.push_back(line.at(2) + " was told " + told + ", not " + line.at(3));
-        } else if (word == "told-by") {
+        } else if (word == "status-by") {
             const auto when = world.firstTold(line.at(2), line.at(3));
             if (!when || *when > Time(line.numberAt(4)))
                 failures.push_back(line.at(2) + " was not told " + line.at(3) + " by " +
@@ -319,10 +319,10 @@
         } else if (word == "starts-at-most") {
             if (static_cast<double>(world.checker().starts()) > line.numberAt(2))
                 failures.push_back(std::to_string(world.checker().starts()) + " starts");
-        } else if (word == "moves-at-least") {
+        } else if (word == "transfers-at-least") {
             if (static_cast<double>(world.machineTransfers()) < line.numberAt(2))
                 failures.push_back(std::to_string(world.machineTransfers()) + " machine moves");
-        } else if (word == "moves-at-most") {
+        } else if (word == "transfers-at-most") {
             if (static_cast<double>(world.machineTransfers()) > line.numberAt(2))
                 failures.push_back(std::to_string(world.machineTransfers()) + " machine moves");
         } else if (word == "starts-after-cancel-at-most") {
--- a/tests/sim/world.h
+++ b/tests/sim/world.h
@@ -80,8 +80,8 @@
     int nodes = 3;
     std::vector<std::string> zones{"a", "b"};
     std::vector<TypeSpec> types;
-    std::vector<app::Team> teams;
-    app::OperatorSettings tuning;
+    std::vector<config::Team> teams;
+    config::OperatorSettings tuning;
     std::set<int> withoutRebalancing;  // nodes whose operators have not turned it on
     Time lease{30};
     Time cancel{60};  // `cancel_s`
--- a/tests/sim/world_audit.cpp
+++ b/tests/sim/world_audit.cpp
@@ -1,8 +1,8 @@
 // Compares what is on the machines, what the records hold and what the nodes know.
 #include <spdlog/fmt/fmt.h>
 
-#include "bookkeeping/records.h"
 #include "sim/world_parts.h"
+#include "storage/records.h"
 
 namespace fawnwheel::sim {
 
@@ -34,7 +34,7 @@
     for (auto at = records_.lower_bound(slicePrefix);
          at != records_.end() && at->first.starts_with(slicePrefix); ++at) {
         const auto [job, index] = sliceOfKey(at->first);
-        const auto live = records_.find(bookkeeping::keys::job(job));
+        const auto live = records_.find(storage::keys::job(job));
         if (live == records_.end()) continue;
         const auto& value = at->second.value;
         const auto size = protocol::countOf(live->second.value, "slice", 1);
@@ -73,11 +73,11 @@
 
 void World::auditJob(const std::string& id) {
     // As a reader sees it that has nothing but the records.
-    bookkeeping::ClusterState fresh;
+    storage::ClusterState fresh;
     const auto apply = [&](const std::string& key, const Record& record) {
-        bookkeeping::applyEvent(fresh, {key, record.value, record.version}, {});
+        storage::applyEvent(fresh, {key, record.value, record.version}, {});
     };
-    apply(bookkeeping::keys::job(id), records_.at(bookkeeping::keys::job(id)));
+    apply(storage::keys::job(id), records_.at(storage::keys::job(id)));
     const auto prefix = slicePrefix + id + "/";
     for (auto at = records_.lower_bound(prefix);
          at != records_.end() && at->first.starts_with(prefix); ++at)
@@ -104,7 +104,7 @@
     for (auto at = records_.lower_bound(slicePrefix);
          at != records_.end() && at->first.starts_with(slicePrefix); ++at) {
         const auto job = sliceOfKey(at->first).first;
-        const auto final = records_.find(bookkeeping::keys::terminal(job));
+        const auto final = records_.find(storage::keys::terminal(job));
         if (final != records_.end() && now_ - final->second.changedAt > orphansDeleted)
             checker_.auditFailed(at->first + " has outlived its job");
     }
@@ -113,10 +113,10 @@
 void World::auditClusterState(Node& node) {
     auto clusterState = node.controller->clusterState().lock();
     for (const auto& [id, job] : clusterState->jobs) {
-        const auto live = records_.find(bookkeeping::keys::job(id));
+        const auto live = records_.find(storage::keys::job(id));
         if (live == records_.end() || now_ - live->second.changedAt < settled) continue;
         for (const auto& slice : job.slices)
-            if (slice.version > 0 && !records_.contains(bookkeeping::keys::slice(id, slice.index)))
+            if (slice.version > 0 && !records_.contains(storage::keys::slice(id, slice.index)))
                 checker_.auditFailed(
                     fmt::format("{}/{} of a live job has no record", id, slice.index));
     }
@@ -125,7 +125,7 @@
         if (now_ - at->second.changedAt < settled) continue;
         const auto [id, index] = sliceOfKey(at->first);
         const auto* job = clusterState->job(id);
-        const auto live = records_.find(bookkeeping::keys::job(id));
+        const auto live = records_.find(storage::keys::job(id));
         if (live == records_.end() || now_ - live->second.changedAt < settled) continue;
         if (job == nullptr || index >= job->slices.size()) {
             checker_.auditFailed(node.name + " does not know " + at->first);
@@ -135,10 +135,10 @@
         if (slice.version != at->second.version)
             checker_.auditFailed(fmt::format("{} has {} as of {}, not {}", node.name, at->first,
                                              slice.version, at->second.version));
-        else if (!slice.dirty && bookkeeping::sliceValue(slice) != at->second.value)
+        else if (!slice.dirty && storage::sliceValue(slice) != at->second.value)
             checker_.auditFailed(
                 fmt::format("{} has {} otherwise than recorded: {}, not {}", node.name, at->first,
-                            bookkeeping::sliceValue(slice).dump(), at->second.value.dump()));
+                            storage::sliceValue(slice).dump(), at->second.value.dump()));
     }
 }
 
--- a/tests/sim/world_parts.h
+++ b/tests/sim/world_parts.h
@@ -96,8 +96,8 @@
 
 struct World::Node {
     std::string name;
-    app::Settings settings;
-    app::OperatorSettings tuning;
+    config::Settings settings;
+    config::OperatorSettings tuning;
     bool oldVersion = false;
     std::shared_ptr<bool> alive;
     std::unique_ptr<NodeClock> clock;
--- a/tests/sim/world_state.cpp
+++ b/tests/sim/world_state.cpp
@@ -1,8 +1,8 @@
 // The stand-in for the state service.
 #include <algorithm>
 
-#include "bookkeeping/records.h"
 #include "sim/world_parts.h"
+#include "storage/records.h"
 
 namespace fawnwheel::sim {
 
@@ -88,7 +88,7 @@
 bool World::withinLimits(const Json& body) const {
     const auto& writes = protocol::listOf(body, wire::writes);
     const auto& compares = protocol::listOf(body, wire::compares);
-    const auto conditionsMost = limits_.writes * app::Settings::conditionsPerChange;
+    const auto conditionsMost = limits_.writes * config::Settings::conditionsPerChange;
     return writes.size() <= limits_.writes && compares.size() <= conditionsMost &&
            std::all_of(writes.begin(), writes.end(), [this](const Json& write) {
                const auto value = write.find(wire::value);
@@ -104,8 +104,8 @@
     Json kept = Json::array();
     for (const auto& write : protocol::listOf(body, wire::writes)) {
         const auto key = protocol::textOf(write, wire::put);
-        if (!key.starts_with(bookkeeping::keys::jobDependenciesGate({})) &&
-            !key.starts_with(bookkeeping::keys::machineTransfersGate({})))
+        if (!key.starts_with(storage::keys::jobDependenciesGate({})) &&
+            !key.starts_with(storage::keys::machineTransfersGate({})))
             kept.push_back(write);
     }
     body[wire::writes] = std::move(kept);
@@ -113,7 +113,7 @@
 }
 
 void World::recordMachineTransfers(const Json& writes) {
-    const auto prefix = bookkeeping::keys::machine({});
+    const auto prefix = storage::keys::machine({});
     const auto before = transferFigures_.moves;
     for (const auto& write : writes) {
         const auto key = protocol::textOf(write, wire::put);
--- a/tests/unit/settings_test.cpp
+++ b/tests/unit/config/settings_test.cpp
@@ -1,8 +1,8 @@
-#include "app/settings.h"
+#include "config/settings.h"
 
 #include <gtest/gtest.h>
 
-namespace fawnwheel::app {
+namespace fawnwheel::config {
 namespace {
 
 const std::string minimal = R"({"host_name": "n-1", "area": "a", "front": "1.2.3.4:1",
@@ -75,4 +75,4 @@
 }
 
 }  // namespace
-}  // namespace fawnwheel::app
+}  // namespace fawnwheel::config
--- a/tests/unit/submission_test.cpp
+++ b/tests/unit/coordination/api/admission_test.cpp
@@ -2,7 +2,7 @@
 #include <gtest/gtest.h>
 
 #include "protocol/names.h"
-#include "small_world.h"
+#include "sim/small_world.h"
 
 namespace fawnwheel::sim {
 namespace {
--- a/tests/unit/membership_test.cpp
+++ b/tests/unit/coordination/membership/membership_test.cpp
@@ -1,9 +1,9 @@
 // What a leader tells its peers of cancellations, and how long it answers workers without news of
 // them.
-#include "coordination/membership.h"
+#include "coordination/membership/membership.h"
 
+#include "coordination/replication/record_bench.h"
 #include "protocol/peer_codec.h"
-#include "record_bench.h"
 
 namespace fawnwheel::coordination {
 namespace {
--- a/tests/unit/machine_transfer_test.cpp
+++ b/tests/unit/coordination/migration/machine_transfers_test.cpp
@@ -1,18 +1,19 @@
 // Machines that change hands with their tasks: what goes together, and what the records hold when
 // the transaction is carried out, refused, late or without an answer.
-#include "coordination/machine_transfers.h"
-#include "coordination/placement.h"
-#include "record_bench.h"
+#include "coordination/migration/machine_transfers.h"
+
+#include "coordination/replication/record_bench.h"
+#include "coordination/scheduling/placement.h"
 
 namespace fawnwheel::coordination {
 namespace {
 
 using namespace std::chrono_literals;
-using bookkeeping::TaskRange;
-using bookkeeping::keys::job;
-using bookkeeping::keys::machine;
-using bookkeeping::keys::quota;
-using bookkeeping::keys::slice;
+using storage::TaskRange;
+using storage::keys::job;
+using storage::keys::machine;
+using storage::keys::quota;
+using storage::keys::slice;
 
 // Partition 0 of node 0 has machines m-1 and m-2, and its peer node 2 owns partition 2.
 class TransferBench : public RecordBench {
@@ -25,15 +26,14 @@
           transfers(context, pipeline, stateWriter.writer(), quotas, heartbeats) {
         settings_.teams = {{"t", 0, 0, 90, 0}};
         for (const auto* node : {"node-0", "node-1", "node-2"})
-            state.put(bookkeeping::keys::machineTransfersGate(node),
-                      bookkeeping::featureGateValue());
+            state.put(storage::keys::machineTransfersGate(node), storage::featureGateValue());
         for (const auto* id : {"m-1", "m-2"}) {
             Machine made;
             made.id = id;
             made.type = "large";
             made.zone = "a";
             made.partition = 0;
-            state.put(machine(id), bookkeeping::machineValue(made));
+            state.put(machine(id), storage::machineValue(made));
         }
     }
 
@@ -97,13 +97,13 @@
                                     [this](bool done) { given = done; }));
     }
     // What a reader knows that has nothing but the records.
-    void readRecords(bookkeeping::ClusterState& fresh) {
+    void readRecords(storage::ClusterState& fresh) {
         fresh.partitionCount = 3;
         for (const auto& [key, record] : state.records)
-            bookkeeping::applyEvent(fresh, {key, record.value, record.version}, context.now());
+            storage::applyEvent(fresh, {key, record.value, record.version}, context.now());
     }
     // A machine's leader holds all its tasks' slices.
-    void expectOneOwner(bookkeeping::ClusterState& clusterState) {
+    void expectOneOwner(storage::ClusterState& clusterState) {
         for (auto& [id, known] : clusterState.machines)
             for (const auto& ref : known.allocations)
                 EXPECT_EQ(clusterState.findAllocation(ref).slice->partition, known.partition)
@@ -130,7 +130,7 @@
     give("m-1");
     serveAll();
     EXPECT_EQ(given, true);
-    bookkeeping::ClusterState fresh;
+    storage::ClusterState fresh;
     readRecords(fresh);
     for (auto* clusterState : {&fresh, &*context.clusterState.lock()}) {
         EXPECT_EQ(clusterState->machine("m-1")->partition, 2U);
@@ -163,7 +163,7 @@
     EXPECT_EQ(given, true);
     EXPECT_EQ(coverInRecords("run-1"), std::vector<int>(8, 1));
     EXPECT_EQ(coverInClusterState("run-1"), std::vector<int>(8, 1));
-    bookkeeping::ClusterState fresh;
+    storage::ClusterState fresh;
     readRecords(fresh);
     EXPECT_EQ(fresh.machine("m-1")->allocations.size(), 2U);
     expectOneOwner(fresh);
@@ -175,7 +175,7 @@
     give("m-2");
     serveAll();
     EXPECT_EQ(given, true);
-    bookkeeping::ClusterState fresh;
+    storage::ClusterState fresh;
     readRecords(fresh);
     EXPECT_EQ(fresh.job("run-1")->partition, 2U);
     EXPECT_EQ(fresh.machine("m-1")->partition, 2U);
@@ -383,7 +383,7 @@
     }
     stateWriter.flush(0);
     serveAll();
-    bookkeeping::ClusterState fresh;
+    storage::ClusterState fresh;
     readRecords(fresh);
     Job& read = *fresh.job("run-1");
     EXPECT_TRUE(read.sliceOf(5)->done[5 - read.sliceOf(5)->first]);
@@ -405,8 +405,7 @@
                             with("part", nullptr), with("floor", "high"), with("from", 7),
                             with("lender", 9), with("type", nullptr), Json("m-1"), Json::array()}) {
         state.put(machine("m-1"), bad);
-        bookkeeping::applyEvent(*clusterState, {machine("m-1"), bad, state.revision},
-                                context.now());
+        storage::applyEvent(*clusterState, {machine("m-1"), bad, state.revision}, context.now());
         const Machine& known = *clusterState->machine("m-1");
         EXPECT_EQ(known.partition, 0U) << bad;
         EXPECT_EQ(known.type, "large") << bad;
@@ -415,8 +414,7 @@
         EXPECT_EQ(known.version, state.revision) << bad;
         EXPECT_TRUE(clusterState->corruptMachines.contains("m-1")) << bad;
     }
-    bookkeeping::applyEvent(*clusterState, {machine("m-1"), good, state.revision + 1},
-                            context.now());
+    storage::applyEvent(*clusterState, {machine("m-1"), good, state.revision + 1}, context.now());
     EXPECT_TRUE(clusterState->corruptMachines.empty());
 }
 
--- a/tests/unit/moves_test.cpp
+++ b/tests/unit/coordination/migration/work_migrator_test.cpp
@@ -1,4 +1,4 @@
-#include "coordination/moves.h"
+#include "coordination/migration/work_migrator.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/unit/record_bench.h
+++ b/tests/unit/coordination/replication/record_bench.h
@@ -7,10 +7,10 @@
 #include <list>
 #include <map>
 
-#include "bookkeeping/records.h"
-#include "coordination/recorder.h"
-#include "coordination/replica.h"
+#include "coordination/replication/replica.h"
+#include "coordination/replication/state_writer.h"
 #include "protocol/names.h"
+#include "storage/records.h"
 
 namespace fawnwheel::coordination {
 
@@ -193,8 +193,7 @@
           stateWriter(context, pipeline),
           replica(context) {
         for (const auto* node : {"node-0", "node-1", "node-2"})
-            state.put(bookkeeping::keys::jobDependenciesGate(node),
-                      bookkeeping::featureGateValue());
+            state.put(storage::keys::jobDependenciesGate(node), storage::featureGateValue());
         for (std::uint32_t partition = 0; partition < 3; ++partition)
             own(partition, partition < 2 ? "node-0" : "node-2", 1);
         replica.inFlight = [this](const std::string& key) { return pipeline.inFlight(key); };
@@ -202,8 +201,8 @@
         pipeline.onSettled = [this](const std::vector<std::string>& keys) { replica.settle(keys); };
     }
 
-    static app::Settings makeSettings(double valueKb, std::size_t writes) {
-        app::Settings made;
+    static config::Settings makeSettings(double valueKb, std::size_t writes) {
+        config::Settings made;
         made.name = "node-0";
         made.peers = {{"node-1", "a", ""}, {"node-2", "a", ""}};
         made.state = "state";
@@ -215,8 +214,8 @@
     }
 
     void own(std::uint32_t partition, const std::string& node, std::uint64_t term) {
-        state.put(bookkeeping::keys::partition(partition),
-                  bookkeeping::partitionValue(bookkeeping::Partition{node, term, 0}));
+        state.put(storage::keys::partition(partition),
+                  storage::partitionValue(storage::Partition{node, term, 0}));
     }
     static Job makeJob(std::uint32_t tasks, std::uint32_t sliceSize) {
         Job job;
@@ -227,7 +226,7 @@
         job.spec.each = {1, 0, 1};
         job.spec.image = "i";
         job.sliceSize = sliceSize;
-        job.slices = bookkeeping::makeSlices(job.spec, sliceSize, 0);
+        job.slices = storage::makeSlices(job.spec, sliceSize, 0);
         return job;
     }
     static Allocation makeAllocation(std::uint32_t task, const std::string& machine,
@@ -239,18 +238,16 @@
         return allocation;
     }
     void putJob(const Job& job) {
-        state.put(bookkeeping::keys::job(job.spec.id), bookkeeping::jobValue(job));
+        state.put(storage::keys::job(job.spec.id), storage::jobValue(job));
     }
     void putSlice(const Job& job, const Slice& slice) {
-        state.put(bookkeeping::keys::slice(job.spec.id, slice.index),
-                  bookkeeping::sliceValue(slice));
+        state.put(storage::keys::slice(job.spec.id, slice.index), storage::sliceValue(slice));
     }
     // Takes the records in as they stand.
     void load() {
         auto clusterState = context.clusterState.lock();
         for (const auto& [key, record] : state.records)
-            bookkeeping::applyEvent(*clusterState, {key, record.value, record.version},
-                                    context.now());
+            storage::applyEvent(*clusterState, {key, record.value, record.version}, context.now());
         clusterState->applied = state.revision;
     }
     // Answers all that waits, as often as something new waits; follows only if they bring
@@ -282,9 +279,9 @@
     }
     // The same by the records, for a reader that has nothing else.
     std::vector<int> coverInRecords(const std::string& id) {
-        bookkeeping::ClusterState fresh;
+        storage::ClusterState fresh;
         for (const auto& [key, record] : state.records)
-            bookkeeping::applyEvent(fresh, {key, record.value, record.version}, context.now());
+            storage::applyEvent(fresh, {key, record.value, record.version}, context.now());
         const Job* job = fresh.job(id);
         if (job == nullptr) return {};
         std::vector<int> cover(job->spec.tasks, 0);
@@ -301,8 +298,8 @@
 
     ManualTimers timers;
     ManualState state;
-    app::OperatorSettings operators_;
-    app::Settings settings_;
+    config::OperatorSettings operators_;
+    config::Settings settings_;
     Context context;
     TransactionPipeline pipeline;
     StateWriter stateWriter;
--- a/tests/unit/recorder_test.cpp
+++ b/tests/unit/coordination/replication/state_writer_test.cpp
@@ -1,12 +1,12 @@
 // What a leader's records hold after its transactions were refused, lost, late or overtaken.
-#include "record_bench.h"
+#include "coordination/replication/record_bench.h"
 
 namespace fawnwheel::coordination {
 namespace {
 
-using bookkeeping::keys::job;
-using bookkeeping::keys::partition;
-using bookkeeping::keys::slice;
+using storage::keys::job;
+using storage::keys::partition;
+using storage::keys::slice;
 
 bool allOnce(const std::vector<int>& cover) {
     return !cover.empty() &&
@@ -119,7 +119,7 @@
     timers.advance(std::chrono::milliseconds(20));
     const auto division = state.nextTransaction();
     // Of the keys before it, the divided slice's is the last of the first page.
-    const auto before = std::distance(state.records.upper_bound(bookkeeping::keys::activePrefix),
+    const auto before = std::distance(state.records.upper_bound(storage::keys::activePrefix),
                                       state.records.upper_bound(slice("run-1", 0)));
     state.pageSize = static_cast<std::size_t>(before);
     replica.resync();
@@ -214,7 +214,7 @@
     const auto& record = state.records.at(job("run-1"));
     {
         auto clusterState = context.clusterState.lock();
-        bookkeeping::applyEvent(*clusterState, {job("run-1"), record.value, record.version}, {});
+        storage::applyEvent(*clusterState, {job("run-1"), record.value, record.version}, {});
         clusterState->applied = state.revision;
     }
     stateWriter.flush(0);
@@ -242,8 +242,8 @@
     own(0, "node-1", 2);
     own(0, "node-0", 3);
     const auto& latest = state.records.at(partition(0));
-    bookkeeping::applyEvent(*context.clusterState.lock(),
-                            {partition(0), latest.value, latest.version}, {});
+    storage::applyEvent(*context.clusterState.lock(), {partition(0), latest.value, latest.version},
+                        {});
     serveAll();
     EXPECT_EQ(state.records.at(slice("run-1", 0)).value["claims"].size(), 1U);
     EXPECT_EQ(context.clusterState.lock()->job("run-1")->allocatedTasks(), 1U);
--- a/tests/unit/failures_test.cpp
+++ b/tests/unit/coordination/workers/fault_attribution_test.cpp
@@ -1,9 +1,9 @@
 // Jobs with a mistake told apart from faulty machines, and what is kept of it in the records.
 #include <gtest/gtest.h>
 
-#include "bookkeeping/records.h"
+#include "storage/records.h"
 
-namespace fawnwheel::bookkeeping {
+namespace fawnwheel::storage {
 namespace {
 
 using std::chrono::seconds;
@@ -86,4 +86,4 @@
 }
 
 }  // namespace
-}  // namespace fawnwheel::bookkeeping
+}  // namespace fawnwheel::storage
--- a/tests/unit/sharing_plan_test.cpp
+++ b/tests/unit/rebalancing/transfer_plan_test.cpp
@@ -1,10 +1,11 @@
 // Which machines should change hands: averaged demands, and the plan by flow beside the greedy one.
+#include "rebalancing/transfer_plan.h"
+
 #include <gtest/gtest.h>
 
 #include <random>
 
-#include "sharing/move_budget.h"
-#include "sharing/share_plan.h"
+#include "rebalancing/transfer_rate_limiter.h"
 
 namespace fawnwheel::rebalancing {
 namespace {
--- a/tests/unit/audit_test.cpp
+++ b/tests/unit/sim/audit_test.cpp
@@ -1,7 +1,7 @@
 // The audit of records, cluster states and machines must find what is planted.
 #include <gtest/gtest.h>
 
-#include "small_world.h"
+#include "sim/small_world.h"
 
 namespace fawnwheel::sim {
 namespace {
--- a/tests/unit/history_digest_test.cpp
+++ b/tests/unit/sim/history_digest_test.cpp
@@ -17,7 +17,7 @@
     type.type.fetchRate = 1;
     type.type.bootTime = Time(20);
     spec.types.push_back(type);
-    app::Team team;
+    config::Team team;
     team.name = "crew";
     spec.teams.push_back(team);
     World world(spec);
--- a/tests/unit/dependencies_test.cpp
+++ b/tests/unit/storage/dependency_graph_test.cpp
@@ -1,10 +1,10 @@
-#include "bookkeeping/dependencies.h"
+#include "storage/dependency_graph.h"
 
 #include <gtest/gtest.h>
 
-#include "bookkeeping/ledger.h"
+#include "storage/cluster_state.h"
 
-namespace fawnwheel::bookkeeping {
+namespace fawnwheel::storage {
 namespace {
 
 using protocol::Priority;
@@ -148,4 +148,4 @@
 }
 
 }  // namespace
-}  // namespace fawnwheel::bookkeeping
+}  // namespace fawnwheel::storage
--- a/tests/unit/records_test.cpp
+++ b/tests/unit/storage/records_test.cpp
@@ -1,8 +1,8 @@
-#include "bookkeeping/records.h"
+#include "storage/records.h"
 
 #include <gtest/gtest.h>
 
-namespace fawnwheel::bookkeeping {
+namespace fawnwheel::storage {
 namespace {
 
 class Records : public ::testing::Test {
@@ -305,4 +305,4 @@
 }
 
 }  // namespace
-}  // namespace fawnwheel::bookkeeping
+}  // namespace fawnwheel::storage
--- a/tests/unit/shared_formats_test.cpp
+++ b/tests/unit/storage/shared_formats_test.cpp
@@ -3,10 +3,10 @@
 // version. A test here that fails means that the two no longer understand each other.
 #include <gtest/gtest.h>
 
-#include "bookkeeping/records.h"
 #include "protocol/peer_codec.h"
+#include "storage/records.h"
 
-namespace fawnwheel::bookkeeping {
+namespace fawnwheel::storage {
 namespace {
 
 constexpr auto jobText =
@@ -179,4 +179,4 @@
 }
 
 }  // namespace
-}  // namespace fawnwheel::bookkeeping
+}  // namespace fawnwheel::storage
