--- a/src/coordination/api/admission.cpp
+++ b/src/coordination/api/admission.cpp
@@ -19,12 +19,10 @@
 
 constexpr int maxTries = 4;
 constexpr int retryAfterSeconds = 1;
-constexpr double tolerance = 3.0;  // times the fastest
-constexpr double slackSeconds = 0.1;
 constexpr double quotaTolerance = 1e-9;
-constexpr std::size_t ownConditions = 2;  // of a job that is created
+constexpr std::size_t ownCompares = 2;  // of a job that is created
 
-HttpResponse later() {
+HttpResponse unavailable() {
     return {503, {}, retryAfterSeconds};
 }
 
@@ -34,36 +32,29 @@
 
 }  // namespace
 
-void ConcurrencyLimiter::end(Duration took) {
-    const double seconds = Seconds(took).count();
-    fastest_ = fastest_ <= 0 ? seconds : std::min(fastest_ * 1.002, seconds);
-    if (seconds > fastest_ * tolerance + slackSeconds)
-        limit_ = std::max(least, limit_ * 0.95);
-    else if (static_cast<double>(active_) > limit_ / 2)
-        limit_ = std::min(most, limit_ + 1);
-    if (active_ > 0) --active_;
+HttpReply Admission::limited(ConcurrencyLimiter& limiter, HttpReply reply) {
+    limiter.begin();
+    return
+        [this, &limiter, began = context_.now(), reply = std::move(reply)](HttpResponse response) {
+            limiter.end(context_.now() - began);
+            reply(std::move(response));
+        };
 }
 
-HttpReply Admission::limited(ConcurrencyLimiter& limit, HttpReply reply) {
-    limit.begin();
-    return [this, &limit, began = context_.now(), reply = std::move(reply)](HttpResponse response) {
-        limit.end(context_.now() - began);
-        reply(std::move(response));
-    };
+bool Admission::fitsSomeType(const protocol::JobSpec& spec) const {
+    return std::any_of(
+        context_.catalog.begin(), context_.catalog.end(), [&spec](const MachineType& type) {
+            const bool zoneKnown = !spec.zone || std::find(type.zones.begin(), type.zones.end(),
+                                                           *spec.zone) != type.zones.end();
+            return zoneKnown && Placement::typeAllowed(spec, type, spec.zone.value_or(""), false);
+        });
 }
 
 std::optional<HttpResponse> Admission::check(const protocol::JobSpec& spec) const {
     const auto* team = context_.team(spec.team);
     if (team == nullptr && !context_.settings.teams.empty()) return HttpResponse{422, {}, 0};
-    if (context_.catalog.empty()) return later();
-    bool fits = false;
-    for (const auto& type : context_.catalog) {
-        const bool zoneKnown = !spec.zone || std::find(type.zones.begin(), type.zones.end(),
-                                                       *spec.zone) != type.zones.end();
-        fits = fits ||
-               (zoneKnown && Placement::typeAllowed(spec, type, spec.zone.value_or(""), false));
-    }
-    if (!fits) return HttpResponse{422, {}, 0};
+    if (context_.catalog.empty()) return unavailable();
+    if (!fitsSomeType(spec)) return HttpResponse{422, {}, 0};
     if (team != nullptr) {
         const double at = spec.kind == protocol::JobKind::array ? 1 : spec.tasks;
         if ((team->cpusMax > 0 && spec.each.cpus * at > team->cpusMax + quotaTolerance) ||
@@ -87,7 +78,7 @@
     Job job = newJob(spec);
     job.partition = context_.partitionCount();
     return storage::jobValue(job).dump().size() <= context_.settings.valueBytes() &&
-           spec.dependencies.size() + ownConditions <= context_.settings.transactionConditions();
+           spec.dependencies.size() + ownCompares <= context_.settings.transactionConditions();
 }
 
 void Admission::submit(const std::string& body, HttpReply reply) {
@@ -96,29 +87,31 @@
     auto parsed = protocol::parseJobSpec(*map);
     if (!std::holds_alternative<protocol::JobSpec>(parsed)) return reply({400, {}, 0});
     auto& spec = std::get<protocol::JobSpec>(parsed);
-    if (const auto final = statusReader_.knownTerminal(spec.id))
-        return reply(stateOf(spec.id, *final, true));
+    if (const auto terminal = statusReader_.knownTerminal(spec.id))
+        return reply(stateOf(spec.id, *terminal, true));
     if (!recordable(spec)) return reply({400, {}, 0});
     // Answered at once when we can't take it: the user is told when to come again.
-    if (!synced() || !context_.state.reachable() || submissions_.full()) return reply(later());
+    if (!replica_.synced() || !context_.state.reachable() || submissions_.full())
+        return reply(unavailable());
     reply = limited(submissions_, std::move(reply));
     // A job that was accepted once is known, whatever the catalog or the teams say by now.
-    if (context_.clusterState.lock()->job(spec.id) != nullptr) return tellKnown(spec.id, reply);
+    if (context_.clusterState.lock()->job(spec.id) != nullptr) return respondKnown(spec.id, reply);
     if (auto refusal = check(spec))
         return statusReader_.find(spec.id, ReadPurpose::decision,
                                   [this, id = spec.id, refusal, reply](JobStatus status) {
-                                      if (status == JobStatus::noAnswer) return reply(later());
+                                      if (status == JobStatus::noAnswer)
+                                          return reply(unavailable());
                                       if (status == JobStatus::unknownJob) return reply(*refusal);
-                                      tell(id, status, true, reply);
+                                      respond(id, status, true, reply);
                                   });
     accept(std::make_shared<Submission>(
         Submission{std::move(spec), std::move(reply), 0, std::map<std::string, bool>{}}));
 }
 
-void Admission::tellKnown(const std::string& id, const HttpReply& reply) {
+void Admission::respondKnown(const std::string& id, const HttpReply& reply) {
     statusReader_.find(id, ReadPurpose::decision, [this, id, reply](JobStatus status) {
-        if (status == JobStatus::unknownJob) return reply(later());
-        tell(id, status, true, reply);
+        if (status == JobStatus::unknownJob) return reply(unavailable());
+        respond(id, status, true, reply);
     });
 }
 
@@ -127,35 +120,40 @@
     Judgement judgement;
     // While a node of the version before may come back, nobody would keep the order for sure.
     if (!submission.spec.dependencies.empty() && !context_.jobDependenciesEnabled(clusterState))
-        judgement.refusal = later();
-    for (const auto& id : submission.spec.dependencies) {
-        if (const auto final = submission.terminals.find(id); final != submission.terminals.end()) {
-            judgement.cancelled = judgement.cancelled || final->second;
-            continue;
-        }
-        if (const auto final = statusReader_.knownTerminal(id)) {
-            judgement.cancelled = judgement.cancelled || final == JobStatus::terminalCancelled;
-            continue;
-        }
-        const Job* live = clusterState.job(id);
-        if (live == nullptr) {
-            judgement.unknown.push_back(id);
-            continue;
-        }
-        // A service never ends; and who needs a cancelled job is cancelled first.
-        if (live->spec.kind == protocol::JobKind::service)
-            judgement.refusal = HttpResponse{422, {}, 0};
-        else if (!live->cancelled &&
-                 (live->dependencyCancelled || clusterState.knownCancelled(*live)))
-            judgement.refusal = later();
-        judgement.cancelled = judgement.cancelled || live->cancelled;
-        judgement.compares.push_back({storage::keys::job(id), live->version});
-    }
+        judgement.refusal = unavailable();
+    for (const auto& id : submission.spec.dependencies)
+        judgeDependency(clusterState, submission, id, judgement);
     return judgement;
 }
 
+void Admission::judgeDependency(ClusterState& clusterState, const Submission& submission,
+                                const std::string& id, Judgement& judgement) const {
+    if (const auto terminal = submission.terminals.find(id);
+        terminal != submission.terminals.end()) {
+        judgement.cancelled = judgement.cancelled || terminal->second;
+        return;
+    }
+    if (const auto terminal = statusReader_.knownTerminal(id)) {
+        judgement.cancelled = judgement.cancelled || terminal == JobStatus::terminalCancelled;
+        return;
+    }
+    const Job* active = clusterState.job(id);
+    if (active == nullptr) {
+        judgement.unknown.push_back(id);
+        return;
+    }
+    // A service never ends; and who needs a cancelled job is cancelled first.
+    if (active->spec.kind == protocol::JobKind::service)
+        judgement.refusal = HttpResponse{422, {}, 0};
+    else if (!active->cancelled &&
+             (active->dependencyCancelled || clusterState.knownCancelled(*active)))
+        judgement.refusal = unavailable();
+    judgement.cancelled = judgement.cancelled || active->cancelled;
+    judgement.compares.push_back({storage::keys::job(id), active->version});
+}
+
 void Admission::accept(const SubmissionPtr& submission) {
-    if (submission->tries++ >= maxTries) return submission->reply(later());
+    if (submission->tries++ >= maxTries) return submission->reply(unavailable());
     const auto judgement = judge(*context_.clusterState.lock(), *submission);
     if (judgement.refusal) return submission->reply(*judgement.refusal);
     if (!judgement.unknown.empty()) return lookUp(submission, judgement.unknown);
@@ -167,22 +165,23 @@
 
 void Admission::lookUp(const SubmissionPtr& submission,
                        const std::vector<std::string>& dependencies) {
-    struct Collection {
+    struct PendingReads {
         std::size_t left = 0;
         std::optional<HttpResponse> refusal;
     };
-    auto collect = std::make_shared<Collection>();
-    collect->left = dependencies.size();
+    auto pending = std::make_shared<PendingReads>();
+    pending->left = dependencies.size();
     for (const auto& id : dependencies)
         statusReader_.find(
-            id, ReadPurpose::decision, [this, submission, collect, id](JobStatus status) {
+            id, ReadPurpose::decision, [this, submission, pending, id](JobStatus status) {
                 if (status == JobStatus::terminalDone || status == JobStatus::terminalCancelled)
                     submission->terminals[id] = status == JobStatus::terminalCancelled;
                 // Only the state service itself can say that a job was never accepted.
-                if (status == JobStatus::unknownJob) collect->refusal = HttpResponse{422, {}, 0};
-                if (status == JobStatus::noAnswer && !collect->refusal) collect->refusal = later();
-                if (--collect->left > 0) return;
-                if (collect->refusal) return submission->reply(*collect->refusal);
+                if (status == JobStatus::unknownJob) pending->refusal = HttpResponse{422, {}, 0};
+                if (status == JobStatus::noAnswer && !pending->refusal)
+                    pending->refusal = unavailable();
+                if (--pending->left > 0) return;
+                if (pending->refusal) return submission->reply(*pending->refusal);
                 accept(submission);
             });
 }
@@ -194,7 +193,7 @@
     const auto key = storage::keys::job(spec.id);
     const auto value = storage::jobValue(job);
     // Also if this is carried out late it can't revive a job: its end is a record as well. Nor can
-    // it follow a job that has been called off or has ended meanwhile: that changes its live
+    // it follow a job that has been called off or has ended meanwhile: that changes its active
     // record.
     protocol::CompareAndSwap transaction{judgement.compares, {{key, value, 0}}};
     transaction.compares.push_back({key, 0});
@@ -203,31 +202,31 @@
         std::move(transaction), protocol::RequestPriority::userRequest,
         [this, submission, key, value](const protocol::CompareAndSwapResponse& answer) {
             if (answer.result == StateResult::refused) return onRefused(submission, answer);
-            if (answer.result != StateResult::ok) return submission->reply(later());
+            if (answer.result != StateResult::ok) return submission->reply(unavailable());
             {
                 auto clusterState = context_.clusterState.lock();
                 storage::applyEvent(*clusterState, {key, value, answer.revision}, context_.now());
             }
             submission->reply(ok(
                 protocol::encodeJobState(submission->spec.id, protocol::wire::stateQueued), 201));
-            onAccepted();
+            observer_.onJobAccepted();
         });
 }
 
 void Admission::createCancelled(const SubmissionPtr& submission, const Judgement& judgement) {
     // It is accepted all the same, and ends there and then.
     const auto& id = submission->spec.id;
-    const auto final = storage::keys::terminal(id);
+    const auto terminal = storage::keys::terminal(id);
     protocol::CompareAndSwap transaction{
         judgement.compares,
-        {{final, storage::terminalValue({true, context_.timers.wallNow()}), 0}}};
+        {{terminal, storage::terminalValue({true, context_.timers.wallNow()}), 0}}};
     transaction.compares.push_back({storage::keys::job(id), 0});
-    transaction.compares.push_back({final, 0});
+    transaction.compares.push_back({terminal, 0});
     context_.state.transact(
         std::move(transaction), protocol::RequestPriority::userRequest,
         [this, submission](const protocol::CompareAndSwapResponse& answer) {
             if (answer.result == StateResult::refused) return onRefused(submission, answer);
-            if (answer.result != StateResult::ok) return submission->reply(later());
+            if (answer.result != StateResult::ok) return submission->reply(unavailable());
             statusReader_.recordTerminal(submission->spec.id, true);
             submission->reply(
                 ok(protocol::encodeJobState(submission->spec.id, protocol::wire::stateCancelled),
@@ -238,14 +237,14 @@
 void Admission::onRefused(const SubmissionPtr& submission,
                           const protocol::CompareAndSwapResponse& answer) {
     const auto& id = submission->spec.id;
-    std::vector<std::string> moved;  // dependencies whose records have changed
+    std::vector<std::string> changed;  // dependencies whose records are others by now
     for (const auto& dependency : submission->spec.dependencies)
         if (std::find(answer.failed.begin(), answer.failed.end(), storage::keys::job(dependency)) !=
             answer.failed.end())
-            moved.push_back(dependency);
-    const auto failedOwn = answer.failed.size() > moved.size();
-    if (failedOwn || moved.empty()) return tellKnown(id, submission->reply);
-    lookUp(submission, moved);
+            changed.push_back(dependency);
+    const auto failedOwn = answer.failed.size() > changed.size();
+    if (failedOwn || changed.empty()) return respondKnown(id, submission->reply);
+    lookUp(submission, changed);
 }
 
 HttpResponse Admission::stateOf(const std::string& id, JobStatus status, bool brief) {
@@ -257,7 +256,7 @@
         case JobStatus::unknownJob:
             return {404, {}, 0};
         case JobStatus::noAnswer:
-            return later();
+            return unavailable();
         case JobStatus::terminalDone:
             state = wire::stateDone;
             break;
@@ -278,41 +277,43 @@
                     : protocol::encodeJobState(id, state, done, running));
 }
 
-void Admission::tell(const std::string& id, JobStatus status, bool brief, const HttpReply& reply) {
+void Admission::respond(const std::string& id, JobStatus status, bool brief,
+                        const HttpReply& reply) {
     auto answer = stateOf(id, status, brief);
     if (status != JobStatus::cancelled) return reply(std::move(answer));
     // Also where it was read only: the transaction may have been carried out late, unanswered, and
     // this is then the first that anybody is told of it.
-    onCancelled([reply, answer = std::move(answer)] { reply(answer); });
+    observer_.onJobCancelled([reply, answer = std::move(answer)] { reply(answer); });
 }
 
 void Admission::getStatus(const std::string& id, HttpReply reply) {
     if (!protocol::validJobId(id)) return reply({404, {}, 0});
-    if (const auto final = statusReader_.knownTerminal(id))
-        return reply(stateOf(id, *final, false));
-    if (!synced() || statusRequests_.full()) return reply(later());
+    if (const auto terminal = statusReader_.knownTerminal(id))
+        return reply(stateOf(id, *terminal, false));
+    if (!replica_.synced() || statusRequests_.full()) return reply(unavailable());
     reply = limited(statusRequests_, std::move(reply));
     statusReader_.find(id, ReadPurpose::statusRequest,
-                       [this, id, reply](JobStatus status) { tell(id, status, false, reply); });
+                       [this, id, reply](JobStatus status) { respond(id, status, false, reply); });
 }
 
 void Admission::cancel(const std::string& id, HttpReply reply) {
     if (!protocol::validJobId(id)) return reply({404, {}, 0});
-    if (const auto final = statusReader_.knownTerminal(id)) return reply(stateOf(id, *final, true));
-    if (!synced() || cancellations_.full()) return reply(later());
+    if (const auto terminal = statusReader_.knownTerminal(id))
+        return reply(stateOf(id, *terminal, true));
+    if (!replica_.synced() || cancellations_.full()) return reply(unavailable());
     tryCancel(id, 0, limited(cancellations_, std::move(reply)));
 }
 
 void Admission::tryCancel(const std::string& id, int tries, const HttpReply& reply) {
     statusReader_.find(id, ReadPurpose::decision, [this, id, tries, reply](JobStatus status) {
-        if (status != JobStatus::active) return tell(id, status, true, reply);
+        if (status != JobStatus::active) return respond(id, status, true, reply);
         protocol::CompareAndSwap transaction;
         protocol::Json value;
         const auto key = storage::keys::job(id);
         {
             auto clusterState = context_.clusterState.lock();
             const Job* job = clusterState->job(id);
-            if (job == nullptr) return reply(later());
+            if (job == nullptr) return reply(unavailable());
             Job next = *job;
             next.cancelled = true;
             value = storage::jobValue(next);
@@ -323,14 +324,14 @@
             [this, id, key, value, tries, reply](const protocol::CompareAndSwapResponse& answer) {
                 if (answer.result == StateResult::refused && tries + 1 < maxTries)
                     return tryCancel(id, tries + 1, reply);
-                if (answer.result != StateResult::ok) return reply(later());
+                if (answer.result != StateResult::ok) return reply(unavailable());
                 {
                     auto clusterState = context_.clusterState.lock();
                     storage::applyEvent(*clusterState, {key, value, answer.revision},
                                         context_.now());
                 }
-                spdlog::debug("job {}: cancelled by its user", id);
-                tell(id, JobStatus::cancelled, true, reply);
+                spdlog::debug("admission: job_cancelled job={}", id);
+                respond(id, JobStatus::cancelled, true, reply);
             });
     });
 }
--- a/src/coordination/api/admission.h
+++ b/src/coordination/api/admission.h
@@ -1,49 +1,60 @@
-// Users' requests: submissions, questions and cancellations. Any node serves any job; every
-// answer rests on the state service at the time of the request, so that none is older than
-// another node's.
+/// @file
+/// Users' requests: submissions, status requests and cancellations.
+///
+/// Any node serves any job. Every response rests on the state service at the time of the request,
+/// so that none is older than another node's.
 #pragma once
 
+#include <map>
+#include <memory>
+#include <optional>
+#include <string>
+#include <vector>
+
+#include "coordination/api/concurrency_limiter.h"
 #include "coordination/api/job_status_reader.h"
-#include "coordination/membership/membership.h"
 #include "coordination/migration/work_migrator.h"
+#include "coordination/replication/replica.h"
 
 namespace fawnwheel::coordination {
 
-// How many requests may be in progress: grows while answers come fast, shrinks when they slow
-// down beside the fastest seen lately.
-class ConcurrencyLimiter {
+/// Learns what users' requests have changed.
+class AdmissionObserver {
   public:
-    [[nodiscard]] bool full() const { return static_cast<double>(active_) >= limit_; }
-    void begin() { ++active_; }
-    void end(Duration took);
-    [[nodiscard]] double limit() const { return limit_; }
-
-  private:
-    static constexpr double least = 16;
-    static constexpr double most = 512;
+    AdmissionObserver() = default;
+    AdmissionObserver(const AdmissionObserver&) = delete;
+    AdmissionObserver& operator=(const AdmissionObserver&) = delete;
+    virtual ~AdmissionObserver() = default;
 
-    std::size_t active_ = 0;
-    double limit_ = 64;
-    double fastest_ = 0;  // seconds, forgets slowly
+    /// A job's record has been written.
+    virtual void onJobAccepted() = 0;
+    /// A cancellation is durable. The user is answered by `respond`, to be called exactly once,
+    /// when the peers have been told.
+    virtual void onJobCancelled(std::function<void()> respond) = 0;
 };
 
+/// Handles users' requests. Each reply is called exactly once, now or later.
 class Admission {
   public:
-    Admission(Context& context, JobStatusReader& statusReader, WorkMigrator& migrator)
-        : context_(context), statusReader_(statusReader), migrator_(migrator) {}
+    Admission(Context& context, const Replica& replica, JobStatusReader& statusReader,
+              WorkMigrator& migrator, AdmissionObserver& observer)
+        : context_(context),
+          replica_(replica),
+          statusReader_(statusReader),
+          migrator_(migrator),
+          observer_(observer) {}
 
+    /// POST of a job, CBOR. 201 when its record is written, 200 when it was known, 400 when
+    /// malformed, 422 when it can never run, 503 with a time to retry when nothing can be decided
+    /// now.
     void submit(const std::string& body, transport::HttpReply reply);
+    /// GET of a job's state: 200, 404 when it was never accepted, 503 when nothing can be told now.
     void getStatus(const std::string& id, transport::HttpReply reply);
+    /// Cancels a job: 200 with its state once the cancellation is durable, 404, or 503.
     void cancel(const std::string& id, transport::HttpReply reply);
 
-    std::function<bool()> synced = [] { return false; };
-    // A cancellation is durable; `then` answers a user.
-    std::function<void(std::function<void()> then)> onCancelled =
-        [](const std::function<void()>& then) { then(); };
-    std::function<void()> onAccepted = [] {};
-
   private:
-    // A submission that may have to be judged more than once.
+    /// A submission that may have to be judged more than once.
     struct Submission {
         protocol::JobSpec spec;
         transport::HttpReply reply;
@@ -51,7 +62,7 @@
         std::map<std::string, bool> terminals;  // dependencies that have ended; cancelled?
     };
     using SubmissionPtr = std::shared_ptr<Submission>;
-    // What is known of a submission's dependencies.
+    /// What is known of a submission's dependencies.
     struct Judgement {
         std::vector<std::string> unknown;         // to be looked up
         std::vector<protocol::Compare> compares;  // active records as they were judged
@@ -61,28 +72,40 @@
 
     [[nodiscard]] transport::HttpResponse stateOf(const std::string& id, JobStatus status,
                                                   bool brief);
-    void tell(const std::string& id, JobStatus status, bool brief,
-              const transport::HttpReply& reply);
-    void tellKnown(const std::string& id, const transport::HttpReply& reply);
+    void respond(const std::string& id, JobStatus status, bool brief,
+                 const transport::HttpReply& reply);
+    /// For a job whose record exists: reads its state before answering.
+    void respondKnown(const std::string& id, const transport::HttpReply& reply);
     void tryCancel(const std::string& id, int tries, const transport::HttpReply& reply);
-    [[nodiscard]] transport::HttpReply limited(ConcurrencyLimiter& limit,
+    /// The reply, counted in the limiter from now until it is called.
+    [[nodiscard]] transport::HttpReply limited(ConcurrencyLimiter& limiter,
                                                transport::HttpReply reply);
+    /// Why the job can't be accepted by what is known of teams and machine types; none: it can.
     [[nodiscard]] std::optional<transport::HttpResponse> check(const protocol::JobSpec& spec) const;
-    // Whether the job's record, and the conditions for creating it, are within the limits.
+    /// Whether any machine type could run one of its tasks.
+    [[nodiscard]] bool fitsSomeType(const protocol::JobSpec& spec) const;
+    /// Whether the job's record, and the conditions for creating it, are within the limits.
     [[nodiscard]] bool recordable(const protocol::JobSpec& spec) const;
     [[nodiscard]] Job newJob(const protocol::JobSpec& spec) const;
 
     [[nodiscard]] Judgement judge(ClusterState& clusterState, const Submission& submission) const;
+    /// Adds what is known of one dependency to the judgement.
+    void judgeDependency(ClusterState& clusterState, const Submission& submission,
+                         const std::string& id, Judgement& judgement) const;
     void accept(const SubmissionPtr& submission);
+    /// Reads the status of these dependencies, then judges the submission again.
     void lookUp(const SubmissionPtr& submission, const std::vector<std::string>& dependencies);
     void create(const SubmissionPtr& submission, const Judgement& judgement);
     void createCancelled(const SubmissionPtr& submission, const Judgement& judgement);
     void onRefused(const SubmissionPtr& submission, const protocol::CompareAndSwapResponse& answer);
 
     Context& context_;
+    const Replica& replica_;
     JobStatusReader& statusReader_;
     WorkMigrator& migrator_;
-    // Each its own: users who ask again and again took the places of those who submit or call off.
+    AdmissionObserver& observer_;
+    // Each its own: with a common limit users who poll took the places of those who submit or
+    // cancel (poll_storm).
     ConcurrencyLimiter submissions_;
     ConcurrencyLimiter statusRequests_;
     ConcurrencyLimiter cancellations_;
--- a/src/coordination/api/job_status_reader.cpp
+++ b/src/coordination/api/job_status_reader.cpp
@@ -11,18 +11,18 @@
 using protocol::StateResult;
 
 // About 100 bytes each; what is asked about again after more jobs have ended costs a read.
-constexpr std::size_t maxFinals = 20'000;
+constexpr std::size_t maxTerminals = 20'000;
 constexpr int maxTries = 4;
-constexpr double pollsFractionOfRequests = 0.3;
+constexpr double statusFractionOfRequests = 0.3;
 constexpr Seconds maxBatchDelay{0.25};
-constexpr std::size_t conditionsPerQuestion = 2;
+constexpr std::size_t comparesPerRequest = 2;
 
 }  // namespace
 
 void JobStatusReader::recordTerminal(const std::string& id, bool cancelled) {
     if (!terminals_.emplace(id, cancelled).second) return;
     terminalOrder_.push_back(id);
-    if (terminalOrder_.size() > maxFinals) {
+    if (terminalOrder_.size() > maxTerminals) {
         terminals_.erase(terminalOrder_.front());
         terminalOrder_.pop_front();
     }
@@ -44,9 +44,9 @@
     queue.push_back(std::move(statusRequest));
     if (flushing_) return;
     flushing_ = true;
-    // Questions are gathered for a moment: one comparing request answers many of them.
+    // Requests wait for a moment: one compare-only transaction answers many of them.
     const double fraction = context_.settings.stateRequests /
-                            static_cast<double>(context_.nodes.size()) * pollsFractionOfRequests;
+                            static_cast<double>(context_.nodes.size()) * statusFractionOfRequests;
     context_.timers.after(ticks(std::min(maxBatchDelay, Seconds(1.0 / fraction))), [this] {
         flushing_ = false;
         flush();
@@ -60,13 +60,13 @@
 
 void JobStatusReader::flushQueue(std::deque<StatusRequest>& queue,
                                  protocol::RequestPriority priority) {
-    const auto most = context_.settings.transactionConditions();
+    const auto maxCompares = context_.settings.transactionConditions();
     while (!queue.empty()) {
         protocol::CompareAndSwap compare;
-        auto batch = std::make_shared<std::vector<Asked>>();
+        auto batch = std::make_shared<std::vector<Sent>>();
         {
             auto clusterState = context_.clusterState.lock();
-            while (!queue.empty() && compare.compares.size() + conditionsPerQuestion <= most) {
+            while (!queue.empty() && compare.compares.size() + comparesPerRequest <= maxCompares) {
                 StatusRequest statusRequest = std::move(queue.front());
                 queue.pop_front();
                 const Job* job = clusterState->job(statusRequest.id);
@@ -82,7 +82,7 @@
         }
         context_.state.transact(std::move(compare), priority,
                                 [this, batch](const protocol::CompareAndSwapResponse& answer) {
-                                    for (const auto& asked : *batch) settle(asked, answer);
+                                    for (const auto& sent : *batch) settle(sent, answer);
                                 });
     }
 }
@@ -95,14 +95,14 @@
     return has(storage::keys::job(id)) || has(storage::keys::terminal(id));
 }
 
-void JobStatusReader::settle(const Asked& asked, const protocol::CompareAndSwapResponse& answer) {
-    const auto& statusRequest = asked.statusRequest;
+void JobStatusReader::settle(const Sent& sent, const protocol::CompareAndSwapResponse& answer) {
+    const auto& statusRequest = sent.statusRequest;
     if (answer.result != StateResult::ok && answer.result != StateResult::refused)
         return statusRequest.done(JobStatus::noAnswer);
     if (failed(answer, statusRequest.id)) return readTerminal(statusRequest);
-    // Others of the batch have failed; this one is asked again.
+    // Others of the batch have failed; this one is sent again.
     if (answer.result == StateResult::refused) return retry(statusRequest);
-    if (!asked.live) return statusRequest.done(JobStatus::unknownJob);
+    if (!sent.active) return statusRequest.done(JobStatus::unknownJob);
     JobStatus status = JobStatus::noAnswer;
     {
         auto clusterState = context_.clusterState.lock();
@@ -121,12 +121,12 @@
     if (!job.waiting) return JobStatus::active;
     // A job that it needs, directly or through others, may have been called off. All that anybody
     // was told before the records known here were read is in them; what may have been told after
-    // that was told less than `cancel_s` ago. A job whose dependencies have all left the live
+    // that was told less than `cancel_s` ago. A job whose dependencies have all left the active
     // records is still held to be waiting by a node that owns none of it: they are done, or it
     // would be cancelled, since the record of a cancelled job outlives the last of those that name
     // it.
     const bool current =
-        context_.now() - recordsCurrentAsOf() < ticks(context_.settings.cancel / 2);
+        context_.now() - replica_.currentAsOf() < ticks(context_.settings.cancel / 2);
     return job.dependencyCancelled || !current ? JobStatus::noAnswer : JobStatus::active;
 }
 
@@ -135,21 +135,21 @@
         storage::keys::terminal(statusRequest.id),
         [this, statusRequest](const protocol::ReadResponse& end) {
             if (end.result != StateResult::ok) return statusRequest.done(JobStatus::noAnswer);
-            if (end.items.empty()) return readLive(statusRequest);
+            if (end.items.empty()) return readActive(statusRequest);
             const bool cancelled = storage::readTerminal(end.items.front().value).cancelled;
             recordTerminal(statusRequest.id, cancelled);
             statusRequest.done(cancelled ? JobStatus::terminalCancelled : JobStatus::terminalDone);
         });
 }
 
-void JobStatusReader::readLive(const StatusRequest& statusRequest) {
+void JobStatusReader::readActive(const StatusRequest& statusRequest) {
     context_.state.read(storage::keys::job(statusRequest.id),
-                        [this, statusRequest](const protocol::ReadResponse& live) {
-                            if (live.result != StateResult::ok)
+                        [this, statusRequest](const protocol::ReadResponse& active) {
+                            if (active.result != StateResult::ok)
                                 return statusRequest.done(JobStatus::noAnswer);
                             // Ended between the two reads.
-                            if (live.items.empty()) return retry(statusRequest);
-                            const auto& item = live.items.front();
+                            if (active.items.empty()) return retry(statusRequest);
+                            const auto& item = active.items.front();
                             JobStatus status = JobStatus::noAnswer;
                             {
                                 auto clusterState = context_.clusterState.lock();
--- a/src/coordination/api/job_status_reader.h
+++ b/src/coordination/api/job_status_reader.h
@@ -1,20 +1,24 @@
-// What the state service vouches for about a job, at the time of the question.
-//
-// Many questions share one comparing transaction, so that every answer is as new as the records and
-// none costs a request of its own.
+/// @file
+/// Linearizable reads of jobs' states.
+///
+/// Many requests share one compare-only transaction with the state service, so that every answer is
+/// as new as the records and none costs a request of its own.
 #pragma once
 
 #include <deque>
 #include <functional>
+#include <optional>
 #include <string>
 #include <unordered_map>
 
 #include "coordination/context.h"
+#include "coordination/replication/replica.h"
 
 namespace fawnwheel::coordination {
 
+/// What the state service confirms about a job at the time of the request.
 enum class JobStatus {
-    unknownJob,  // neither a live nor a terminal record
+    unknownJob,  // neither an active nor a terminal record
     active,
     cancelled,  // its tasks may not all be gone
     terminalDone,
@@ -22,28 +26,30 @@
     noAnswer,  // can't be told now
 };
 
+/// What a status is needed for; decides the order in which requests are sent.
 enum class ReadPurpose {
-    decision,       // a submission or a cancellation waits for it: before all questions
-    statusRequest,  // a user only wants to know
+    decision,       // a submission or a cancellation waits for it: before all status requests
+    statusRequest,  // a user polls
 };
 
+/// Reads jobs' states, batched, with a cache of terminal states.
 class JobStatusReader {
   public:
     using Done = std::function<void(JobStatus)>;
 
-    explicit JobStatusReader(Context& context) : context_(context) {}
+    JobStatusReader(Context& context, const Replica& replica)
+        : context_(context), replica_(replica) {}
 
-    // Callers bound how many are in progress (`ConcurrencyLimiter`).
+    /// Calls `done` exactly once. Callers bound how many are in progress (`ConcurrencyLimiter`).
     void find(const std::string& id, ReadPurpose purpose, Done done) {
         enqueue({id, purpose, std::move(done), 0});
     }
-    // Final states never change, so that the latest of them are kept. Older ones are read again.
+    /// Caches a terminal state that was read or written. It never changes; the cache is bounded,
+    /// and older ones are read again.
     void recordTerminal(const std::string& id, bool cancelled);
+    /// The cached terminal state; none: not cached.
     [[nodiscard]] std::optional<JobStatus> knownTerminal(const std::string& id) const;
 
-    // The records known here hold all that was carried out before this.
-    std::function<SteadyTime()> recordsCurrentAsOf = [] { return SteadyTime{}; };
-
   private:
     struct StatusRequest {
         std::string id;
@@ -51,9 +57,9 @@
         Done done;
         int tries = 0;
     };
-    struct Asked {
+    struct Sent {
         StatusRequest statusRequest;
-        bool live = false;  // in the cluster state
+        bool active = false;  // the cluster state has its record
     };
 
     void enqueue(StatusRequest statusRequest);
@@ -62,18 +68,19 @@
     void flushQueue(std::deque<StatusRequest>& queue, protocol::RequestPriority priority);
     [[nodiscard]] static bool failed(const protocol::CompareAndSwapResponse& answer,
                                      const std::string& id);
-    void settle(const Asked& asked, const protocol::CompareAndSwapResponse& answer);
+    void settle(const Sent& sent, const protocol::CompareAndSwapResponse& answer);
     void readTerminal(const StatusRequest& statusRequest);
-    void readLive(const StatusRequest& statusRequest);
-    // Of a job whose active record is current.
+    void readActive(const StatusRequest& statusRequest);
+    /// Of a job whose active record is current.
     [[nodiscard]] JobStatus statusOf(const Job& job) const;
 
     Context& context_;
+    const Replica& replica_;
     std::deque<StatusRequest> decisions_;
     std::deque<StatusRequest> statusRequests_;
     bool flushing_ = false;
     std::unordered_map<std::string, bool> terminals_;  // cancelled?
-    std::deque<std::string> terminalOrder_;
+    std::deque<std::string> terminalOrder_;            // oldest first
 };
 
 }  // namespace fawnwheel::coordination
--- a/src/coordination/controller.cpp
+++ b/src/coordination/controller.cpp
@@ -2,14 +2,11 @@
 
 #include <spdlog/spdlog.h>
 
-#include "protocol/names.h"
-
 namespace fawnwheel::coordination {
 
 namespace {
 
 using namespace std::chrono_literals;
-namespace wire = protocol::wire;
 
 constexpr auto roundDelay = 30ms;     // gathers what one round of events changes
 constexpr int roundPauseFactor = 3;   // times what the last round took
@@ -34,9 +31,10 @@
       lending_(context_, membership_, placement_, transfers_),
       rebalancer_(context_, membership_, pipeline_, placement_, transfers_),
       migrator_(context_, membership_, pipeline_, stateWriter_, placement_),
-      statusReader_(context_),
-      admission_(context_, statusReader_, migrator_),
-      completionNotifier_(context_, membership_) {
+      statusReader_(context_, replica_),
+      admission_(context_, replica_, statusReader_, migrator_, *this),
+      completionNotifier_(context_, membership_),
+      router_(replica_, membership_, reachability_, heartbeats_, admission_) {
     replica_.inFlight = [this](const std::string& key) { return pipeline_.inFlight(key); };
     replica_.onChange = [this] {
         fleet_.adoptCatalog();
@@ -74,7 +72,6 @@
     };
     stateWriter_.onCancelled = [this] { membership_.broadcastCancellations([] {}); };
     completionNotifier_.onRead = [this] { scheduleRound(); };
-    statusReader_.recordsCurrentAsOf = [this] { return replica_.currentAsOf(); };
     context_.clusterState.lock()->dependencyGraph.stepTime = [this](const protocol::JobSpec& spec) {
         return placement_.stepTime(spec);
     };
@@ -92,12 +89,15 @@
         return fleet_.canProvision(job, zone);
     };
     fleet_.onAnswer = [this] { scheduleRound(); };
-    admission_.synced = [this] { return replica_.synced(); };
-    admission_.onAccepted = [this] { scheduleRound(); };
-    admission_.onCancelled = [this](std::function<void()> then) {
-        membership_.broadcastCancellations(std::move(then));
-        stopCancelledJobs();
-    };
+}
+
+void Controller::onJobAccepted() {
+    scheduleRound();
+}
+
+void Controller::onJobCancelled(std::function<void()> respond) {
+    membership_.broadcastCancellations(std::move(respond));
+    stopCancelledJobs();
 }
 
 void Controller::start() {
@@ -140,7 +140,7 @@
 }
 
 void Controller::discardUnrecorded(std::uint32_t partition) {
-    // Kept over a loss, an allocation that this leader had seen ended, and a dependent had started
+    // Kept over a loss, an allocation that this leader had seen ended, and a successor had started
     // once more by its record, was written off when the partition came back: the task then ran
     // unknown to anybody, and once more elsewhere (scenario unrecorded_over_terms).
     if (pipeline_.busy(partition)) {
@@ -181,35 +181,8 @@
     context_.timers.after(maintenanceInterval, [this] { runMaintenance(); });
 }
 
-void Controller::handleHeartbeat(const std::string& body, const transport::HttpReply& reply) {
-    const auto map = protocol::decodeCbor(body);
-    const auto heartbeat = map ? protocol::parseHeartbeat(*map) : std::nullopt;
-    if (!heartbeat) return reply({400, {}, 0});
-    reachability_.onHeartbeat();
-    if (!replica_.synced()) return reply({503, {}, 0});
-    auto answer = heartbeats_.handleHeartbeat(*heartbeat);
-    reply({answer.status, std::move(answer.body), 0});
-}
-
 void Controller::onRequest(const transport::HttpRequest& request, transport::HttpReply reply) {
-    const auto path = request.path.substr(0, request.path.find('?'));
-    const bool get = request.method == "GET";
-    const bool post = request.method == "POST";
-    const transport::HttpResponse wrongMethod{405, {}, 0};
-    if (path == wire::pathHeartbeat)
-        return post ? handleHeartbeat(request.body, reply) : reply(wrongMethod);
-    if (path == wire::pathHealth)
-        return reply(get ? transport::HttpResponse{healthy() ? 200 : 503, {}, 0} : wrongMethod);
-    const std::string jobs = wire::pathJobs;
-    if (path == jobs) return post ? admission_.submit(request.body, reply) : reply(wrongMethod);
-    if (!path.starts_with(jobs + "/")) return reply({404, {}, 0});
-    auto id = path.substr(jobs.size() + 1);
-    const std::string_view cancel = wire::pathCancel;
-    if (id.ends_with(cancel)) {
-        id.resize(id.size() - cancel.size());
-        return post ? admission_.cancel(id, std::move(reply)) : reply(wrongMethod);
-    }
-    return get ? admission_.getStatus(id, std::move(reply)) : reply(wrongMethod);
+    router_.route(request, std::move(reply));
 }
 
 void Controller::onFrame(const std::string& payload) {
--- a/src/coordination/controller.h
+++ b/src/coordination/controller.h
@@ -3,18 +3,21 @@
 #pragma once
 
 #include "coordination/api/admission.h"
+#include "coordination/api/http_router.h"
 #include "coordination/membership/worker_reachability.h"
 #include "coordination/migration/machine_lending.h"
 #include "coordination/migration/rebalancer.h"
 #include "coordination/migration/work_migrator.h"
 #include "coordination/provisioning/fleet.h"
 #include "coordination/replication/replica.h"
+#include "coordination/round_scheduler.h"
 #include "coordination/scheduling/completion_notifier.h"
 #include "coordination/scheduling/quota_exchange.h"
 
 namespace fawnwheel::coordination {
 
-class Controller {
+/// One controller process: owns all modules and runs them in turn on one thread.
+class Controller final : private RoundScheduler, private AdmissionObserver {
   public:
     Controller(const config::Settings& settings, const config::OperatorSettings& tuning,
                transport::Timers& timers, transport::Network& network, std::uint64_t seed);
@@ -31,8 +34,9 @@
     [[nodiscard]] bool synced() const { return replica_.synced(); }
 
   private:
-    void handleHeartbeat(const std::string& body, const transport::HttpReply& reply);
-    void scheduleRound();
+    void scheduleRound() override;
+    void onJobAccepted() override;
+    void onJobCancelled(std::function<void()> respond) override;
     void runRound();
     void runMaintenance();
     void stopCancelledJobs();
@@ -55,6 +59,7 @@
     JobStatusReader statusReader_;
     Admission admission_;
     CompletionNotifier completionNotifier_;
+    HttpRouter router_;
     bool roundScheduled_ = false;
     Duration lastRoundDuration_{};
     std::set<std::string> stopping_;  // cancelled jobs whose stops have been sent
--- a/src/coordination/replication/state_writer.cpp
+++ b/src/coordination/replication/state_writer.cpp
@@ -101,7 +101,7 @@
                 {storage::keys::partition(other), clusterState.partitions.at(other).version});
     writes.push_back({storage::keys::job(job.spec.id), std::nullopt, 0});
     storage::TerminalState state{job.cancelled, std::nullopt};
-    // Those that wait for it count their time from now on, also with a dependent of this leader.
+    // Those that wait for it count their time from now on, also with a successor of this leader.
     if (context_.jobDependenciesEnabled(clusterState)) state.at = context_.timers.wallNow();
     writes.push_back({storage::keys::terminal(job.spec.id), storage::terminalValue(state), 0});
     for (const auto& slice : job.slices) {
--- a/tests/unit/coordination/replication/state_writer_test.cpp
+++ b/tests/unit/coordination/replication/state_writer_test.cpp
@@ -222,7 +222,7 @@
     EXPECT_EQ(state.transactions(), 0U);
 }
 
-// Decided in one term, refused for a while, and sent in the next: what a dependent has done between
+// Decided in one term, refused for a while, and sent in the next: what a successor has done between
 // the two is unknown to it.
 TEST_F(RecordBench, WhatWasDecidedInAnEarlierTermIsNotSentInALaterOne) {
     Job made = makeJob(4, 4);
