--- a/src/coordination/controller.cpp
+++ b/src/coordination/controller.cpp
@@ -27,9 +27,9 @@
       heartbeats_(context_, membership_, stateWriter_),
       fleet_(context_, membership_, pipeline_, placement_, heartbeats_),
       quotas_(context_, membership_, pipeline_, placement_),
-      transfers_(context_, pipeline_, stateWriter_.writer(), quotas_, heartbeats_),
+      transfers_(context_, pipeline_, stateWriter_.writer(), quotas_, heartbeats_, *this),
       lending_(context_, membership_, placement_, transfers_),
-      rebalancer_(context_, membership_, pipeline_, placement_, transfers_),
+      rebalancer_(context_, membership_, pipeline_, placement_, transfers_, *this),
       migrator_(context_, membership_, pipeline_, stateWriter_, placement_),
       statusReader_(context_, replica_),
       admission_(context_, replica_, statusReader_, migrator_, *this),
@@ -76,11 +76,8 @@
         return placement_.stepTime(spec);
     };
     stateWriter_.onDurable = [this](const std::set<std::string>& machines) {
-        heartbeats_.requestHeartbeats(machines);
-        scheduleRound();
+        onAllocationsDurable(machines);
     };
-    transfers_.onDurable = stateWriter_.onDurable;
-    rebalancer_.onChange = [this] { scheduleRound(); };
     heartbeats_.onUnassigned = [this](const protocol::Heartbeat& heartbeat) {
         fleet_.onUnassignedHeartbeat(heartbeat);
     };
@@ -91,6 +88,11 @@
     fleet_.onAnswer = [this] { scheduleRound(); };
 }
 
+void Controller::onAllocationsDurable(const std::set<std::string>& machines) {
+    heartbeats_.requestHeartbeats(machines);
+    scheduleRound();
+}
+
 void Controller::onJobAccepted() {
     scheduleRound();
 }
--- a/src/coordination/controller.h
+++ b/src/coordination/controller.h
@@ -17,7 +17,9 @@
 namespace fawnwheel::coordination {
 
 /// One controller process: owns all modules and runs them in turn on one thread.
-class Controller final : private RoundScheduler, private AdmissionObserver {
+class Controller final : private RoundScheduler,
+                         private AdmissionObserver,
+                         private MachineTransferObserver {
   public:
     Controller(const config::Settings& settings, const config::OperatorSettings& tuning,
                transport::Timers& timers, transport::Network& network, std::uint64_t seed);
@@ -35,6 +37,7 @@
 
   private:
     void scheduleRound() override;
+    void onAllocationsDurable(const std::set<std::string>& machines) override;
     void onJobAccepted() override;
     void onJobCancelled(std::function<void()> respond) override;
     void runRound();
--- a/src/coordination/migration/machine_transfers.cpp
+++ b/src/coordination/migration/machine_transfers.cpp
@@ -44,8 +44,8 @@
 bool MachineTransfers::addQuotas(Transfer& transfer, ClusterState& clusterState,
                                  const rebalancing::Handover& handover, std::uint32_t from,
                                  std::uint32_t to) {
-    // The tasks count for the recipient from now on. Without their share of the limit the giver
-    // would fill the room that they leave, and the team would use more than its limit.
+    // The tasks count for the recipient from now on. Without their quota share the giver
+    // would fill the capacity that they leave, and the team would use more than its limit.
     for (const auto& [name, used] : handover.used) {
         const auto* team = context_.team(name);
         if (team == nullptr || (team->cpusMax <= 0 && team->gpusMax <= 0)) continue;
@@ -85,36 +85,43 @@
                      });
 }
 
+bool MachineTransfers::addHandover(Transfer& transfer, ClusterState& clusterState,
+                                   const rebalancing::Handover& handover, std::uint32_t from,
+                                   std::uint32_t to) {
+    transfer.batch.generation = clusterState.generation;
+    auto& compares = transfer.batch.transaction.compares;
+    compares.push_back({storage::keys::partition(to), clusterState.partitions[to].version});
+    bool fits = true;
+    for (const auto& slice : handover.slices) {
+        Job& job = *clusterState.job(slice.job);
+        fits =
+            fits && writer_.add(transfer.batch, job, job.slices[slice.slice], {slice.ranges, to});
+    }
+    for (const auto& id : handover.jobs) addJob(transfer, *clusterState.job(id), to);
+    for (const auto& id : handover.machines) {
+        Machine& machine = *clusterState.machine(id);
+        Machine next = leaving(machine, to);
+        next.transferredBy = context_.settings.name;
+        addMachine(transfer, machine, next);
+    }
+    return fits && addQuotas(transfer, clusterState, handover, from, to) &&
+           compares.size() < context_.settings.transactionConditions();
+}
+
+void MachineTransfers::undo(const Transfer& transfer, ClusterState& clusterState) {
+    for (const auto& id : transfer.machines) clusterState.machine(id)->transferring = false;
+    for (const auto& quota : transfer.quotas)
+        quotas_.settle(clusterState, quota, CommitResult::conflict, 0);
+}
+
 std::optional<rebalancing::Refusal> MachineTransfers::give(std::uint32_t from, std::uint32_t to,
                                                            const rebalancing::Handover& handover,
                                                            std::function<void(bool given)> done) {
     Transfer transfer;
     {
         auto clusterState = context_.clusterState.lock();
-        transfer.batch.generation = clusterState->generation;
-        auto& compares = transfer.batch.transaction.compares;
-        compares.push_back({storage::keys::partition(to), clusterState->partitions[to].version});
-        bool fits = true;
-        for (const auto& slice : handover.slices) {
-            Job& job = *clusterState->job(slice.job);
-            fits = fits &&
-                   writer_.add(transfer.batch, job, job.slices[slice.slice], {slice.ranges, to});
-        }
-        for (const auto& id : handover.jobs) addJob(transfer, *clusterState->job(id), to);
-        for (const auto& id : handover.machines) {
-            Machine& machine = *clusterState->machine(id);
-            Machine next = leaving(machine, to);
-            next.transferredBy = context_.settings.name;
-            addMachine(transfer, machine, next);
-        }
-        fits =
-            fits && addQuotas(transfer, *clusterState, handover, from, to) &&
-            transfer.batch.transaction.compares.size() < context_.settings.transactionConditions();
-        if (!fits) {
-            for (const auto& id : handover.machines)
-                clusterState->machine(id)->transferring = false;
-            for (const auto& quota : transfer.quotas)
-                quotas_.settle(*clusterState, quota, CommitResult::conflict, 0);
+        if (!addHandover(transfer, *clusterState, handover, from, to)) {
+            undo(transfer, *clusterState);
             return rebalancing::Refusal::tooLarge;
         }
     }
@@ -143,7 +150,7 @@
                 storage::applyEvent(*clusterState, {record.key, record.value, revision},
                                     context_.now());
     }
-    if (!durable.empty()) onDurable(durable);
+    if (!durable.empty()) observer_.onAllocationsDurable(durable);
     if (result != CommitResult::done) return;
     for (const auto& id : transfer.machines) heartbeats_.redirectWorker(id);
 }
--- a/src/coordination/migration/rebalancer.cpp
+++ b/src/coordination/migration/rebalancer.cpp
@@ -10,14 +10,14 @@
 
 using namespace std::chrono_literals;
 
-constexpr double heardRounds =
-    3.5;  // a partition that has said nothing for so long is given nothing
-constexpr std::size_t mostDemands = 16;  // of one partition, the most urgent
+// A partition that has announced nothing for so many periods is given nothing.
+constexpr double freshPeriods = 3.5;
+constexpr std::size_t maxDemands = 16;  // of one partition, the most urgent
 constexpr double thousandth = 0.001;
 constexpr auto retryPause = 100ms;  // while records that go first are written
-constexpr auto logPeriod = 60s;
+constexpr auto logInterval = 60s;
 constexpr double silentHeartbeats = 2.5;  // no machine that has missed so many goes
-constexpr std::uint32_t placesCounted = 64;
+constexpr std::uint32_t maxPlacesCounted = 64;
 
 std::uint64_t toThousandths(double amount) {
     return static_cast<std::uint64_t>(std::llround(std::max(0.0, amount) / thousandth));
@@ -104,9 +104,9 @@
         auto free = type->capacity;
         free -= machine->used;
         for (auto& demand : demands) {
-            const auto most = static_cast<std::uint32_t>(demand.tasks);
+            const auto maxPlaces = static_cast<std::uint32_t>(demand.tasks);
             const auto places =
-                demand.shape.placesOn(machine->type, machine->zone, machine->spot, free, most);
+                demand.shape.placesOn(machine->type, machine->zone, machine->spot, free, maxPlaces);
             demand.tasks -= places;
             if (places > 0) break;
         }
@@ -160,7 +160,7 @@
     std::stable_sort(asked.begin(), asked.end(), [](const auto& one, const auto& other) {
         return one.urgency > other.urgency;
     });
-    if (asked.size() > mostDemands) asked.resize(mostDemands);
+    if (asked.size() > maxDemands) asked.resize(maxDemands);
     protocol::DemandUpdate message{partition, {}};
     for (const auto& demand : asked) message.demands.push_back(encode(demand));
     for (const auto& peer : context_.settings.peers)
@@ -176,7 +176,7 @@
     if (context_.clusterState.lock()->partitions[update.partition].leader != peer) return;
     PartitionDemand demand{{}, context_.now()};
     for (const auto& entry : update.demands) {
-        if (demand.demands.size() >= mostDemands) break;
+        if (demand.demands.size() >= maxDemands) break;
         demand.demands.push_back(decode(entry));
     }
     demands_[update.partition] = std::move(demand);
@@ -195,20 +195,31 @@
     return {transfer.to, transfer.demand.urgency, transfer.demand.since};
 }
 
+bool Rebalancer::isWanted(const ClusterState& clusterState, const Machine& machine,
+                          const rebalancing::PlanInput& input) const {
+    return std::any_of(input.machineDemands.begin(), input.machineDemands.end(),
+                       [&](const rebalancing::MachineDemand& wanted) {
+                           return spare(
+                               clusterState, machine,
+                               {wanted.partition, wanted.demand.urgency, wanted.demand.since});
+                       });
+}
+
+bool Rebalancer::isUseful(const rebalancing::Supply& supply, const rebalancing::PlanInput& input) {
+    return std::any_of(input.machineDemands.begin(), input.machineDemands.end(),
+                       [&](const rebalancing::MachineDemand& wanted) {
+                           return wanted.demand.shape.placesOn(supply.type, supply.zone,
+                                                               supply.spot, supply.free, 1) > 0;
+                       });
+}
+
 void Rebalancer::addSupplies(const ClusterState& clusterState, std::uint32_t partition,
                              rebalancing::PlanInput& input) const {
     const auto first = input.supplies.size();
     for (const auto* machine : clusterState.machinesOf(partition)) {
         const auto* type = context_.type(machine->type);
         if (type == nullptr || machine->decommissioned) continue;
-        const bool wanted =
-            std::any_of(input.machineDemands.begin(), input.machineDemands.end(),
-                        [&](const rebalancing::MachineDemand& machineDemand) {
-                            return spare(clusterState, *machine,
-                                         {machineDemand.partition, machineDemand.demand.urgency,
-                                          machineDemand.demand.since});
-                        });
-        if (!wanted) continue;
+        if (!isWanted(clusterState, *machine, input)) continue;
         rebalancing::Supply supply{partition,
                                    machine->type,
                                    machine->zone,
@@ -217,31 +228,25 @@
                                    type->capacity,
                                    1};
         supply.free -= machine->used;
-        const bool useful =
-            std::any_of(input.machineDemands.begin(), input.machineDemands.end(),
-                        [&](const rebalancing::MachineDemand& machineDemand) {
-                            return machineDemand.demand.shape.placesOn(
-                                       supply.type, supply.zone, supply.spot, supply.free, 1) > 0;
-                        });
-        if (!useful) continue;
-        const auto same = std::find_if(
+        if (!isUseful(supply, input)) continue;
+        const auto equal = std::find_if(
             input.supplies.begin() + static_cast<std::ptrdiff_t>(first), input.supplies.end(),
             [&](const rebalancing::Supply& other) {
                 return std::tie(other.type, other.zone, other.spot, other.busy) ==
                            std::tie(supply.type, supply.zone, supply.spot, supply.busy) &&
                        other.free.fits(supply.free) && supply.free.fits(other.free);
             });
-        if (same == input.supplies.end())
+        if (equal == input.supplies.end())
             input.supplies.push_back(std::move(supply));
         else
-            ++same->machines;
+            ++equal->machines;
     }
 }
 
 rebalancing::PlanInput Rebalancer::collectInput() const {
     rebalancing::PlanInput input;
     auto clusterState = context_.clusterState.lock();
-    const auto fresh = ticks(context_.tuning.rebalancing.period * heardRounds);
+    const auto fresh = ticks(context_.tuning.rebalancing.period * freshPeriods);
     for (const auto& [partition, demand] : demands_) {
         const auto record = clusterState->partitions.find(partition);
         if (record == clusterState->partitions.end() || context_.now() - demand.heard > fresh ||
@@ -265,7 +270,7 @@
 void Rebalancer::logPlan(const rebalancing::PlanInput& input,
                          const rebalancing::TransferPlan& plan) {
     const auto now = context_.now();
-    if (plan.transfers.empty() || now - logged_ < logPeriod) return;
+    if (plan.transfers.empty() || now - logged_ < logInterval) return;
     logged_ = now;
     std::map<std::uint32_t, std::int64_t> held;
     {
@@ -274,9 +279,9 @@
             held[partition] = static_cast<std::int64_t>(clusterState->machinesOf(partition).size());
     }
     for (const auto& [partition, target] : rebalancing::targets(input, plan, held))
-        spdlog::info("sharing: part {} holds {} machines, target {}{}", partition, held[partition],
-                     target,
-                     plan.method == rebalancing::PlanMethod::greedy ? ", planned greedily" : "");
+        spdlog::info("rebalancer: planned partition={} machines={} target={} method={}", partition,
+                     held[partition], target,
+                     plan.method == rebalancing::PlanMethod::greedy ? "greedy" : "flow");
 }
 
 void Rebalancer::carryOut() {
@@ -307,7 +312,7 @@
     auto clusterState = context_.clusterState.lock();
     const auto wanted =
         transfer.demand.shape.placesOn(transfer.kind.type, transfer.kind.zone, transfer.kind.spot,
-                                       transfer.kind.free, placesCounted);
+                                       transfer.kind.free, maxPlacesCounted);
     for (const auto* machine : clusterState->machinesOf(transfer.from)) {
         const auto* type = context_.type(machine->type);
         if (type == nullptr || transfer.refused.contains(machine->id) ||
@@ -355,10 +360,11 @@
             transfer.from, transfer.to, handover,
             [this, machine, transfer, tasks = handover.tasks(),
              machines = handover.machines.size()](bool given) {
-                spdlog::info("sharing: machine {}{} with {} tasks, part {} to {}{}", machine,
-                             machines > 1 ? " and others of its gang" : "", tasks, transfer.from,
-                             transfer.to, given ? "" : ", not carried out");
-                onChange();
+                spdlog::info(
+                    "rebalancer: machine_transferred machine={} machines={} tasks={} from={} to={} "
+                    "done={}",
+                    machine, machines, tasks, transfer.from, transfer.to, given);
+                rounds_.scheduleRound();
             });
         if (refusal) {
             logRefusal(machine, *refusal);
@@ -375,7 +381,8 @@
 }
 
 void Rebalancer::logRefusal(const std::string& machine, rebalancing::Refusal refusal) {
-    spdlog::debug("sharing: machine {} stays, {}", machine, rebalancing::describe(refusal));
+    spdlog::debug("rebalancer: transfer_refused machine={} reason=\"{}\"", machine,
+                  rebalancing::describe(refusal));
 }
 
 }  // namespace fawnwheel::coordination
--- a/src/coordination/migration/work_migrator.cpp
+++ b/src/coordination/migration/work_migrator.cpp
@@ -12,8 +12,8 @@
 
 using namespace std::chrono_literals;
 
-constexpr auto answerTimeout = 800ms;
-constexpr auto promiseLasts = 3s;
+constexpr auto responseTimeout = 800ms;
+constexpr auto promiseDuration = 3s;
 constexpr std::size_t maxPendingMigrations = 16;
 // What found no place here for so long counts as above high, however short the queue is: the
 // average of one waiting task stays below any threshold (slice_left_behind).
@@ -24,18 +24,6 @@
 
 }  // namespace
 
-void QueueAverage::sample(double queueLength, const Tuning& tuning) {
-    average_ = (1 - tuning.weight) * average_ + tuning.weight * queueLength;
-}
-
-double QueueAverage::moveProbability(double stickinessFactor, const Tuning& tuning) const {
-    if (average_ < tuning.low) return 0;
-    if (average_ > tuning.high) return 1;
-    const double base = (average_ - tuning.low) / (tuning.high - tuning.low) * tuning.probability;
-    if (count_ * base >= 1) return 1;
-    return std::clamp(base / (1 - count_ * base) * stickinessFactor, 0.0, 1.0);
-}
-
 void WorkMigrator::start() {
     sampleAll();
 }
@@ -56,8 +44,8 @@
 }
 
 double WorkMigrator::stickinessFactor(const Job& job, std::uint32_t partition) {
-    const double most = job.spec.imageSize;
-    if (most <= 0) return 1;
+    const double maxImageSize = job.spec.imageSize;
+    if (maxImageSize <= 0) return 1;
     auto clusterState = context_.clusterState.lock();
     const auto& machines = clusterState->machinesOf(partition);
     const bool cached = std::any_of(machines.begin(), machines.end(), [&](const Machine* machine) {
@@ -65,8 +53,8 @@
                std::any_of(machine->images.begin(), machine->images.end(),
                            [&](const auto& i) { return i.name == job.spec.image; });
     });
-    const double local = cached ? most : 0;
-    return (most - local) / most;
+    const double local = cached ? maxImageSize : 0;
+    return (maxImageSize - local) / maxImageSize;
 }
 
 void WorkMigrator::sampleAll() {
@@ -91,31 +79,34 @@
     });
     const auto now = context_.now();
     for (const auto& id : waiting) {
-        bool stranded = now - since.try_emplace(id, now).first->second > longWait;
-        bool isSloAtRisk = false;
-        double free = 0;
-        {
-            auto clusterState = context_.clusterState.lock();
-            const Job* job = clusterState->job(id);
-            if (job == nullptr) continue;
-            // Work that no machine here could ever run counts as above high, and so does what
-            // will miss its objective unless it starts about now: the average lags behind it.
-            stranded = stranded || !placement_.isFeasible(*job, partition);
-            free = stickinessFactor(*job, partition);
-            // Elsewhere its image may have to be fetched: what has it here waits here for as long
-            // as that would take.
-            const Seconds waited = context_.timers.wallNow() - job->readySince;
-            isSloAtRisk =
-                placement_.isSloAtRisk(*job) && (free > 0 || waited >= placement_.fetchTime(*job));
-        }
-        queue.considered();
-        const double chance = queue.moveProbability(free, tuning);
-        if (stranded || isSloAtRisk ||
-            std::uniform_real_distribution<>(0, 1)(context_.rng) < chance)
-            consider(partition, id, stranded || isSloAtRisk || queue.aboveHigh(tuning));
+        const bool longWaiting = now - since.try_emplace(id, now).first->second > longWait;
+        const auto pressure = pressureOn(id, partition, longWaiting);
+        if (!pressure) continue;
+        queue.onConsidered();
+        const double chance = queue.migrationProbability(pressure->stickinessFactor, tuning);
+        if (pressure->immediate || std::uniform_real_distribution<>(0, 1)(context_.rng) < chance)
+            consider(partition, id, pressure->immediate || queue.aboveHigh(tuning));
     }
 }
 
+std::optional<WorkMigrator::Pressure> WorkMigrator::pressureOn(const std::string& id,
+                                                               std::uint32_t partition,
+                                                               bool longWaiting) {
+    auto clusterState = context_.clusterState.lock();
+    const Job* job = clusterState->job(id);
+    if (job == nullptr) return std::nullopt;
+    // Work that no machine here could ever run counts as above high, and so does what will miss its
+    // objective unless it starts about now: the average lags behind it.
+    const bool stranded = longWaiting || !placement_.isFeasible(*job, partition);
+    const double factor = stickinessFactor(*job, partition);
+    // Elsewhere its image may have to be fetched: what has it here waits here for as long as that
+    // would take.
+    const Seconds waited = context_.timers.wallNow() - job->readySince;
+    const bool isSloAtRisk =
+        placement_.isSloAtRisk(*job) && (factor > 0 || waited >= placement_.fetchTime(*job));
+    return Pressure{stranded || isSloAtRisk, factor};
+}
+
 storage::TaskRange WorkMigrator::movableRange(const Slice& slice) {
     if (slice.leaving) return {};
     if (slice.untouched()) return slice.dirty ? storage::TaskRange{} : slice.range();
@@ -135,7 +126,7 @@
     });
 }
 
-void WorkMigrator::consider(std::uint32_t partition, const std::string& id, bool always) {
+void WorkMigrator::consider(std::uint32_t partition, const std::string& id, bool all) {
     auto clusterState = context_.clusterState.lock();
     Job* job = clusterState->job(id);
     if (job == nullptr) return;
@@ -144,17 +135,18 @@
     });
     if (job->undivided() || (job->slices.size() == 1 && allHere)) {
         if (allHere && job->partition == partition)
-            migration(partition, *job, job->slices.front(), true);
+            beginMigration(partition, *job, job->slices.front(), true);
         return;
     }
     for (const auto& slice : job->slices) {
         if (slice.partition != partition || movableRange(slice).count == 0) continue;
-        migration(partition, *job, slice, false);
-        if (!always) return;
+        beginMigration(partition, *job, slice, false);
+        if (!all) return;
     }
 }
 
-void WorkMigrator::migration(std::uint32_t partition, Job& job, const Slice& slice, bool wholeJob) {
+void WorkMigrator::beginMigration(std::uint32_t partition, Job& job, const Slice& slice,
+                                  bool wholeJob) {
     if (pending_.size() >= maxPendingMigrations) return;
     Migration next;
     next.partition = partition;
@@ -163,37 +155,45 @@
     next.wholeJob = wholeJob;
     next.range = wholeJob ? slice.range() : movableRange(slice);
     next.tasks = wholeJob ? job.spec.tasks : next.range.count;
-    std::vector<std::pair<double, std::uint32_t>>
-        order;  // partition, by room, with the image first
+    choosePeers(next, job);
+    if (next.peersLeft.empty()) return;
+    setLeaving(next, true);
+    const auto requestId = nextRequestId_++;
+    pending_[requestId] = std::move(next);
+    requestNextPeer(requestId);
+}
+
+void WorkMigrator::choosePeers(Migration& migration, const Job& job) {
+    struct Peer {
+        double score = 0;  // capacity, more where the image is cached
+        std::uint32_t partition = 0;
+        auto operator<=>(const Peer&) const = default;
+    };
+    std::vector<Peer> peers;
     std::uint32_t maxCapacity = 0;
     {
         auto clusterState = context_.clusterState.lock();
         for (std::uint32_t other = 0; other < context_.partitionCount(); ++other) {
-            if (other == partition ||
+            if (other == migration.partition ||
                 !clusterState->nodes.contains(clusterState->partitions[other].leader))
                 continue;
-            const auto capacity = placement_.capacityFor(job, other, next.tasks);
+            const auto capacity = placement_.capacityFor(job, other, migration.tasks);
             maxCapacity = std::max(maxCapacity, capacity);
             if (capacity > 0)
-                order.emplace_back(capacity * (1 + clusterState->cachedFraction(job.spec, other)),
-                                   other);
+                peers.push_back(
+                    {capacity * (1 + clusterState->cachedFraction(job.spec, other)), other});
         }
         if (!job.undivided() && context_.jobDependenciesEnabled(*clusterState) &&
-            maxCapacity < next.tasks) {
-            // The last tasks only, as many as a peer has room for.
-            const auto count = std::min(maxCapacity, next.range.count);
-            next.wholeJob = false;
-            next.range = {next.range.end() - count, count};
-            next.tasks = count;
+            maxCapacity < migration.tasks) {
+            // The last tasks only, as many as a peer has capacity for.
+            const auto count = std::min(maxCapacity, migration.range.count);
+            migration.wholeJob = false;
+            migration.range = {migration.range.end() - count, count};
+            migration.tasks = count;
         }
     }
-    std::sort(order.rbegin(), order.rend());
-    for (const auto& [capacity, other] : order) next.peersLeft.push_back(other);
-    if (next.peersLeft.empty()) return;
-    setLeaving(next, true);
-    const auto requestId = nextRequestId_++;
-    pending_[requestId] = std::move(next);
-    requestNextPeer(requestId);
+    std::sort(peers.rbegin(), peers.rend());
+    for (const auto& peer : peers) migration.peersLeft.push_back(peer.partition);
 }
 
 void WorkMigrator::setLeaving(const Migration& migration, bool leaving) {
@@ -226,7 +226,7 @@
         return;
     }
     context_.network.sendFrame(leader, protocol::encodePeer({context_.settings.name, message}));
-    context_.timers.after(answerTimeout, [this, requestId, asked = migration.asked] {
+    context_.timers.after(responseTimeout, [this, requestId, asked = migration.asked] {
         const auto found = pending_.find(requestId);
         if (found != pending_.end() && found->second.asked == asked) requestNextPeer(requestId);
     });
@@ -242,24 +242,24 @@
 }
 
 void WorkMigrator::onMigrationRequest(const std::string& peer,
-                                      const protocol::MigrationRequest& requestId) {
-    protocol::MigrationResponse answer{requestId.requestId, false};
+                                      const protocol::MigrationRequest& request) {
+    protocol::MigrationResponse answer{request.requestId, false};
     {
         auto clusterState = context_.clusterState.lock();
-        const Job* job = clusterState->job(requestId.job);
-        if (job != nullptr && membership_.isLeader(requestId.partition) &&
+        const Job* job = clusterState->job(request.job);
+        if (job != nullptr && membership_.isLeader(request.partition) &&
             membership_.isLeaseValid()) {
             // Accept only while the queue stays below low: what has room now does not queue.
             // The queue that counts is the one for the machines this work could use: what waits
             // here although they have room waits for others.
-            const auto coming = requestId.tasks + promised(requestId.partition);
-            const auto capacity = placement_.capacityFor(*job, requestId.partition, coming);
-            answer.accepted = capacity > promised(requestId.partition) &&
-                              coming - capacity < tuningFor(requestId.partition).low;
+            const auto coming = request.tasks + promised(request.partition);
+            const auto capacity = placement_.capacityFor(*job, request.partition, coming);
+            answer.accepted = capacity > promised(request.partition) &&
+                              coming - capacity < tuningFor(request.partition).low;
         }
         if (answer.accepted)
             promises_.push_back(
-                {requestId.partition, requestId.tasks, context_.now() + promiseLasts});
+                {request.partition, request.tasks, context_.now() + promiseDuration});
     }
     if (peer == context_.settings.name) return onMigrationResponse(answer);
     context_.network.sendFrame(peer, protocol::encodePeer({context_.settings.name, answer}));
@@ -267,7 +267,7 @@
 
 void WorkMigrator::onMigrationResponse(const protocol::MigrationResponse& answer) {
     const auto found = pending_.find(answer.requestId);
-    // A late answer, when its peer was given up already.
+    // A late response; another peer has been asked since.
     if (found == pending_.end() || found->second.asked == context_.partitionCount()) return;
     if (answer.accepted)
         migrate(answer.requestId);
@@ -316,11 +316,11 @@
 
 void WorkMigrator::migrateTasks(std::uint64_t requestId, const Migration& migration,
                                 std::uint32_t target) {
-    stateWriter_.migrate(migration.partition,
-                         {migration.job, migration.slice, migration.range, target,
-                          context_.now() + promiseLasts, [this, requestId, target](bool migrated) {
-                              finishMigration(requestId, target, migrated);
-                          }});
+    stateWriter_.migrate(migration.partition, {migration.job, migration.slice, migration.range,
+                                               target, context_.now() + promiseDuration,
+                                               [this, requestId, target](bool migrated) {
+                                                   finishMigration(requestId, target, migrated);
+                                               }});
 }
 
 void WorkMigrator::finishMigration(std::uint64_t requestId, std::uint32_t target, bool migrated) {
@@ -330,20 +330,20 @@
     pending_.erase(found);
     setLeaving(made, false);
     if (!migrated) return;
-    queues_[made.partition].moved();
-    spdlog::info("move: {} of job {}, {} tasks, part {} to {}", made.wholeJob ? "all" : "a slice",
-                 made.job, made.tasks, made.partition, target);
+    queues_[made.partition].onMigrated();
+    spdlog::info("migration: work_migrated job={} tasks={} whole_job={} from={} to={}", made.job,
+                 made.tasks, made.wholeJob, made.partition, target);
 }
 
 std::optional<std::uint32_t> WorkMigrator::partitionOfDependencies(const Job& job) {
     // Parents with children, as DESIGN maps them: its trigger comes from the same process.
     auto clusterState = context_.clusterState.lock();
     for (auto id = job.spec.dependencies.rbegin(); id != job.spec.dependencies.rend(); ++id) {
-        const Job* live = clusterState->job(*id);
-        if (live != nullptr &&
-            clusterState->nodes.contains(clusterState->partitions[live->partition].leader) &&
-            placement_.isFeasible(job, live->partition))
-            return live->partition;
+        const Job* active = clusterState->job(*id);
+        if (active != nullptr &&
+            clusterState->nodes.contains(clusterState->partitions[active->partition].leader) &&
+            placement_.isFeasible(job, active->partition))
+            return active->partition;
     }
     return std::nullopt;
 }
--- a/src/coordination/migration/work_migrator.h
+++ b/src/coordination/migration/work_migrator.h
@@ -1,8 +1,18 @@
-// The paper's runtime adaptation: watch the ready queue, and migrate unstarted work to a peer.
+/// @file
+/// Work migration: samples the ready queues and gives unstarted work to peers.
+///
+/// Each sample period the queue's average is tested against the thresholds (`QueueAverage`). Work
+/// that no machine here can run, that has waited for long, or whose objective is at risk migrates
+/// at once. Peers are asked in turn; one that stays below its low threshold accepts, and one
+/// guarded change of the durable record moves the work.
 #pragma once
 
-#include <random>
+#include <map>
+#include <optional>
+#include <string>
+#include <vector>
 
+#include "coordination/migration/queue_average.h"
 #include "coordination/replication/state_writer.h"
 #include "coordination/replication/transaction_pipeline.h"
 #include "coordination/scheduling/placement.h"
@@ -10,29 +20,7 @@
 
 namespace fawnwheel::coordination {
 
-// Exponentially weighted average of the queue and the RED-like probability of a move.
-class QueueAverage {
-  public:
-    struct Tuning {
-        double weight = 0.2;
-        double low = 20;
-        double high = 200;
-        double probability = 0.1;
-    };
-
-    void sample(double queueLength, const Tuning& tuning);
-    // Probability of moving one job, given its stickiness from 0 (stays) to 1 (free to go).
-    [[nodiscard]] double moveProbability(double stickinessFactor, const Tuning& tuning) const;
-    void considered() { ++count_; }
-    void moved() { count_ = 0; }
-    [[nodiscard]] double average() const { return average_; }
-    [[nodiscard]] bool aboveHigh(const Tuning& tuning) const { return average_ > tuning.high; }
-
-  private:
-    double average_ = 0;
-    double count_ = 0;  // jobs seen since the last move
-};
-
+/// Migrates unstarted jobs or slices from partitions that this node leads to those of peers.
 class WorkMigrator {
   public:
     WorkMigrator(Context& context, Membership& membership, TransactionPipeline& pipeline,
@@ -43,13 +31,17 @@
           stateWriter_(stateWriter),
           placement_(placement) {}
 
+    /// Begins to sample; to be called once.
     void start();
-    void onMigrationRequest(const std::string& peer, const protocol::MigrationRequest& requestId);
+    /// A peer asks whether this node takes its work; it is answered at once.
+    void onMigrationRequest(const std::string& peer, const protocol::MigrationRequest& request);
     void onMigrationResponse(const protocol::MigrationResponse& answer);
-    // Where a new job starts out.
+    /// The partition that a new job starts out in: that of its last active dependency, else where
+    /// it would run first.
     [[nodiscard]] std::uint32_t mapJob(const Job& job);
 
   private:
+    /// Work for which a peer is being found.
     struct Migration {
         std::uint32_t partition = 0;  // ours
         std::string job;
@@ -60,20 +52,33 @@
         std::vector<std::uint32_t> peersLeft;  // partitions to ask, in turn
         std::uint32_t asked = 0;               // partition
     };
+    /// Work accepted from a peer that has not arrived yet.
     struct Promise {
         std::uint32_t partition = 0;
         std::uint32_t tasks = 0;
         SteadyTime until{};
     };
 
+    /// What speaks for migrating a job.
+    struct Pressure {
+        bool immediate = false;
+        double stickinessFactor = 0;
+    };
+
     void sampleAll();
     void samplePartition(std::uint32_t partition);
-    void consider(std::uint32_t partition, const std::string& id, bool always);
+    /// None: the job is gone. `longWaiting`: some of its tasks have found no place here for long.
+    [[nodiscard]] std::optional<Pressure> pressureOn(const std::string& id, std::uint32_t partition,
+                                                     bool longWaiting);
+    /// Begins migrations of the job's slices; only of the first one unless `all`.
+    void consider(std::uint32_t partition, const std::string& id, bool all);
     // Whether some of the job's tasks here could be migrated.
     [[nodiscard]] bool movable(const Job& job, std::uint32_t partition);
     // The tasks of a slice that may be migrated together; none: an empty range.
     [[nodiscard]] storage::TaskRange movableRange(const Slice& slice);
-    void migration(std::uint32_t partition, Job& job, const Slice& slice, bool wholeJob);
+    void beginMigration(std::uint32_t partition, Job& job, const Slice& slice, bool wholeJob);
+    /// Fills in the peers to ask, the best first, and cuts the work to what one of them can take.
+    void choosePeers(Migration& migration, const Job& job);
     void requestNextPeer(std::uint64_t requestId);
     void migrate(std::uint64_t requestId);
     void migrateJob(std::uint64_t requestId, const Migration& migration, std::uint32_t target);
--- a/tests/unit/coordination/migration/machine_transfers_test.cpp
+++ b/tests/unit/coordination/migration/machine_transfers_test.cpp
@@ -16,14 +16,14 @@
 using storage::keys::slice;
 
 // Partition 0 of node 0 has machines m-1 and m-2, and its peer node 2 owns partition 2.
-class TransferBench : public RecordBench {
+class TransferBench : public RecordBench, private MachineTransferObserver {
   protected:
     TransferBench()
         : membership(context),
           placement(context, membership),
           quotas(context, membership, pipeline, placement),
           heartbeats(context, membership, stateWriter),
-          transfers(context, pipeline, stateWriter.writer(), quotas, heartbeats) {
+          transfers(context, pipeline, stateWriter.writer(), quotas, heartbeats, *this) {
         settings_.teams = {{"t", 0, 0, 90, 0}};
         for (const auto* node : {"node-0", "node-1", "node-2"})
             state.put(storage::keys::machineTransfersGate(node), storage::featureGateValue());
@@ -37,6 +37,8 @@
         }
     }
 
+    void onAllocationsDurable(const std::set<std::string>&) override {}
+
     // Takes the records in, with machines that have been heard.
     void loadHeard() {
         load();
