--- a/src/coordination/controller.cpp
+++ b/src/coordination/controller.cpp
@@ -21,11 +21,11 @@
 Controller::Controller(const config::Settings& settings, const config::OperatorSettings& tuning,
                        transport::Timers& timers, transport::Network& network, std::uint64_t seed)
     : context_(settings, tuning, timers, network, seed),
-      replica_(context_),
-      reachability_(context_),
       pipeline_(context_),
+      replica_(context_, pipeline_, *this),
+      reachability_(context_),
       membership_(context_),
-      stateWriter_(context_, pipeline_),
+      stateWriter_(context_, pipeline_, *this),
       placement_(context_, membership_),
       heartbeats_(context_, membership_, stateWriter_),
       fleet_(context_, membership_, pipeline_, placement_, heartbeats_),
@@ -37,16 +37,6 @@
       statusReader_(context_),
       admission_(context_, statusReader_, migrator_),
       completionNotifier_(context_, membership_) {
-    replica_.inFlight = [this](const std::string& key) { return pipeline_.inFlight(key); };
-    replica_.onChange = [this] {
-        fleet_.adoptCatalog();
-        membership_.reconcile();
-        stopCancelledJobs();
-        completionNotifier_.resolveDependencies();
-        scheduleRound();
-    };
-    pipeline_.onDoubt = [this] { replica_.resync(); };
-    pipeline_.onSettled = [this](const std::vector<std::string>& keys) { replica_.settle(keys); };
     membership_.synced = [this] { return replica_.synced(); };
     membership_.everSynced = [this] { return replica_.everSynced(); };
     membership_.recordsCurrentAsOf = [this] { return replica_.currentAsOf(); };
@@ -66,23 +56,15 @@
         scheduleRound();
     };
     membership_.onLost = [this](std::uint32_t partition) { discardUnrecorded(partition); };
-    membership_.recordsComplete = [this] { return !replica_.anyDeferred(); };
-    stateWriter_.onTerminal = [this](const std::string& id, bool cancelled) {
-        statusReader_.recordTerminal(id, cancelled);
-        completionNotifier_.announce(id);
-        stopping_.erase(id);
-    };
-    stateWriter_.onCancelled = [this] { membership_.broadcastCancellations([] {}); };
+    membership_.recordsComplete = [this] { return !replica_.hasDeferredEvents(); };
     completionNotifier_.onRead = [this] { scheduleRound(); };
     statusReader_.recordsCurrentAsOf = [this] { return replica_.currentAsOf(); };
     context_.clusterState.lock()->dependencyGraph.stepTime = [this](const protocol::JobSpec& spec) {
         return placement_.stepTime(spec);
     };
-    stateWriter_.onDurable = [this](const std::set<std::string>& machines) {
-        heartbeats_.requestHeartbeats(machines);
-        scheduleRound();
+    transfers_.onDurable = [this](const std::set<std::string>& machines) {
+        onAllocationsDurable(machines);
     };
-    transfers_.onDurable = stateWriter_.onDurable;
     rebalancer_.onChange = [this] { scheduleRound(); };
     heartbeats_.onUnassigned = [this](const protocol::Heartbeat& heartbeat) {
         fleet_.onUnassignedHeartbeat(heartbeat);
@@ -100,6 +82,29 @@
     };
 }
 
+void Controller::onReplicaChanged() {
+    fleet_.adoptCatalog();
+    membership_.reconcile();
+    stopCancelledJobs();
+    completionNotifier_.resolveDependencies();
+    scheduleRound();
+}
+
+void Controller::onJobTerminal(const std::string& id, bool cancelled) {
+    statusReader_.recordTerminal(id, cancelled);
+    completionNotifier_.announce(id);
+    stopping_.erase(id);
+}
+
+void Controller::onDependentsCancelled() {
+    membership_.broadcastCancellations([] {});
+}
+
+void Controller::onAllocationsDurable(const std::set<std::string>& machines) {
+    heartbeats_.requestHeartbeats(machines);
+    scheduleRound();
+}
+
 void Controller::start() {
     replica_.start();
     membership_.start();
--- a/src/coordination/controller.h
+++ b/src/coordination/controller.h
@@ -14,7 +14,7 @@
 
 namespace fawnwheel::coordination {
 
-class Controller {
+class Controller final : private ReplicaObserver, private StateWriterObserver {
   public:
     Controller(const config::Settings& settings, const config::OperatorSettings& tuning,
                transport::Timers& timers, transport::Network& network, std::uint64_t seed);
@@ -38,10 +38,15 @@
     void stopCancelledJobs();
     void discardUnrecorded(std::uint32_t partition);
 
+    void onReplicaChanged() override;
+    void onJobTerminal(const std::string& id, bool cancelled) override;
+    void onDependentsCancelled() override;
+    void onAllocationsDurable(const std::set<std::string>& machines) override;
+
     Context context_;
+    TransactionPipeline pipeline_;
     Replica replica_;
     WorkerReachability reachability_;
-    TransactionPipeline pipeline_;
     Membership membership_;
     StateWriter stateWriter_;
     Placement placement_;
--- a/src/coordination/migration/machine_transfers.cpp
+++ b/src/coordination/migration/machine_transfers.cpp
@@ -58,7 +58,7 @@
         transfer.batch.transaction.writes.push_back(quota->change);
         transfer.quotas.push_back(std::move(*quota));
     }
-    return transfer.batch.transaction.writes.size() <= writer_.mostChanges();
+    return transfer.batch.transaction.writes.size() <= writer_.maxWrites();
 }
 
 void MachineTransfers::lend(std::uint32_t from, std::uint32_t to,
--- a/src/coordination/replication/replica.h
+++ b/src/coordination/replication/replica.h
@@ -1,57 +1,79 @@
-// Keeps the cluster state a replica of the active records: reads them all once, then follows the
-// changes.
+/// @file
+/// Keeps the cluster state a replica of the active records: reads them all once, then watches for
+/// changes.
 #pragma once
 
-#include <functional>
-#include <set>
+#include <map>
+#include <string>
+#include <vector>
 
-#include "coordination/context.h"
+#include "coordination/replication/transaction_pipeline.h"
 
 namespace fawnwheel::coordination {
 
-class Replica {
+/// Told of changes that the replica has applied to the cluster state.
+class ReplicaObserver {
   public:
-    explicit Replica(Context& context) : context_(context) {}
+    virtual ~ReplicaObserver() = default;
+    virtual void onReplicaChanged() = 0;
+};
+
+/// Replicates the active records from the state service into `Context::clusterState`.
+///
+/// A record that one of this process's own transactions is writing is not overwritten by the watch:
+/// its latest event is deferred until that transaction has its outcome.
+class Replica final : private TransactionObserver {
+  public:
+    /// Registers itself as the pipeline's observer. All three arguments must outlive the replica.
+    Replica(Context& context, TransactionPipeline& pipeline, ReplicaObserver& observer);
+    Replica(const Replica&) = delete;
+    Replica& operator=(const Replica&) = delete;
 
-    void start() { readAll(); }
-    // Everything anew: after a doubt about what the cluster state holds.
+    void start() { startSnapshot(); }
+    /// Reads all records again, because the cluster state may differ from them.
     void resync();
+    /// Whether the cluster state holds a complete and consistent set of the active records.
     [[nodiscard]] bool synced() const { return synced_; }
-    // Read in whole at least once by this process.
+    /// Whether this process has been synced at least once.
     [[nodiscard]] bool everSynced() const { return everSynced_; }
-    // The cluster state holds, or has noted, everything that was carried out before this.
+    /// Everything that the state service committed before this time has been applied or deferred.
     [[nodiscard]] SteadyTime currentAsOf() const { return currentAsOf_; }
-
-    // These keys' transactions have been settled: what the watch brought of them meanwhile, and
-    // what they are not under way for any more, is taken in now.
-    void settle(const std::vector<std::string>& keys);
-
-    // Whether the watch has brought changes that wait for transactions of ours to be settled.
-    [[nodiscard]] bool anyDeferred() const { return !deferred_.empty(); }
-
-    // Whether one of our own transactions on this key is under way: its answer settles the key.
-    std::function<bool(const std::string& key)> inFlight = [](const std::string&) { return false; };
-    std::function<void()> onChange = [] {};
+    /// Whether events wait for the outcome of this process's own transactions.
+    [[nodiscard]] bool hasDeferredEvents() const { return !deferredEvents_.empty(); }
 
   private:
-    void readAll();
-    void readPage(const std::string& after, std::uint64_t generation);
+    void onRecordsUncertain() override { resync(); }
+    void onKeysReleased(const std::vector<std::string>& keys) override;
+
+    void startSnapshot();
+    void readSnapshotPage(const std::string& after, std::uint64_t generation);
+    void onSnapshotPage(const std::string& after, std::uint64_t generation,
+                        const protocol::ReadResponse& answer);
+    /// Replaces the records in the cluster state by those that were read.
+    void installSnapshot();
+    /// Declares the replica synced once the watch has passed the last page of the snapshot.
+    void completeSync();
     void watch(std::uint64_t generation);
-    void finishRead();
-    void catchUp();
+    void onWatchResponse(const protocol::WatchResponse& answer, SteadyTime requested,
+                         std::uint64_t generation);
+    void applyEvents(const protocol::WatchResponse& answer);
+    /// Runs the action after a delay, unless another snapshot has been started by then.
+    void afterDelay(Duration delay, std::uint64_t generation, std::function<void()> action);
 
     Context& context_;
+    const TransactionPipeline& pipeline_;
+    ReplicaObserver& observer_;
     bool synced_ = false;
     bool everSynced_ = false;
     SteadyTime currentAsOf_{};
-    SteadyTime readBegan_{};
-    std::uint64_t generation_ = 0;
-    std::uint64_t firstRevision_ = 0;
-    std::uint64_t lastRevision_ = 0;
-    std::vector<protocol::Item> items_;
-    // The latest change of each key that was under way when the watch brought it. It may be newer
-    // than our own transaction's, whose answer can come later.
-    std::map<std::string, protocol::Event> deferred_;
+    SteadyTime snapshotStarted_{};
+    std::uint64_t generation_ = 0;  // of the snapshot; answers to an older one are ignored
+    std::uint64_t firstPageRevision_ = 0;
+    std::uint64_t lastPageRevision_ = 0;
+    std::vector<protocol::Item> snapshotItems_;
+    // The latest event of each key that was in flight when the watch delivered it. It may be newer
+    // than this process's own write, whose answer can arrive later.
+    std::map<std::string, protocol::Event> deferredEvents_;
 };
 
 }  // namespace fawnwheel::coordination
--- a/src/coordination/replication/state_writer.cpp
+++ b/src/coordination/replication/state_writer.cpp
@@ -14,13 +14,14 @@
 
 constexpr std::size_t entitledPerBestEffort = 3;  // slices in one transaction
 constexpr auto pauseAfterRejection = 500ms;
-// Under the write limit; the more ends one record then tells of, the fewer are written.
-constexpr auto endsPatience = 10s;
-constexpr auto patiencePerRank = 1s;  // a slice waits so much longer for each step down in priority
+// Under the write limit; the more completions one record covers, the fewer records are written.
+constexpr auto completionDelay = 10s;
+constexpr auto delayPerPriorityStep = 1s;  // for each step down from the highest priority
 
-// Starts wait for allocations to become durable, and a job's end for its last tasks. Nobody waits
-// for the other ends: until they are recorded their workers go on reporting them.
-bool somebodyWaitsFor(const Slice& slice) {
+/// Whether something waits for the slice's record: starts wait for allocations to become durable,
+/// and a job's end for its last tasks. Nothing waits for other completions: until they are
+/// recorded, their workers go on reporting them.
+bool isAwaited(const Slice& slice) {
     return slice.complete() ||
            std::any_of(slice.allocations.begin(), slice.allocations.end(),
                        [](const Allocation& allocation) { return !allocation.durable; });
@@ -32,7 +33,7 @@
     return range.count > 0;
 }
 
-// The partitions in which something of the job is known here and not recorded.
+/// The partitions that have changes of the job which are not recorded yet.
 std::set<std::uint32_t> partitionsWithUnrecorded(const Job& job) {
     std::set<std::uint32_t> partitions;
     for (const auto& slice : job.slices)
@@ -42,26 +43,27 @@
 
 }  // namespace
 
-void StateWriter::migrate(std::uint32_t partition, SliceMigration migrate) {
-    migrations_[partition].push_back(std::move(migrate));
+void StateWriter::migrate(std::uint32_t partition, SliceMigration migration) {
+    migrations_[partition].push_back(std::move(migration));
     flush(partition);
 }
 
-bool StateWriter::sliceUnderWay(const Job& job) const {
+bool StateWriter::hasSliceInFlight(const Job& job) const {
     return std::any_of(job.slices.begin(), job.slices.end(), [&](const Slice& slice) {
         return pipeline_.inFlight(storage::keys::slice(job.spec.id, slice.index));
     });
 }
 
-bool StateWriter::over(ClusterState& clusterState, const Job& job) const {
+bool StateWriter::isTerminal(ClusterState& clusterState, const Job& job) const {
     if (!job.cancelled) return job.complete();
     // A cancelled job ends when the last of its tasks is proved gone. Allocations by other
-    // partitions are known up to `applied`, but for slices that are under way here; later ones fail
+    // partitions are known up to `applied`, except for slices in flight from here; later ones fail
     // on the job's version.
-    if (job.anyAllocation() || clusterState.applied < job.version || sliceUnderWay(job))
+    if (job.anyAllocation() || clusterState.applied < job.version || hasSliceInFlight(job))
         return false;
-    // Its active record stays until no live job that names it could be taken to wait for a job that
-    // is done. Later ones can't be created as if it were not cancelled: they fail on its version.
+    // Its active record stays until no active dependent could be taken to wait for a job that is
+    // done. Later dependents can't be created as if it were not cancelled: they fail on its
+    // version.
     const auto& dependents = clusterState.dependencyGraph.dependents(job.spec.id);
     return std::all_of(dependents.begin(), dependents.end(),
                        [&clusterState](const std::string& id) {
@@ -71,8 +73,8 @@
 }
 
 void StateWriter::addCancellations(Batch& batch, ClusterState& clusterState,
-                                   std::uint32_t partition) {
-    // Whoever owns the partition finishes it: what is left to do shows in the records.
+                                   std::uint32_t partition) const {
+    // Whichever node leads the partition finishes this: what is left to do shows in the records.
     for (const auto& [id, job] : clusterState.jobs) {
         if (writer_.full(batch)) return;
         if (!job.dependencyCancelled || job.cancelled || job.completing ||
@@ -89,109 +91,115 @@
     }
 }
 
-void StateWriter::addTerminal(Batch& batch, const ClusterState& clusterState, Job& job) {
+void StateWriter::addTerminal(Batch& batch, const ClusterState& clusterState, Job& job) const {
     auto& writes = batch.transaction.writes;
-    if (writes.size() + 2 > writer_.mostChanges()) return;
+    if (writes.size() + 2 > writer_.maxWrites()) return;
     batch.transaction.compares.push_back({storage::keys::job(job.spec.id), job.version});
-    // Ends that are not recorded hold for the term in which they were proved: another leader of
-    // that partition would know nothing of them, and may have started the tasks once more.
+    // Completions that are not recorded hold for the term in which they were proved: another leader
+    // of that partition would know nothing of them, and may have started the tasks once more.
     for (const auto other : partitionsWithUnrecorded(job))
         if (other != job.partition)
             batch.transaction.compares.push_back(
                 {storage::keys::partition(other), clusterState.partitions.at(other).version});
     writes.push_back({storage::keys::job(job.spec.id), std::nullopt, 0});
     storage::TerminalState state{job.cancelled, std::nullopt};
-    // Those that wait for it count their time from now on, also with a dependent of this leader.
+    // Dependents count their time from this moment, also under a later leader.
     if (context_.jobDependenciesEnabled(clusterState)) state.at = context_.timers.wallNow();
     writes.push_back({storage::keys::terminal(job.spec.id), storage::terminalValue(state), 0});
     for (const auto& slice : job.slices) {
-        // The others become strays once the job has ended, and not before: deleted on a hope, the
-        // records of a job that lived on were missing, and its running tasks known to nobody
+        // The other records become orphans once the job has ended, and not before: when they were
+        // deleted ahead of its end, a job that lived on had no records, and its running tasks were
+        // unknown to every leader
         // (ARefusedEndLeavesTheSlicesOfTheJob).
-        if (slice.version == 0 || writes.size() >= writer_.mostChanges()) continue;
+        if (slice.version == 0 || writes.size() >= writer_.maxWrites()) continue;
         const auto key = storage::keys::slice(job.spec.id, slice.index);
         writes.push_back({key, std::nullopt, 0});
     }
-    batch.bytes += SliceWriter::bytesPerChange * 2;
+    batch.bytes += SliceWriter::bytesPerWrite * 2;
     batch.terminals.push_back({job.spec.id, state});
     job.completing = true;
 }
 
-bool StateWriter::addMigration(Batch& batch, Job& job, const SliceMigration& migrate) {
-    if (!writer_.add(batch, job, job.slices[migrate.slice], {{migrate.range}, migrate.target}))
+bool StateWriter::addMigration(Batch& batch, Job& job, const SliceMigration& migration) {
+    if (!writer_.add(batch, job, job.slices[migration.slice],
+                     {{migration.range}, migration.target}))
         return false;
-    batch.migrated.push_back(migrate.done);
+    batch.migrationCallbacks.push_back(migration.done);
     return true;
 }
 
+bool StateWriter::isMigrationPossible(const Batch& batch, ClusterState& clusterState,
+                                      std::uint32_t partition,
+                                      const SliceMigration& migration) const {
+    const Job* job = clusterState.job(migration.job);
+    return context_.now() < migration.until && job != nullptr &&
+           !clusterState.knownCancelled(*job) && !job->completing &&
+           migration.slice < job->slices.size() &&
+           job->slices[migration.slice].partition == partition &&
+           allUnstarted(job->slices[migration.slice], migration.range) &&
+           // Two divisions of one job would add pieces under the same new indexes.
+           !batch.jobs.contains(migration.job);
+}
+
 void StateWriter::addMigrations(Batch& batch, ClusterState& clusterState, std::uint32_t partition) {
-    auto& waiting = migrations_[partition];
-    while (!waiting.empty() && !writer_.full(batch)) {
-        const auto& next = waiting.front();
-        Job* job = clusterState.job(next.job);
-        const bool possible = context_.now() < next.until && job != nullptr &&
-                              !clusterState.knownCancelled(*job) && !job->completing &&
-                              next.slice < job->slices.size() &&
-                              job->slices[next.slice].partition == partition &&
-                              allUnstarted(job->slices[next.slice], next.range) &&
-                              // Two divisions of one job would allocation the same new indexes.
-                              !batch.jobs.contains(next.job);
-        if (!possible) {
+    auto& queue = migrations_[partition];
+    while (!queue.empty() && !writer_.full(batch)) {
+        const auto& next = queue.front();
+        if (!isMigrationPossible(batch, clusterState, partition, next))
             next.done(false);
-        } else if (!addMigration(batch, *job, next)) {
+        else if (!addMigration(batch, *clusterState.job(next.job), next))
             return;
-        }
-        waiting.pop_front();
+        queue.pop_front();
     }
 }
 
 void StateWriter::addTerminals(Batch& batch, ClusterState& clusterState, std::uint32_t partition,
-                               bool bestEffort, std::size_t mostChanges) {
+                               bool bestEffort, std::size_t maxWrites) const {
     for (auto& [id, job] : clusterState.jobs) {
-        if (writer_.full(batch) || batch.transaction.writes.size() >= mostChanges) return;
+        if (writer_.full(batch) || batch.transaction.writes.size() >= maxWrites) return;
         if (job.partition == partition && !job.completing &&
             context_.isBestEffort(job) == bestEffort && !batch.jobs.contains(id) &&
-            over(clusterState, job))
+            isTerminal(clusterState, job))
             addTerminal(batch, clusterState, job);
     }
 }
 
-std::vector<StateWriter::Dirty> StateWriter::dirtySlices(ClusterState& clusterState,
-                                                         std::uint32_t partition,
-                                                         const Batch& batch) const {
+std::vector<StateWriter::DirtySlice> StateWriter::dirtySlices(ClusterState& clusterState,
+                                                              std::uint32_t partition,
+                                                              const Batch& batch) const {
     const auto now = context_.now();
-    std::vector<Dirty> entitled;
-    std::vector<Dirty> bestEffort;
+    std::vector<DirtySlice> entitled;
+    std::vector<DirtySlice> bestEffort;
     for (auto& [id, job] : clusterState.jobs) {
         // What a job's end will say needs no record of its own.
         if (job.completing || batch.jobs.contains(id) ||
-            (job.partition == partition && over(clusterState, job)))
+            (job.partition == partition && isTerminal(clusterState, job)))
             continue;
-        auto& same = context_.isBestEffort(job) ? bestEffort : entitled;
+        auto& queue = context_.isBestEffort(job) ? bestEffort : entitled;
         for (auto& slice : job.slices) {
             if (!slice.dirty || slice.partition != partition) continue;
             if (!slice.dirtySince) slice.dirtySince = now;
-            const Duration patience = patiencePerRank * static_cast<int>(job.priority) +
-                                      (somebodyWaitsFor(slice) ? Duration::zero() : endsPatience);
-            same.push_back({*slice.dirtySince + patience, &job, &slice});
+            const Duration delay = delayPerPriorityStep * static_cast<int>(job.priority) +
+                                   (isAwaited(slice) ? Duration::zero() : completionDelay);
+            queue.push_back({*slice.dirtySince + delay, &job, &slice});
         }
     }
-    // What has waited longest, urgent jobs before others. In the order of their names some slices
-    // waited for a minute and more while those of earlier names were written again and again.
-    const auto earlier = [](const Dirty& one, const Dirty& other) {
+    // The longest wait first, adjusted by priority. In the order of their names some slices waited
+    // for a minute and more while those of earlier names were written again and again.
+    const auto earlier = [](const DirtySlice& one, const DirtySlice& other) {
         return std::tie(one.due, one.job->spec.id, one.slice->index) <
                std::tie(other.due, other.job->spec.id, other.slice->index);
     };
     std::sort(entitled.begin(), entitled.end(), earlier);
     std::sort(bestEffort.begin(), bestEffort.end(), earlier);
-    return interleaved(entitled, bestEffort);
+    return interleave(entitled, bestEffort);
 }
 
-std::vector<StateWriter::Dirty> StateWriter::interleaved(const std::vector<Dirty>& entitled,
-                                                         const std::vector<Dirty>& bestEffort) {
-    // A best-effort job's thousands of slices, each older than a host's latest, would keep that
-    // waiting.
-    std::vector<Dirty> all;
+std::vector<StateWriter::DirtySlice> StateWriter::interleave(
+    const std::vector<DirtySlice>& entitled, const std::vector<DirtySlice>& bestEffort) {
+    // The thousands of slices of a best-effort job, each dirty for longer than those of entitled
+    // jobs, would delay the latter.
+    std::vector<DirtySlice> all;
     auto next = bestEffort.begin();
     for (std::size_t i = 0; i < entitled.size(); ++i) {
         all.push_back(entitled[i]);
@@ -220,11 +228,11 @@
         auto clusterState = context_.clusterState.lock();
         batch.generation = clusterState->generation;
         addCancellations(batch, *clusterState, partition);
-        addTerminals(batch, *clusterState, partition, false, writer_.mostChanges());
-        addTerminals(batch, *clusterState, partition, true, writer_.mostChanges() / 2);
+        addTerminals(batch, *clusterState, partition, false, writer_.maxWrites());
+        addTerminals(batch, *clusterState, partition, true, writer_.maxWrites() / 2);
         addMigrations(batch, *clusterState, partition);
         addSlices(batch, *clusterState, partition);
-        addTerminals(batch, *clusterState, partition, true, writer_.mostChanges());
+        addTerminals(batch, *clusterState, partition, true, writer_.maxWrites());
     }
     if (batch.transaction.writes.empty()) return deleteOrphans(partition);
     auto transaction = batch.transaction;
@@ -235,6 +243,19 @@
         });
 }
 
+void StateWriter::finishTerminals(ClusterState& clusterState, const Batch& batch,
+                                  CommitResult result) {
+    for (const auto& [id, state] : batch.terminals) {
+        if (Job* job = clusterState.job(id)) job->completing = false;
+        if (result != CommitResult::done) continue;
+        spdlog::debug("state_writer: job_terminal job={} outcome={}", id,
+                      state.cancelled ? "cancelled" : "done");
+        clusterState.dependencyGraph.recordTerminal(id, state);
+        clusterState.dropJob(id);
+        observer_.onJobTerminal(id, state.cancelled);
+    }
+}
+
 void StateWriter::finish(std::uint32_t partition, const Batch& batch, CommitResult result,
                          std::uint64_t revision) {
     std::set<std::string> machines;
@@ -248,22 +269,19 @@
             for (const auto& write : batch.cancellations)
                 storage::applyEvent(*clusterState, {write.key, write.value, revision},
                                     context_.now());
-        for (const auto& [id, state] : batch.terminals) {
-            if (Job* job = clusterState->job(id)) job->completing = false;
-            if (result != CommitResult::done) continue;
-            spdlog::debug("job {}: {}", id, state.cancelled ? "cancelled" : "done");
-            clusterState->dependencyGraph.recordTerminal(id, state);
-            clusterState->dropJob(id);
-            onTerminal(id, state.cancelled);
-        }
+        finishTerminals(*clusterState, batch, result);
         machines = writer_.finish(*clusterState, batch, result, revision);
     }
-    for (const auto& done : batch.migrated) done(result == CommitResult::done);
-    if (result == CommitResult::done && !batch.cancellations.empty()) onCancelled();
-    if (!machines.empty()) onDurable(machines);
-    // Not before what the watch has brought of these keys meanwhile is taken in.
-    if (result == CommitResult::done)
-        context_.timers.after(Duration::zero(), [this, partition] { flush(partition); });
+    for (const auto& done : batch.migrationCallbacks) done(result == CommitResult::done);
+    if (result == CommitResult::done && !batch.cancellations.empty())
+        observer_.onDependentsCancelled();
+    if (!machines.empty()) observer_.onAllocationsDurable(machines);
+    if (result == CommitResult::done) flushNext(partition);
+}
+
+void StateWriter::flushNext(std::uint32_t partition) {
+    // Not before the events that the watch delivered for these keys meanwhile are applied.
+    context_.timers.after(Duration::zero(), [this, partition] { flush(partition); });
 }
 
 void StateWriter::deleteOrphans(std::uint32_t partition) {
@@ -271,12 +289,12 @@
     std::set<std::string> jobs;
     {
         auto clusterState = context_.clusterState.lock();
-        // Read before its job's record was, which may have been created in between.
+        // Its record was read before that of its job, which was created in between.
         std::erase_if(clusterState->orphanedRecords, [&clusterState](const auto& entry) {
             return clusterState->job(entry.second.job) != nullptr;
         });
         for (const auto& [key, orphan] : clusterState->orphanedRecords) {
-            if (transaction.writes.size() >= writer_.mostChanges()) break;
+            if (transaction.writes.size() >= writer_.maxWrites()) break;
             if (orphan.partition != partition) continue;
             transaction.writes.push_back({key, std::nullopt, 0});
             jobs.insert(orphan.job);
@@ -292,8 +310,7 @@
                          auto clusterState = context_.clusterState.lock();
                          for (const auto& write : writes)
                              clusterState->orphanedRecords.erase(write.key);
-                         context_.timers.after(Duration::zero(),
-                                               [this, partition] { flush(partition); });
+                         flushNext(partition);
                      });
 }
 
--- a/src/coordination/replication/transaction_pipeline.h
+++ b/src/coordination/replication/transaction_pipeline.h
@@ -1,66 +1,98 @@
-// Carries a leader's changes to the state service: for each partition one transaction at a time,
-// each guarded by the partition's own record, repeated until there is a definite answer.
+/// @file
+/// Carries a leader's writes to the state service: for each partition one transaction at a time,
+/// each fenced by the partition's own record, repeated until there is a definite answer.
 #pragma once
 
 #include <deque>
 #include <functional>
 #include <map>
 #include <set>
+#include <string>
+#include <vector>
 
 #include "coordination/context.h"
 
 namespace fawnwheel::coordination {
 
+/// The definite outcome of a transaction.
 enum class CommitResult {
     done,
-    conflict,  // another writer came first; the cluster state has been refreshed
-    rejected,  // too large for the state service; the cluster state has been refreshed
-    partitionLost,
+    conflict,       ///< another writer came first; the cluster state has been refreshed
+    rejected,       ///< too large for the state service; the cluster state has been refreshed
+    partitionLost,  ///< this node no longer leads the partition in that term
 };
 
+/// Told what transactions mean for the replicated records.
+class TransactionObserver {
+  public:
+    virtual ~TransactionObserver() = default;
+    /// What is known of a partition may be wrong: the records have to be read again.
+    virtual void onRecordsUncertain() = 0;
+    /// A transaction has its outcome, and its caller has been told of it. The keys that it wrote
+    /// may no longer be in flight.
+    virtual void onKeysReleased(const std::vector<std::string>& keys) = 0;
+};
+
+/// A queue of transactions for each partition, in the order in which they were decided.
 class TransactionPipeline {
   public:
     using Done = std::function<void(CommitResult, std::uint64_t revision)>;
 
     explicit TransactionPipeline(Context& context) : context_(context) {}
 
-    // The partition's record as it is known now is added to the conditions: a change that was
-    // decided in one term is never carried out in a later one. After a conflict the cluster state
-    // has been refreshed.
+    /// Called once, by the replica, which is constructed with the pipeline and after it.
+    void setObserver(TransactionObserver& observer) { observer_ = &observer; }
+
+    /// Queues a transaction; `done` is called exactly once, with its revision if it was committed.
+    /// The version of the partition's record as known now is added to the compares: what was
+    /// decided in one term is never committed in a later one.
     void commit(std::uint32_t partition, protocol::CompareAndSwap transaction, Done done);
+    /// Whether a transaction of the partition waits for its outcome.
     [[nodiscard]] bool busy(std::uint32_t partition) const;
+    /// Whether a queued transaction writes this key.
     [[nodiscard]] bool inFlight(const std::string& key) const { return keys_.contains(key); }
-    // The partition is no longer ours: what waits is dropped.
+    /// This node no longer leads the partition: its queued transactions end as `partitionLost`.
     void abandon(std::uint32_t partition);
 
-    // What is known of the partition may be wrong: the records have to be read anew.
-    std::function<void()> onDoubt = [] {};
-    // A transaction has its outcome, and its leader has taken it in: these keys may be free again.
-    std::function<void(const std::vector<std::string>& keys)> onSettled =
-        [](const std::vector<std::string>&) {};
-
   private:
     struct PendingTransaction {
         protocol::CompareAndSwap transaction;
         Done done;
-        bool sent = false;     // at least once without a definite answer
-        bool sending = false;  // its answer is awaited
+        bool maybeCommitted = false;    // sent at least once without a definite answer
+        bool awaitingResponse = false;  // to the request that was sent last
         bool rejected = false;
         std::uint64_t id = 0;
         std::uint64_t partitionVersion = 0;  // the term in which it was decided
     };
+    /// The records that a refused transaction names, read one by one.
+    struct RecordReads {
+        std::size_t outstanding = 0;
+        bool failed = false;
+        std::vector<protocol::Item> items;
+        std::map<std::string, std::uint64_t> absent;  // as of this revision
+    };
 
+    /// The transaction at the head of the partition's queue, if it is still this one.
+    [[nodiscard]] PendingTransaction* head(std::uint32_t partition, std::uint64_t id);
     void send(std::uint32_t partition);
-    void settle(std::uint32_t partition, CommitResult result, std::uint64_t revision);
-    // Frees the keys of a transaction and tells its leader of the outcome.
-    void finish(const PendingTransaction& pending, CommitResult result, std::uint64_t revision);
-    void readBack(std::uint32_t partition);
-    void finishReadBack(std::uint32_t partition, std::vector<protocol::Item> items,
-                        const std::map<std::string, std::uint64_t>& missing);
+    void onResponse(std::uint32_t partition, std::uint64_t id,
+                    const protocol::CompareAndSwapResponse& answer);
+    /// Removes the head of the queue with its outcome, and sends the next one.
+    void complete(std::uint32_t partition, CommitResult result, std::uint64_t revision);
+    /// Releases the keys of a transaction and tells its caller of the outcome.
+    void resolve(const PendingTransaction& pending, CommitResult result, std::uint64_t revision);
+    /// Reads all records that the head of the queue names, to learn whether it was committed.
+    void readRecords(std::uint32_t partition);
+    void onRecordsRead(std::uint32_t partition, const RecordReads& reads);
+    /// The revision at which all writes were committed (0: there were only deletions), or none.
+    [[nodiscard]] static std::optional<std::uint64_t> committedRevision(
+        const protocol::CompareAndSwap& transaction, const RecordReads& reads);
+    void refreshClusterState(const RecordReads& reads);
 
     Context& context_;
-    std::map<std::uint32_t, std::deque<PendingTransaction>> queues_;
-    std::multiset<std::string> keys_;
+    TransactionObserver* observer_ = nullptr;
+    std::map<std::uint32_t, std::deque<PendingTransaction>> queues_;  // by partition
+    std::multiset<std::string> keys_;                                 // in flight
     std::uint64_t nextId_ = 1;
 };
 
--- a/tests/unit/coordination/replication/record_bench.h
+++ b/tests/unit/coordination/replication/record_bench.h
@@ -182,6 +182,15 @@
     }
 };
 
+/// Ignores everything that the replica and the state writer announce.
+class IgnoringObserver final : public ReplicaObserver, public StateWriterObserver {
+  public:
+    void onReplicaChanged() override {}
+    void onJobTerminal(const std::string&, bool) override {}
+    void onDependentsCancelled() override {}
+    void onAllocationsDurable(const std::set<std::string>&) override {}
+};
+
 // Node 0 of three, the leader of partitions 0 and 1, with its records, replica, transaction
 // pipeline and state writer.
 class RecordBench : public ::testing::Test {
@@ -190,15 +199,12 @@
         : settings_(makeSettings(valueKb, writes)),
           context(settings_, operators_, timers, state, 1),
           pipeline(context),
-          stateWriter(context, pipeline),
-          replica(context) {
+          stateWriter(context, pipeline, observer_),
+          replica(context, pipeline, observer_) {
         for (const auto* node : {"node-0", "node-1", "node-2"})
             state.put(storage::keys::jobDependenciesGate(node), storage::featureGateValue());
         for (std::uint32_t partition = 0; partition < 3; ++partition)
             own(partition, partition < 2 ? "node-0" : "node-2", 1);
-        replica.inFlight = [this](const std::string& key) { return pipeline.inFlight(key); };
-        pipeline.onDoubt = [this] { replica.resync(); };
-        pipeline.onSettled = [this](const std::vector<std::string>& keys) { replica.settle(keys); };
     }
 
     static config::Settings makeSettings(double valueKb, std::size_t writes) {
@@ -301,6 +307,7 @@
     config::OperatorSettings operators_;
     config::Settings settings_;
     Context context;
+    IgnoringObserver observer_;
     TransactionPipeline pipeline;
     StateWriter stateWriter;
     Replica replica;
