--- a/src/coordination/controller.h
+++ b/src/coordination/controller.h
@@ -18,8 +18,10 @@
 
 /// One controller process: owns all modules and runs them in turn on one thread.
 class Controller final : private RoundScheduler,
-                         private AdmissionObserver,
-                         private MachineTransferObserver {
+                         private ReplicaObserver,
+                         private StateWriterObserver,
+                         private MachineTransferObserver,
+                         private AdmissionObserver {
   public:
     Controller(const config::Settings& settings, const config::OperatorSettings& tuning,
                transport::Timers& timers, transport::Network& network, std::uint64_t seed);
@@ -37,7 +39,6 @@
 
   private:
     void scheduleRound() override;
-    void onAllocationsDurable(const std::set<std::string>& machines) override;
     void onJobAccepted() override;
     void onJobCancelled(std::function<void()> respond) override;
     void runRound();
@@ -45,10 +46,15 @@
     void stopCancelledJobs();
     void discardUnrecorded(std::uint32_t partition);
 
+    void onReplicaChanged() override;
+    void onJobTerminal(const std::string& id, bool cancelled) override;
+    void onDependentsCancelled() override;
+    void onAllocationsDurable(const std::set<std::string>& machines) override;
+
     Context context_;
+    TransactionPipeline pipeline_;
     Replica replica_;
     WorkerReachability reachability_;
-    TransactionPipeline pipeline_;
     Membership membership_;
     StateWriter stateWriter_;
     Placement placement_;
