--- a/src/coordination/controller.cpp
+++ b/src/coordination/controller.cpp
@@ -22,9 +22,9 @@
                        transport::Timers& timers, transport::Network& network, std::uint64_t seed)
     : context_(settings, tuning, timers, network, seed),
       replica_(context_),
-      reachability_(context_),
+      reachability_(context_, *this),
       pipeline_(context_),
-      membership_(context_),
+      membership_(context_, replica_, reachability_, pipeline_, *this),
       stateWriter_(context_, pipeline_),
       placement_(context_, membership_),
       heartbeats_(context_, membership_, stateWriter_),
@@ -47,26 +47,6 @@
     };
     pipeline_.onDoubt = [this] { replica_.resync(); };
     pipeline_.onSettled = [this](const std::vector<std::string>& keys) { replica_.settle(keys); };
-    membership_.synced = [this] { return replica_.synced(); };
-    membership_.everSynced = [this] { return replica_.everSynced(); };
-    membership_.recordsCurrentAsOf = [this] { return replica_.currentAsOf(); };
-    membership_.onCancellations = [this] { stopCancelledJobs(); };
-    membership_.ready = [this] {
-        return replica_.synced() && !context_.catalog.empty() && reachability_.isStable();
-    };
-    membership_.workersUnreachable = [this] { return reachability_.isUnreachable(); };
-    reachability_.onChange = [this] {
-        membership_.onReachabilityChanged();
-        scheduleRound();
-    };
-    membership_.busy = [this](std::uint32_t partition) { return pipeline_.busy(partition); };
-    membership_.onActive = [this](std::uint32_t partition) {
-        heartbeats_.onPartitionAcquired(partition);
-        reachability_.expectHeartbeats();
-        scheduleRound();
-    };
-    membership_.onLost = [this](std::uint32_t partition) { discardUnrecorded(partition); };
-    membership_.recordsComplete = [this] { return !replica_.anyDeferred(); };
     stateWriter_.onTerminal = [this](const std::string& id, bool cancelled) {
         statusReader_.recordTerminal(id, cancelled);
         completionNotifier_.announce(id);
@@ -139,7 +119,18 @@
     }
 }
 
-void Controller::discardUnrecorded(std::uint32_t partition) {
+void Controller::onPartitionAcquired(std::uint32_t partition) {
+    heartbeats_.onPartitionAcquired(partition);
+    reachability_.expectHeartbeats();
+    scheduleRound();
+}
+
+void Controller::onReachabilityChanged() {
+    membership_.onReachabilityChanged();
+    scheduleRound();
+}
+
+void Controller::onPartitionLost(std::uint32_t partition) {
     // Kept over a loss, an allocation that this leader had seen ended, and a dependent had started
     // once more by its record, was written off when the partition came back: the task then ran
     // unknown to anybody, and once more elsewhere (scenario unrecorded_over_terms).
--- a/src/coordination/controller.h
+++ b/src/coordination/controller.h
@@ -14,7 +14,7 @@
 
 namespace fawnwheel::coordination {
 
-class Controller {
+class Controller final : private MembershipObserver, private ReachabilityObserver {
   public:
     Controller(const config::Settings& settings, const config::OperatorSettings& tuning,
                transport::Timers& timers, transport::Network& network, std::uint64_t seed);
@@ -31,12 +31,15 @@
     [[nodiscard]] bool synced() const { return replica_.synced(); }
 
   private:
+    void onPartitionAcquired(std::uint32_t partition) override;
+    void onPartitionLost(std::uint32_t partition) override;
+    void onCancellationsLearned() override { stopCancelledJobs(); }
+    void onReachabilityChanged() override;
     void handleHeartbeat(const std::string& body, const transport::HttpReply& reply);
     void scheduleRound();
     void runRound();
     void runMaintenance();
     void stopCancelledJobs();
-    void discardUnrecorded(std::uint32_t partition);
 
     Context context_;
     Replica replica_;
--- a/src/coordination/membership/worker_reachability.cpp
+++ b/src/coordination/membership/worker_reachability.cpp
@@ -12,22 +12,24 @@
 
 using namespace std::chrono_literals;
 
-constexpr std::size_t inspectedAtOnce = 3;
-constexpr int roundsToLose = 2;
+constexpr std::size_t maxInspections = 3;
+constexpr int silentRoundsToLose = 2;
 constexpr auto inspectTimeout = 1s;
-// Heartbeats of many workers come at random moments: a gap of so many mean intervals is no chance.
-constexpr double unlikelyGaps = 20;
+// Heartbeats of many workers come at random moments: a gap of so many mean intervals is no
+// coincidence.
+constexpr double maxMeanIntervals = 20;
 constexpr double minHeartbeatIntervals = 0.5;
 constexpr double maxHeartbeatIntervals = 2.5;
-constexpr Duration leastSilence = 3s;
-constexpr auto steadyAfter = 4s;
-// Those that were inspected may be gone rather than cut off: contact is then taken to be back.
-constexpr auto presumedBack = 60s;
+constexpr Duration minSilence = 3s;
+constexpr auto stableAfter = 4s;
+// The inspected workers may be gone rather than cut off: after this the others are presumed to
+// reach this node again.
+constexpr auto presumedReachableAfter = 60s;
 
 }  // namespace
 
 bool WorkerReachability::isStable() const {
-    return !unreachable_ && (!reachableSince_ || context_.now() - *reachableSince_ >= steadyAfter);
+    return !unreachable_ && (!reachableSince_ || context_.now() - *reachableSince_ >= stableAfter);
 }
 
 void WorkerReachability::recordContact() {
@@ -36,18 +38,18 @@
     if (unreachable_) setUnreachable(false);
 }
 
-void WorkerReachability::setUnreachable(bool lost) {
-    if (unreachable_ == lost) return;
-    unreachable_ = lost;
-    if (lost)
+void WorkerReachability::setUnreachable(bool unreachable) {
+    if (unreachable_ == unreachable) return;
+    unreachable_ = unreachable;
+    if (unreachable)
         unreachableSince_ = context_.now();
     else
         reachableSince_ = context_.now();
-    spdlog::info("workers: {}", lost ? "none reaches this node" : "reach this node again");
-    onChange();
+    spdlog::info("reachability: {}", unreachable ? "workers_unreachable" : "workers_reachable");
+    observer_.onReachabilityChanged();
 }
 
-std::optional<Duration> WorkerReachability::longestSilence(
+std::optional<Duration> WorkerReachability::maxSilence(
     const std::vector<std::uint32_t>& partitions) {
     std::size_t machines = 0;
     auto clusterState = context_.clusterState.lock();
@@ -57,11 +59,11 @@
                 (machine->lastHeartbeat || !machine->allocations.empty()))
                 ++machines;
     if (machines == 0) return std::nullopt;
-    const auto period = context_.settings.heartbeatInterval;
-    const Seconds unlikely = period * unlikelyGaps / static_cast<double>(machines);
-    const auto silence = std::clamp<Seconds>(unlikely, period * minHeartbeatIntervals,
-                                             period * maxHeartbeatIntervals);
-    return std::max(leastSilence, ticks(silence));
+    const auto interval = context_.settings.heartbeatInterval;
+    const Seconds improbable = interval * maxMeanIntervals / static_cast<double>(machines);
+    const auto silence = std::clamp<Seconds>(improbable, interval * minHeartbeatIntervals,
+                                             interval * maxHeartbeatIntervals);
+    return std::max(minSilence, ticks(silence));
 }
 
 std::vector<std::string> WorkerReachability::addressesOf(
@@ -77,38 +79,38 @@
 }
 
 void WorkerReachability::checkReachability(const std::vector<std::uint32_t>& partitions) {
-    if (open_ > 0) return;
+    if (pendingInspections_ > 0) return;
     if (!unreachable_) {
-        const auto silence = longestSilence(partitions);
+        const auto silence = maxSilence(partitions);
         if (!silence || context_.now() - lastContact_ <= *silence) return;
         return inspect(addressesOf(partitions));
     }
-    if (context_.now() - unreachableSince_ > presumedBack) return recordContact();
+    if (context_.now() - unreachableSince_ > presumedReachableAfter) return recordContact();
     auto addresses = addressesOf(partitions);
-    // Its partitions are with peers now: the machines of the partition that it owns by preference
-    // will do.
+    // Its partitions are with peers now: the machines of the partition whose preferred leader it is
+    // serve as well.
     if (addresses.empty()) addresses = addressesOf({context_.preferredPartition});
     inspect(addresses);
 }
 
 void WorkerReachability::inspect(const std::vector<std::string>& addresses) {
-    // A single machine may just be dead. To give its partition to a peer does no harm then: if it
-    // is alive it is heard there, and else the peer finds out as well.
-    const auto count = std::min(addresses.size(), inspectedAtOnce);
-    open_ = count;
-    answered_ = false;
+    // A single machine may just be dead. Transferring its partition to a peer does no harm then: if
+    // the machine is alive the peer receives its heartbeats, else the peer finds out as well.
+    const auto count = std::min(addresses.size(), maxInspections);
+    pendingInspections_ = count;
+    anyAnswered_ = false;
     for (std::size_t i = 0; i < count; ++i)
         context_.network.call(addresses[i], {"GET", protocol::wire::pathInspect, {}},
                               inspectTimeout,
                               [this](const std::optional<transport::HttpResponse>& response) {
-                                  answered_ = answered_ || response.has_value();
-                                  if (--open_ == 0) finishRound();
+                                  anyAnswered_ = anyAnswered_ || response.has_value();
+                                  if (--pendingInspections_ == 0) finishInspection();
                               });
 }
 
-void WorkerReachability::finishRound() {
-    if (answered_) return recordContact();
-    if (!unreachable_ && ++silentRounds_ >= roundsToLose) setUnreachable(true);
+void WorkerReachability::finishInspection() {
+    if (anyAnswered_) return recordContact();
+    if (!unreachable_ && ++silentRounds_ >= silentRoundsToLose) setUnreachable(true);
 }
 
 }  // namespace fawnwheel::coordination
--- a/src/coordination/replication/replica.h
+++ b/src/coordination/replication/replica.h
@@ -5,29 +5,29 @@
 #include <functional>
 #include <set>
 
-#include "coordination/context.h"
+#include "coordination/replication/replica_status.h"
 
 namespace fawnwheel::coordination {
 
-class Replica {
+class Replica : public ReplicaStatus {
   public:
     explicit Replica(Context& context) : context_(context) {}
 
     void start() { readAll(); }
     // Everything anew: after a doubt about what the cluster state holds.
     void resync();
-    [[nodiscard]] bool synced() const { return synced_; }
+    [[nodiscard]] bool synced() const override { return synced_; }
     // Read in whole at least once by this process.
-    [[nodiscard]] bool everSynced() const { return everSynced_; }
+    [[nodiscard]] bool everSynced() const override { return everSynced_; }
     // The cluster state holds, or has noted, everything that was carried out before this.
-    [[nodiscard]] SteadyTime currentAsOf() const { return currentAsOf_; }
+    [[nodiscard]] SteadyTime currentAsOf() const override { return currentAsOf_; }
 
     // These keys' transactions have been settled: what the watch brought of them meanwhile, and
     // what they are not under way for any more, is taken in now.
     void settle(const std::vector<std::string>& keys);
 
     // Whether the watch has brought changes that wait for transactions of ours to be settled.
-    [[nodiscard]] bool anyDeferred() const { return !deferred_.empty(); }
+    [[nodiscard]] bool anyDeferred() const override { return !deferred_.empty(); }
 
     // Whether one of our own transactions on this key is under way: its answer settles the key.
     std::function<bool(const std::string& key)> inFlight = [](const std::string&) { return false; };
--- a/src/coordination/workers/heartbeat_handler.cpp
+++ b/src/coordination/workers/heartbeat_handler.cpp
@@ -333,7 +333,7 @@
         machine->interruptionAt.reset();
         machine->unansweredUntil = {};
         machine->silentSince = machine->known = machine->idleSince =
-            now + Membership::confirmationLasts;
+            now + outageConfirmationValidity;
     }
     for (auto& [id, job] : clusterState->jobs)
         for (auto& slice : job.slices)
@@ -469,7 +469,7 @@
     for (auto* machine : clusterState->machinesOf(partition)) {
         // `silentSince` is the last moment at which anybody entitled could have renewed its lease.
         if (!machine->allocations.empty() && !giverKnows(*clusterState, *machine))
-            machine->silentSince = now + Membership::confirmationLasts;
+            machine->silentSince = now + outageConfirmationValidity;
         if (machine->allocations.empty() || now - machine->silentSince <= lease) continue;
         releaseAllocations(*machine, "its lease has run out");
         machine->expiredAgentEpoch = machine->agentEpoch;
--- /dev/null
+++ b/tests/unit/coordination/membership/membership_fixture.h
@@ -0,0 +1,43 @@
+/// @file
+/// What `Membership` needs of other modules, answered as a test says.
+#pragma once
+
+#include "coordination/membership/membership.h"
+#include "coordination/replication/record_bench.h"
+
+namespace fawnwheel::coordination {
+
+/// A replica whose status the test sets.
+class FakeReplicaStatus final : public ReplicaStatus {
+  public:
+    [[nodiscard]] bool synced() const override { return isSynced; }
+    [[nodiscard]] bool everSynced() const override { return isSynced; }
+    [[nodiscard]] SteadyTime currentAsOf() const override { return current; }
+    [[nodiscard]] bool anyDeferred() const override { return false; }
+
+    bool isSynced = false;
+    SteadyTime current{};
+};
+
+/// Keeps what it was told of partitions.
+class RecordingObserver final : public MembershipObserver, public ReachabilityObserver {
+  public:
+    void onPartitionAcquired(std::uint32_t partition) override { acquired.push_back(partition); }
+    void onPartitionLost(std::uint32_t partition) override { lost.push_back(partition); }
+    void onCancellationsLearned() override {}
+    void onReachabilityChanged() override {}
+
+    std::vector<std::uint32_t> acquired;
+    std::vector<std::uint32_t> lost;
+};
+
+/// A node with its membership, beside the records and their writers.
+class MembershipBench : public RecordBench {
+  protected:
+    FakeReplicaStatus replicaStatus;
+    RecordingObserver observer;
+    WorkerReachability reachability{context, observer};
+    Membership membership{context, replicaStatus, reachability, pipeline, observer};
+};
+
+}  // namespace fawnwheel::coordination
--- a/tests/unit/coordination/membership/membership_test.cpp
+++ b/tests/unit/coordination/membership/membership_test.cpp
@@ -2,7 +2,7 @@
 // them.
 #include "coordination/membership/membership.h"
 
-#include "coordination/replication/record_bench.h"
+#include "coordination/membership/membership_fixture.h"
 #include "protocol/peer_codec.h"
 
 namespace fawnwheel::coordination {
@@ -10,13 +10,9 @@
 
 using namespace std::chrono_literals;
 
-class MembershipBench : public RecordBench {
+class MembershipTest : public MembershipBench {
   protected:
-    MembershipBench() : membership(context) {
-        membership.synced = [] { return true; };
-        membership.everSynced = [] { return true; };
-        membership.recordsCurrentAsOf = [this] { return current; };
-    }
+    MembershipTest() { replicaStatus.isSynced = true; }
 
     // Its calls are answered, and the records are known as they stand after that.
     void catchUp() {
@@ -24,14 +20,11 @@
         load();
         membership.reconcile();
     }
-
-    Membership membership;
-    SteadyTime current{};
 };
 
 // Users were once answered after the first message, of 256, also where hundreds of jobs were called
 // off at once.
-TEST_F(MembershipBench, PeersHearOfAllCancellationsBeforeTheirUsersDo) {
+TEST_F(MembershipTest, PeersHearOfAllCancellationsBeforeTheirUsersDo) {
     constexpr int cancelled = 700;
     for (int i = 0; i < cancelled; ++i)
         context.clusterState.lock()->recordCancellation("run-" + std::to_string(i), 1'000 + i);
@@ -54,16 +47,14 @@
 
 // What was concluded as a partition's leader is void once another has owned it, also if the
 // partition has come back before anybody looked.
-TEST_F(MembershipBench, APartitionThatWasAwayForAWhileIsLostFirst) {
-    std::vector<std::uint32_t> lost;
-    std::vector<std::uint32_t> active;
-    membership.onLost = [&](std::uint32_t number) { lost.push_back(number); };
-    membership.onActive = [&](std::uint32_t number) { active.push_back(number); };
+TEST_F(MembershipTest, APartitionThatWasAwayForAWhileIsLostFirst) {
+    const auto& lost = observer.lost;
+    const auto& acquired = observer.acquired;
     load();
     membership.start();
     catchUp();
     ASSERT_TRUE(lost.empty());
-    ASSERT_EQ(std::count(active.begin(), active.end(), 0U), 1);
+    ASSERT_EQ(std::count(acquired.begin(), acquired.end(), 0U), 1);
     own(0, "node-1", 50);
     own(0, "node-0", 51);
     load();
@@ -75,10 +66,10 @@
     catchUp();
     catchUp();
     EXPECT_TRUE(membership.isLeader(0));
-    EXPECT_EQ(std::count(active.begin(), active.end(), 0U), 2);
+    EXPECT_EQ(std::count(acquired.begin(), acquired.end(), 0U), 2);
 }
 
-class ShortCancelLimit : public MembershipBench {
+class ShortCancelLimit : public MembershipTest {
   protected:
     ShortCancelLimit() {
         settings_.lease = Seconds(20);
@@ -96,9 +87,9 @@
         for (const auto& request : ready) state.serve(request);
     }
     ASSERT_TRUE(membership.isLeaseValid());
-    current = context.now() - 1s;
+    replicaStatus.current = context.now() - 1s;
     EXPECT_TRUE(membership.canAnswerWorkers(0));
-    current = context.now() - 5s;
+    replicaStatus.current = context.now() - 5s;
     EXPECT_FALSE(membership.canAnswerWorkers(0));
 }
 
--- a/tests/unit/coordination/migration/machine_transfers_test.cpp
+++ b/tests/unit/coordination/migration/machine_transfers_test.cpp
@@ -2,7 +2,7 @@
 // the transaction is carried out, refused, late or without an answer.
 #include "coordination/migration/machine_transfers.h"
 
-#include "coordination/replication/record_bench.h"
+#include "coordination/membership/membership_fixture.h"
 #include "coordination/scheduling/placement.h"
 
 namespace fawnwheel::coordination {
@@ -16,11 +16,10 @@
 using storage::keys::slice;
 
 // Partition 0 of node 0 has machines m-1 and m-2, and its peer node 2 owns partition 2.
-class TransferBench : public RecordBench {
+class TransferBench : public MembershipBench {
   protected:
     TransferBench()
-        : membership(context),
-          placement(context, membership),
+        : placement(context, membership),
           quotas(context, membership, pipeline, placement),
           heartbeats(context, membership, stateWriter),
           transfers(context, pipeline, stateWriter.writer(), quotas, heartbeats) {
@@ -110,7 +109,6 @@
                     << id << " task " << ref.task;
     }
 
-    Membership membership;
     Placement placement;
     QuotaExchange quotas;
     HeartbeatHandler heartbeats;
