--- a/src/coordination/controller.cpp
+++ b/src/coordination/controller.cpp
@@ -27,7 +27,7 @@
       membership_(context_, replica_, reachability_, pipeline_, *this),
       stateWriter_(context_, pipeline_),
       placement_(context_, membership_),
-      heartbeats_(context_, membership_, stateWriter_),
+      heartbeats_(context_, membership_, *this),
       fleet_(context_, membership_, pipeline_, placement_, heartbeats_),
       quotas_(context_, membership_, pipeline_, placement_),
       transfers_(context_, pipeline_, stateWriter_.writer(), quotas_, heartbeats_),
@@ -64,10 +64,6 @@
     };
     transfers_.onDurable = stateWriter_.onDurable;
     rebalancer_.onChange = [this] { scheduleRound(); };
-    heartbeats_.onUnassigned = [this](const protocol::Heartbeat& heartbeat) {
-        fleet_.onUnassignedHeartbeat(heartbeat);
-    };
-    heartbeats_.onChange = [this] { scheduleRound(); };
     placement_.canProvision = [this](const Job& job, const std::string& zone) {
         return fleet_.canProvision(job, zone);
     };
@@ -110,7 +106,7 @@
             const auto unschedulable = placement_.run(partition);
             rebalancer_.recordUnschedulable(partition, unschedulable);
             for (const auto& machine : placement_.preemptFor(partition, unschedulable))
-                heartbeats_.stopMarked(machine);
+                heartbeats_.sendPendingStops(machine);
             lending_.requestLoans(partition, unschedulable);
             quotas_.requestQuota(partition, unschedulable);
             fleet_.scaleOutFor(partition, unschedulable);
@@ -151,7 +147,7 @@
                 stopping_.insert(id).second)
                 fresh.push_back(id);
     }
-    for (const auto& id : fresh) heartbeats_.stopNow(id);
+    for (const auto& id : fresh) heartbeats_.stopJob(id);
 }
 
 void Controller::runMaintenance() {
@@ -161,7 +157,7 @@
         if (membership_.isLeaseValid()) lending_.returnIdleLoans(partition);
         if (membership_.isLeaseValid() && fleet_.mayConsolidate(partition))
             if (const auto machine = placement_.consolidateOne(partition))
-                heartbeats_.stopMarked(*machine);
+                heartbeats_.sendPendingStops(*machine);
     }
     std::erase_if(stopping_, [this](const std::string& id) {
         return context_.clusterState.lock()->job(id) == nullptr;
@@ -179,7 +175,7 @@
     reachability_.onHeartbeat();
     if (!replica_.synced()) return reply({503, {}, 0});
     auto answer = heartbeats_.handleHeartbeat(*heartbeat);
-    reply({answer.status, std::move(answer.body), 0});
+    reply({answer.httpStatus(), std::move(answer.body), 0});
 }
 
 void Controller::onRequest(const transport::HttpRequest& request, transport::HttpReply reply) {
--- a/src/coordination/controller.h
+++ b/src/coordination/controller.h
@@ -14,7 +14,9 @@
 
 namespace fawnwheel::coordination {
 
-class Controller final : private MembershipObserver, private ReachabilityObserver {
+class Controller final : private MembershipObserver,
+                         private ReachabilityObserver,
+                         private HeartbeatObserver {
   public:
     Controller(const config::Settings& settings, const config::OperatorSettings& tuning,
                transport::Timers& timers, transport::Network& network, std::uint64_t seed);
@@ -35,6 +37,10 @@
     void onPartitionLost(std::uint32_t partition) override;
     void onCancellationsLearned() override { stopCancelledJobs(); }
     void onReachabilityChanged() override;
+    void onUnassignedHeartbeat(const protocol::Heartbeat& heartbeat) override {
+        fleet_.onUnassignedHeartbeat(heartbeat);
+    }
+    void onWorkersChanged() override { scheduleRound(); }
     void handleHeartbeat(const std::string& body, const transport::HttpReply& reply);
     void scheduleRound();
     void runRound();
--- a/src/coordination/migration/machine_transfers.h
+++ b/src/coordination/migration/machine_transfers.h
@@ -3,6 +3,7 @@
 // them.
 #pragma once
 
+#include "coordination/replication/slice_writer.h"
 #include "coordination/scheduling/quota_exchange.h"
 #include "coordination/workers/heartbeat_handler.h"
 #include "rebalancing/handover.h"
--- a/src/coordination/workers/fault_attribution.cpp
+++ b/src/coordination/workers/fault_attribution.cpp
@@ -9,11 +9,11 @@
 using namespace std::chrono_literals;
 
 constexpr std::size_t failedJobsToQuarantine = 2;
-constexpr auto quarantineTime = 10min;
+constexpr auto quarantineDuration = 10min;
 constexpr auto pauseAfterError = 3s;
 constexpr auto firstBackoff = 2s;
-constexpr auto longestBackoff = 60s;
-constexpr int mostDoublings = 5;
+constexpr auto maxBackoff = 60s;
+constexpr int maxDoublings = 5;
 
 }  // namespace
 
@@ -24,17 +24,7 @@
     history.any = true;
     history.disproved = false;
     if (allocation.ran) history.longestRun = std::max(history.longestRun, now - *allocation.ran);
-    if (job.crashLooping()) {
-        // Once for each probe, not for each task that was under way.
-        if (now >= job.notBefore) {
-            job.notBefore =
-                now +
-                std::min<Duration>(longestBackoff,
-                                   firstBackoff * (1 << std::min(history.probes, mostDoublings)));
-            ++history.probes;
-        }
-        return;
-    }
+    if (job.crashLooping()) return backOff(job);
     if (history.machines.insert_or_assign(machine.id, now).second) {
         slice.touch();
         ++slice.failures;
@@ -45,10 +35,19 @@
         blameMachine(machine, job);
 }
 
+void FaultAttribution::backOff(Job& job) {
+    const auto now = context_.now();
+    // Once for each probe, not for each task that was under way.
+    if (now < job.notBefore) return;
+    const auto doublings = std::min(job.failures.probes, maxDoublings);
+    job.notBefore = now + std::min<Duration>(maxBackoff, firstBackoff * (1 << doublings));
+    ++job.failures.probes;
+}
+
 void FaultAttribution::blameJob(ClusterState& clusterState, Job& job, std::uint32_t partition) {
-    // Counted against the machines, one such job after the other had dozens of them replaced, with
-    // all that ran there (incident inc-59fe).
-    spdlog::info("job {}: fails on every machine, tried again now and then", job.spec.id);
+    // Attributed to the machines, the failures of one such job after the other had dozens of them
+    // replaced, with all that ran there (incident inc-59fe).
+    spdlog::info("fault_attribution: job_crash_looping job={}", job.spec.id);
     job.notBefore = context_.now() + firstBackoff;
     job.failures.machines.clear();
     job.failures.probes = 1;
@@ -69,8 +68,8 @@
 }
 
 void FaultAttribution::quarantine(Machine& machine) {
-    spdlog::info("machine {}: quarantined", machine.id);
-    machine.notBefore = context_.now() + quarantineTime;
+    spdlog::info("fault_attribution: machine_quarantined machine={}", machine.id);
+    machine.notBefore = context_.now() + quarantineDuration;
 }
 
 void FaultAttribution::onTaskDone(ClusterState& clusterState, Machine& machine, Job& job) {
@@ -87,7 +86,7 @@
     if (!job.failures.any || !job.crashLooping() || !allocation.ran) return;
     const auto proof = job.failures.longestRun * 2 + ticks(context_.settings.heartbeatInterval * 2);
     if (context_.now() - *allocation.ran <= proof) return;
-    spdlog::info("job {}: runs after all", job.spec.id);
+    spdlog::info("fault_attribution: job_recovered job={}", job.spec.id);
     job.failures.disproved = true;
     for (auto& other : job.slices) {
         if (other.partition != slice.partition || other.failures == 0) continue;
--- /dev/null
+++ b/src/coordination/workers/machine_status_applier.cpp
@@ -0,0 +1,105 @@
+#include "coordination/workers/machine_status_applier.h"
+
+#include <spdlog/spdlog.h>
+
+#include "coordination/workers/fencing.h"
+#include "coordination/workers/worker_lease.h"
+
+namespace fawnwheel::coordination {
+
+using protocol::TaskState;
+
+void MachineStatusApplier::apply(ClusterState& clusterState, Machine& machine,
+                                 const protocol::Heartbeat& heartbeat) {
+    recordContact(machine, heartbeat);
+    if (heartbeat.interruptionNotice && !machine.interruptionAt)
+        applyInterruptionNotice(clusterState, machine, *heartbeat.interruptionNotice);
+    applyAcknowledgement(machine, heartbeat);
+    // Once the worker has seen a token of this leader, it accepts no older leader's answers any
+    // more, and it has one heartbeat in flight at a time: what this heartbeat lacks is not on the
+    // machine and can only come to it by an answer of this leader from now on.
+    if (isFenced(machine, heartbeat)) removeMissing(clusterState, machine, heartbeat);
+}
+
+void MachineStatusApplier::recordContact(Machine& machine, const protocol::Heartbeat& heartbeat) {
+    const auto now = context_.now();
+    if (!machine.lastHeartbeat) {
+        spdlog::debug("heartbeat: first_heartbeat machine={} partition={}", machine.id,
+                      machine.partition);
+        machine.idleSince = now;
+        observer_.onWorkersChanged();
+    }
+    machine.address = heartbeat.address;
+    machine.agentEpoch = heartbeat.agentEpoch;
+    machine.sequence = heartbeat.sequence;
+    machine.lastHeartbeat = now;
+    machine.exited = static_cast<std::size_t>(
+        std::count_if(heartbeat.tasks.begin(), heartbeat.tasks.end(),
+                      [](const auto& task) { return task.state == TaskState::exited; }));
+}
+
+void MachineStatusApplier::applyInterruptionNotice(ClusterState& clusterState, Machine& machine,
+                                                   Seconds notice) {
+    spdlog::info("heartbeat: interruption_notice machine={} seconds={:.1f}", machine.id,
+                 notice.count());
+    machine.interruptionAt = context_.now() + ticks(notice);
+    // The time left may be half as long as the notice says: checkpoint at once.
+    for (const auto& ref : machine.allocations) {
+        const auto [job, slice, allocation] = clusterState.findAllocation(ref);
+        if (allocation == nullptr) continue;
+        if (!allocation->seen) allocation->abandoned = true;
+        if (job->spec.checkpointInterval.count() > 0 || allocation->state != TaskState::running)
+            allocation->stopGrace = job->spec.checkpointDuration;
+    }
+    observer_.onWorkersChanged();
+}
+
+void MachineStatusApplier::applyAcknowledgement(Machine& machine,
+                                                const protocol::Heartbeat& heartbeat) const {
+    machine.acknowledgedToken = std::max(machine.acknowledgedToken, heartbeat.fencingToken);
+    if (machine.acknowledged()) {
+        machine.unacknowledged = 0;
+        return;
+    }
+    if (++machine.unacknowledged < maxIneffectiveAnswers || machine.allocations.empty() ||
+        isFenced(machine, heartbeat))
+        return;
+    // Its heartbeats arrive, or late copies of them, but no answer reaches it, and without a token
+    // of this leader they prove no end of a task. Unanswered from here on, its lease runs out.
+    spdlog::info("heartbeat: lease_abandoned machine={} reason=\"answers not received\"",
+                 machine.id);
+    machine.unansweredUntil = context_.now() + maxWorkerLease(context_) + workerLeaseMargin;
+}
+
+bool MachineStatusApplier::isStartPending(const ClusterState& clusterState, const Machine& machine,
+                                          const Job& job, const Allocation& allocation) const {
+    return !allocation.seen && !allocation.abandoned && !clusterState.knownCancelled(job) &&
+           !machine.decommissioned;
+}
+
+void MachineStatusApplier::removeMissing(ClusterState& clusterState, Machine& machine,
+                                         const protocol::Heartbeat& heartbeat) {
+    const auto allocations = machine.allocations;
+    for (const auto& ref : allocations) {
+        if (findStatus(heartbeat, ref) != nullptr) continue;
+        const auto [job, slice, allocation] = clusterState.findAllocation(ref);
+        if (allocation == nullptr || !allocation->durable) continue;
+        // Starts that don't arrive would keep the allocation waiting for ever; what this heartbeat
+        // lacks no earlier answer can start any more.
+        if (isStartPending(clusterState, machine, *job, *allocation)) {
+            if (allocation->startsSent < maxIneffectiveAnswers || machine.transferring) continue;
+            if (machine.acknowledged()) {
+                spdlog::info(
+                    "heartbeat: tasks_reassigned machine={} reason=\"starts not received\"",
+                    machine.id);
+                requireAcknowledgement(machine, ++machine.fencingToken, context_.now());
+            }
+        }
+        spdlog::debug("heartbeat: task_missing task={}/{} machine={}", ref.job, ref.task,
+                      machine.id);
+        clusterState.removeAllocation(*job, *slice, ref.task);
+        observer_.onWorkersChanged();
+    }
+}
+
+}  // namespace fawnwheel::coordination
--- /dev/null
+++ b/src/coordination/workers/task_status_applier.cpp
@@ -0,0 +1,161 @@
+#include "coordination/workers/task_status_applier.h"
+
+#include <spdlog/spdlog.h>
+
+#include "coordination/workers/fencing.h"
+
+namespace fawnwheel::coordination {
+
+namespace {
+
+using namespace std::chrono_literals;
+using protocol::Command;
+using protocol::CommandKind;
+using protocol::ExitCause;
+using protocol::TaskState;
+
+constexpr auto pauseAfterRefusal = 3s;  // a machine without capacity, or that knew no such job
+
+Command commandFor(CommandKind kind, const protocol::TaskStatus& task, Seconds grace = {}) {
+    return {kind, task.job, task.index, task.attempt, grace};
+}
+
+}  // namespace
+
+void TaskStatusApplier::apply(ClusterState& clusterState, Machine& machine,
+                              const protocol::TaskStatus& task, std::vector<Command>& commands) {
+    Job* job = clusterState.job(task.job);
+    Slice* slice = job == nullptr ? nullptr : job->sliceOf(task.index);
+    Allocation* allocation = slice == nullptr ? nullptr : slice->allocationOf(task.index);
+    if (allocation == nullptr || slice->partition != machine.partition ||
+        allocation->machine != machine.id || allocation->attempt != task.attempt)
+        return applyUnallocated(clusterState, machine, job, slice, task, commands);
+    allocation->seen = true;
+    allocation->state = task.state;
+    if (task.state == TaskState::exited) {
+        if (task.cause != ExitCause::alone ||
+            !startPolicy_.mayKeepWaiting(clusterState, machine, *job, *allocation))
+            return applyExit(clusterState, machine, *job, *slice, *allocation, task);
+        // The others still fetch. The allocation stands, and under the same attempt the task waits
+        // on there: whole gangs lost their allocations because one machine fetched longer than they
+        // may wait.
+        spdlog::debug("heartbeat: gang_task_keeps_waiting task={}/{} machine={}", task.job,
+                      task.index, machine.id);
+        allocation->state = TaskState::fetching;
+        commands.push_back(commandFor(CommandKind::forget, task));
+        commands.push_back(commandFor(CommandKind::start, task));
+        return;
+    }
+    applyProgress(clusterState, machine, *job, *slice, *allocation, task);
+    if (clusterState.knownCancelled(*job) || machine.decommissioned)
+        commands.push_back(commandFor(CommandKind::stop, task));
+    else if (allocation->stopGrace && task.state != TaskState::saving)
+        commands.push_back(commandFor(CommandKind::stop, task, *allocation->stopGrace));
+}
+
+void TaskStatusApplier::applyUnallocated(ClusterState& clusterState, Machine& machine, Job* job,
+                                         Slice* slice, const protocol::TaskStatus& task,
+                                         std::vector<Command>& commands) {
+    // Forgetting lets a repeated start run the task once more; no start of this leader can follow,
+    // since the allocation is gone, durably.
+    if (task.state == TaskState::exited) {
+        if (slice == nullptr || slice->partition != machine.partition || !slice->dirty)
+            commands.push_back(commandFor(CommandKind::forget, task));
+        return;
+    }
+    // A late copy of a heartbeat, or one from before this leader's time, shows what may be over by
+    // now.
+    const bool cancelled = job != nullptr && clusterState.knownCancelled(*job);
+    if (!isFenced(machine) && !cancelled) return;
+    if (isAdoptable(clusterState, machine, job, slice, task))
+        adopt(clusterState, machine, *job, *slice, task);
+    else
+        commands.push_back(commandFor(CommandKind::stop, task));
+}
+
+bool TaskStatusApplier::isAdoptable(const ClusterState& clusterState, const Machine& machine,
+                                    Job* job, const Slice* slice,
+                                    const protocol::TaskStatus& task) {
+    return job != nullptr && slice != nullptr && slice->allocationOf(task.index) == nullptr &&
+           !clusterState.knownCancelled(*job) && !job->completing &&
+           slice->partition == machine.partition && !slice->done[task.index - slice->first] &&
+           job->spec.kind != protocol::JobKind::gang;
+}
+
+void TaskStatusApplier::adopt(ClusterState& clusterState, const Machine& machine, Job& job,
+                              Slice& slice, const protocol::TaskStatus& task) {
+    spdlog::info("heartbeat: task_adopted task={}/{} machine={}", task.job, task.index, machine.id);
+    Allocation found;
+    found.task = task.index;
+    found.machine = machine.id;
+    found.attempt = task.attempt;
+    found.seen = true;
+    found.state = task.state;
+    found.made = context_.now();
+    clusterState.addAllocation(job, slice, std::move(found));
+    observer_.onWorkersChanged();
+}
+
+void TaskStatusApplier::applyProgress(ClusterState& clusterState, Machine& machine, Job& job,
+                                      Slice& slice, Allocation& allocation,
+                                      const protocol::TaskStatus& task) {
+    if (task.state != TaskState::fetching) clusterState.recordImage(machine, job.spec);
+    if (task.state != TaskState::running) return;
+    if (!allocation.ran) {
+        allocation.ran = context_.now();
+        spdlog::debug(
+            "heartbeat: task_running task={}/{} machine={} seconds_since_placement={:.1f}",
+            task.job, task.index, machine.id, Seconds(*allocation.ran - allocation.made).count());
+    }
+    faultAttribution_.onTaskRunning(job, slice, allocation);
+}
+
+void TaskStatusApplier::applyExit(ClusterState& clusterState, Machine& machine, Job& job,
+                                  Slice& slice, const Allocation& allocation,
+                                  const protocol::TaskStatus& task) {
+    if (!allocation.durable)
+        return;  // its record is being written; the next heartbeat will say it again
+    spdlog::debug("heartbeat: task_exited task={}/{} machine={} cause={}", task.job, task.index,
+                  machine.id, static_cast<int>(task.cause));
+    applyExitCause(clusterState, machine, job, slice, allocation, task);
+    clusterState.removeAllocation(job, slice, task.index);
+    if (machine.allocations.empty()) machine.idleSince = context_.now();
+    observer_.onWorkersChanged();
+}
+
+void TaskStatusApplier::applyExitCause(ClusterState& clusterState, Machine& machine, Job& job,
+                                       Slice& slice, const Allocation& allocation,
+                                       const protocol::TaskStatus& task) {
+    switch (task.cause) {
+        case ExitCause::done:
+            return applyDone(clusterState, machine, job, slice, task.index);
+        case ExitCause::error:
+            return faultAttribution_.onTaskFailed(clusterState, machine, job, slice, allocation);
+        case ExitCause::noCapacity:
+        case ExitCause::busy:
+            machine.notBefore = context_.now() + pauseAfterRefusal;
+            return;
+        case ExitCause::unknown:
+            job.notBefore = context_.now() + pauseAfterRefusal;
+            return;
+        case ExitCause::stopped:
+        case ExitCause::peersGone:
+        case ExitCause::alone:
+            return;
+    }
+}
+
+void TaskStatusApplier::applyDone(ClusterState& clusterState, Machine& machine, Job& job,
+                                  Slice& slice, std::uint32_t task) {
+    slice.touch();
+    slice.markDone(task);
+    faultAttribution_.onTaskDone(clusterState, machine, job);
+    if (job.spec.kind != protocol::JobKind::gang) return;
+    // The tasks of a gang complete together.
+    for (auto& other : job.slices) {
+        other.touch();
+        for (auto t = other.first; t < other.first + other.done.size(); ++t) other.markDone(t);
+    }
+}
+
+}  // namespace fawnwheel::coordination
--- a/tests/unit/coordination/membership/membership_fixture.h
+++ b/tests/unit/coordination/membership/membership_fixture.h
@@ -4,6 +4,7 @@
 
 #include "coordination/membership/membership.h"
 #include "coordination/replication/record_bench.h"
+#include "coordination/workers/heartbeat_observer.h"
 
 namespace fawnwheel::coordination {
 
@@ -20,12 +21,16 @@
 };
 
 /// Keeps what it was told of partitions.
-class RecordingObserver final : public MembershipObserver, public ReachabilityObserver {
+class RecordingObserver final : public MembershipObserver,
+                                public ReachabilityObserver,
+                                public HeartbeatObserver {
   public:
     void onPartitionAcquired(std::uint32_t partition) override { acquired.push_back(partition); }
     void onPartitionLost(std::uint32_t partition) override { lost.push_back(partition); }
     void onCancellationsLearned() override {}
     void onReachabilityChanged() override {}
+    void onUnassignedHeartbeat(const protocol::Heartbeat&) override {}
+    void onWorkersChanged() override {}
 
     std::vector<std::uint32_t> acquired;
     std::vector<std::uint32_t> lost;
--- a/tests/unit/coordination/migration/machine_transfers_test.cpp
+++ b/tests/unit/coordination/migration/machine_transfers_test.cpp
@@ -21,7 +21,7 @@
     TransferBench()
         : placement(context, membership),
           quotas(context, membership, pipeline, placement),
-          heartbeats(context, membership, stateWriter),
+          heartbeats(context, membership, observer),
           transfers(context, pipeline, stateWriter.writer(), quotas, heartbeats) {
         settings_.teams = {{"t", 0, 0, 90, 0}};
         for (const auto* node : {"node-0", "node-1", "node-2"})
