--- a/src/coordination/api/http_router.cpp
+++ b/src/coordination/api/http_router.cpp
@@ -58,7 +58,7 @@
     reachability_.onHeartbeat();
     if (!replica_.synced()) return reply({503, {}, 0});
     auto answer = heartbeats_.handleHeartbeat(*heartbeat);
-    reply({answer.status, std::move(answer.body), 0});
+    reply({answer.httpStatus(), std::move(answer.body), 0});
 }
 
 }  // namespace fawnwheel::coordination
--- a/src/coordination/controller.cpp
+++ b/src/coordination/controller.cpp
@@ -20,11 +20,11 @@
     : context_(settings, tuning, timers, network, seed),
       pipeline_(context_),
       replica_(context_, pipeline_, *this),
-      reachability_(context_),
-      membership_(context_),
+      reachability_(context_, *this),
+      membership_(context_, replica_, reachability_, pipeline_, *this),
       stateWriter_(context_, pipeline_, *this),
       placement_(context_, membership_),
-      heartbeats_(context_, membership_, stateWriter_),
+      heartbeats_(context_, membership_, *this),
       fleet_(context_, membership_, pipeline_, placement_, heartbeats_),
       quotas_(context_, membership_, pipeline_, placement_),
       transfers_(context_, pipeline_, stateWriter_.writer(), quotas_, heartbeats_, *this),
@@ -35,34 +35,10 @@
       admission_(context_, replica_, statusReader_, migrator_, *this),
       completionNotifier_(context_, membership_),
       router_(replica_, membership_, reachability_, heartbeats_, admission_) {
-    membership_.synced = [this] { return replica_.synced(); };
-    membership_.everSynced = [this] { return replica_.everSynced(); };
-    membership_.recordsCurrentAsOf = [this] { return replica_.currentAsOf(); };
-    membership_.onCancellations = [this] { stopCancelledJobs(); };
-    membership_.ready = [this] {
-        return replica_.synced() && !context_.catalog.empty() && reachability_.isStable();
-    };
-    membership_.workersUnreachable = [this] { return reachability_.isUnreachable(); };
-    reachability_.onChange = [this] {
-        membership_.onReachabilityChanged();
-        scheduleRound();
-    };
-    membership_.busy = [this](std::uint32_t partition) { return pipeline_.busy(partition); };
-    membership_.onActive = [this](std::uint32_t partition) {
-        heartbeats_.onPartitionAcquired(partition);
-        reachability_.expectHeartbeats();
-        scheduleRound();
-    };
-    membership_.onLost = [this](std::uint32_t partition) { discardUnrecorded(partition); };
-    membership_.recordsComplete = [this] { return !replica_.hasDeferredEvents(); };
     completionNotifier_.onRead = [this] { scheduleRound(); };
     context_.clusterState.lock()->dependencyGraph.stepTime = [this](const protocol::JobSpec& spec) {
         return placement_.stepTime(spec);
     };
-    heartbeats_.onUnassigned = [this](const protocol::Heartbeat& heartbeat) {
-        fleet_.onUnassignedHeartbeat(heartbeat);
-    };
-    heartbeats_.onChange = [this] { scheduleRound(); };
     placement_.canProvision = [this](const Job& job, const std::string& zone) {
         return fleet_.canProvision(job, zone);
     };
@@ -131,7 +107,7 @@
             const auto unschedulable = placement_.run(partition);
             rebalancer_.recordUnschedulable(partition, unschedulable);
             for (const auto& machine : placement_.preemptFor(partition, unschedulable))
-                heartbeats_.stopMarked(machine);
+                heartbeats_.sendPendingStops(machine);
             lending_.requestLoans(partition, unschedulable);
             quotas_.requestQuota(partition, unschedulable);
             fleet_.scaleOutFor(partition, unschedulable);
@@ -140,7 +116,18 @@
     }
 }
 
-void Controller::discardUnrecorded(std::uint32_t partition) {
+void Controller::onPartitionAcquired(std::uint32_t partition) {
+    heartbeats_.onPartitionAcquired(partition);
+    reachability_.expectHeartbeats();
+    scheduleRound();
+}
+
+void Controller::onReachabilityChanged() {
+    membership_.onReachabilityChanged();
+    scheduleRound();
+}
+
+void Controller::onPartitionLost(std::uint32_t partition) {
     // Kept over a loss, an allocation that this leader had seen ended, and a successor had started
     // once more by its record, was written off when the partition came back: the task then ran
     // unknown to anybody, and once more elsewhere (scenario unrecorded_over_terms).
@@ -161,7 +148,7 @@
                 stopping_.insert(id).second)
                 fresh.push_back(id);
     }
-    for (const auto& id : fresh) heartbeats_.stopNow(id);
+    for (const auto& id : fresh) heartbeats_.stopJob(id);
 }
 
 void Controller::runMaintenance() {
@@ -171,7 +158,7 @@
         if (membership_.isLeaseValid()) lending_.returnIdleLoans(partition);
         if (membership_.isLeaseValid() && fleet_.mayConsolidate(partition))
             if (const auto machine = placement_.consolidateOne(partition))
-                heartbeats_.stopMarked(*machine);
+                heartbeats_.sendPendingStops(*machine);
     }
     std::erase_if(stopping_, [this](const std::string& id) {
         return context_.clusterState.lock()->job(id) == nullptr;
--- a/src/coordination/controller.h
+++ b/src/coordination/controller.h
@@ -19,7 +19,10 @@
 /// One controller process: owns all modules and runs them in turn on one thread.
 class Controller final : private RoundScheduler,
                          private ReplicaObserver,
+                         private ReachabilityObserver,
+                         private MembershipObserver,
                          private StateWriterObserver,
+                         private HeartbeatObserver,
                          private MachineTransferObserver,
                          private AdmissionObserver {
   public:
@@ -41,10 +44,17 @@
     void scheduleRound() override;
     void onJobAccepted() override;
     void onJobCancelled(std::function<void()> respond) override;
+    void onPartitionAcquired(std::uint32_t partition) override;
+    void onPartitionLost(std::uint32_t partition) override;
+    void onCancellationsLearned() override { stopCancelledJobs(); }
+    void onReachabilityChanged() override;
+    void onUnassignedHeartbeat(const protocol::Heartbeat& heartbeat) override {
+        fleet_.onUnassignedHeartbeat(heartbeat);
+    }
+    void onWorkersChanged() override { scheduleRound(); }
     void runRound();
     void runMaintenance();
     void stopCancelledJobs();
-    void discardUnrecorded(std::uint32_t partition);
 
     void onReplicaChanged() override;
     void onJobTerminal(const std::string& id, bool cancelled) override;
--- a/src/coordination/replication/replica.h
+++ b/src/coordination/replication/replica.h
@@ -7,6 +7,7 @@
 #include <string>
 #include <vector>
 
+#include "coordination/replication/replica_status.h"
 #include "coordination/replication/transaction_pipeline.h"
 
 namespace fawnwheel::coordination {
@@ -22,7 +23,7 @@
 ///
 /// A record that one of this process's own transactions is writing is not overwritten by the watch:
 /// its latest event is deferred until that transaction has its outcome.
-class Replica final : private TransactionObserver {
+class Replica final : public ReplicaStatus, private TransactionObserver {
   public:
     /// Registers itself as the pipeline's observer. All three arguments must outlive the replica.
     Replica(Context& context, TransactionPipeline& pipeline, ReplicaObserver& observer);
@@ -33,13 +34,13 @@
     /// Reads all records again, because the cluster state may differ from them.
     void resync();
     /// Whether the cluster state holds a complete and consistent set of the active records.
-    [[nodiscard]] bool synced() const { return synced_; }
+    [[nodiscard]] bool synced() const override { return synced_; }
     /// Whether this process has been synced at least once.
-    [[nodiscard]] bool everSynced() const { return everSynced_; }
+    [[nodiscard]] bool everSynced() const override { return everSynced_; }
     /// Everything that the state service committed before this time has been applied or deferred.
-    [[nodiscard]] SteadyTime currentAsOf() const { return currentAsOf_; }
+    [[nodiscard]] SteadyTime currentAsOf() const override { return currentAsOf_; }
     /// Whether events wait for the outcome of this process's own transactions.
-    [[nodiscard]] bool hasDeferredEvents() const { return !deferredEvents_.empty(); }
+    [[nodiscard]] bool hasDeferredEvents() const override { return !deferredEvents_.empty(); }
 
   private:
     void onRecordsUncertain() override { resync(); }
