--- a/src/coordination/membership/failover.cpp
+++ b/src/coordination/membership/failover.cpp
@@ -87,11 +87,15 @@
 }
 
 std::optional<std::string> Failover::successorFor(std::uint32_t partition) const {
-    // Near the partition's machines, and with as few other partitions as possible.
+    // Near the partition's machines, with as few other partitions as possible, by name last.
     struct Candidate {
         std::size_t machinesInZone = 0;
         std::size_t partitions = 0;
         std::string name;
+        [[nodiscard]] bool isBetterThan(const Candidate& other) const {
+            return std::tie(machinesInZone, other.partitions, other.name) >
+                   std::tie(other.machinesInZone, partitions, name);
+        }
     };
     std::optional<Candidate> best;
     auto clusterState = context_.clusterState.lock();
@@ -102,9 +106,7 @@
             if (machine->zone == peer.zone) ++candidate.machinesInZone;
         for (const auto& [number, record] : clusterState->partitions)
             if (record.leader == peer.name) ++candidate.partitions;
-        if (!best || std::tuple(candidate.machinesInZone, best->partitions, best->name) >
-                         std::tuple(best->machinesInZone, candidate.partitions, candidate.name))
-            best = std::move(candidate);
+        if (!best || candidate.isBetterThan(*best)) best = std::move(candidate);
     }
     if (!best) return std::nullopt;
     return best->name;
@@ -120,20 +122,19 @@
             context_.clusterState.lock()->applied < failed->second.revision);
 }
 
-protocol::CompareAndSwap Failover::acquisition(std::uint32_t partition, storage::Partition& next) {
+protocol::CompareAndSwap Failover::acquisitionTransaction(ClusterState& clusterState,
+                                                          std::uint32_t partition,
+                                                          const storage::Partition& next) {
     protocol::CompareAndSwap transaction;
-    auto clusterState = context_.clusterState.lock();
-    const auto& record = clusterState->partitions[partition];
-    next.leader = context_.settings.name;
-    next.term = clusterState->lastTerm + 1;
+    const auto& record = clusterState.partitions[partition];
     transaction.compares = {{storage::keys::partition(partition), record.version},
-                            {storage::keys::term, clusterState->termVersion}};
+                            {storage::keys::term, clusterState.termVersion}};
     if (!record.leader.empty() && record.leader != next.leader)
         transaction.compares.push_back({storage::keys::node(record.leader), 0});
     // This process's own node record is a condition too: a late acquisition by a process that has
     // ended fails.
     transaction.compares.push_back(
-        {storage::keys::node(next.leader), clusterState->nodes[next.leader]});
+        {storage::keys::node(next.leader), clusterState.nodes[next.leader]});
     transaction.writes = {{storage::keys::partition(partition), storage::partitionValue(next), 0},
                           {storage::keys::term, protocol::Json{{"term", next.term}}, 0}};
     return transaction;
@@ -141,8 +142,14 @@
 
 void Failover::acquire(std::uint32_t partition) {
     if (mustDelayAcquisition(partition) || !changing_.insert(partition).second) return;
+    protocol::CompareAndSwap transaction;
     storage::Partition next;
-    auto transaction = acquisition(partition, next);
+    {
+        auto clusterState = context_.clusterState.lock();
+        next.leader = context_.settings.name;
+        next.term = clusterState->lastTerm + 1;
+        transaction = acquisitionTransaction(*clusterState, partition, next);
+    }
     context_.state.transact(
         std::move(transaction), protocol::RequestPriority::lease,
         [this, partition, next](const protocol::CompareAndSwapResponse& answer) {
--- a/src/coordination/membership/failover.h
+++ b/src/coordination/membership/failover.h
@@ -46,8 +46,10 @@
     void acquire(std::uint32_t partition);
     /// A refused acquisition must wait until the records here are as new as the refusal.
     [[nodiscard]] bool mustDelayAcquisition(std::uint32_t partition) const;
-    [[nodiscard]] protocol::CompareAndSwap acquisition(std::uint32_t partition,
-                                                       storage::Partition& next);
+    /// Makes `next` the partition's record, provided that its leader has lapsed and this node has
+    /// not.
+    [[nodiscard]] static protocol::CompareAndSwap acquisitionTransaction(
+        ClusterState& clusterState, std::uint32_t partition, const storage::Partition& next);
     void onAcquired(std::uint32_t partition, const storage::Partition& next,
                     std::uint64_t revision);
     /// Makes the other node the partition's leader, which acquires it with a higher term.
--- a/src/coordination/membership/node_lease.cpp
+++ b/src/coordination/membership/node_lease.cpp
@@ -13,6 +13,7 @@
 
 constexpr auto retryDelay = 300ms;
 constexpr double clockDriftFactor = 0.998;
+constexpr int renewalsPerLease = 4;
 
 }  // namespace
 
@@ -43,10 +44,7 @@
     transaction.compares.push_back(
         {storage::keys::node(name), known == clusterState->nodes.end() ? 0 : known->second});
     // While this node had no lease, a peer may have acquired its partitions. Answering their
-    // workers once more would prolong leases that the new leader counts down. Of very many
-    // partitions those that don't fit are acquired anew.
-    acquiredTerms_.truncate(std::max<std::size_t>(1, context_.settings.transactionConditions()) -
-                            1);
+    // workers once more would prolong leases that the new leader counts down.
     for (const auto& [partition, term] : acquiredTerms_.all())
         transaction.compares.push_back(
             {storage::keys::partition(partition), clusterState->partitions[partition].version});
@@ -64,6 +62,9 @@
 }
 
 void NodeLease::writeNode(std::uint64_t lease, SteadyTime sent) {
+    // Of very many partitions those that don't fit into the transaction are acquired anew.
+    const auto maxCompares = std::max<std::size_t>(1, context_.settings.transactionConditions());
+    acquiredTerms_.truncate(maxCompares - 1);
     context_.state.transact(nodeTransaction(lease), protocol::RequestPriority::lease,
                             [this, lease, sent](const protocol::CompareAndSwapResponse& answer) {
                                 if (answer.result == protocol::StateResult::refused) {
@@ -88,7 +89,7 @@
     joined_ = true;
     validUntil_ = earliestExpiry(sent);
     spdlog::info("node_lease: joined lease={}", id_);
-    context_.timers.after(ticks(context_.tuning.nodeLease / 4), [this] { renew(); });
+    context_.timers.after(ticks(context_.tuning.nodeLease / renewalsPerLease), [this] { renew(); });
     observer_.onJoined();
 }
 
@@ -103,6 +104,7 @@
             else
                 clusterState->nodes[context_.settings.name] = answer.items.front().version;
         }
+        // Unless too little of the lease would be left.
         if (context_.now() - sent < ticks(context_.tuning.nodeLease / 2))
             writeNode(lease, sent);
         else
@@ -123,7 +125,7 @@
         if (result == protocol::StateResult::ok)
             validUntil_ = std::max(validUntil_, earliestExpiry(sent));
         const auto pause = result == protocol::StateResult::ok
-                               ? ticks(context_.tuning.nodeLease / 4)
+                               ? ticks(context_.tuning.nodeLease / renewalsPerLease)
                                : context_.jittered(retryDelay);
         context_.timers.after(pause, [this] { renew(); });
     });
--- a/src/coordination/membership/peer_heartbeats.h
+++ b/src/coordination/membership/peer_heartbeats.h
@@ -30,6 +30,7 @@
           incarnation_(std::max<std::uint64_t>(1, context.rng())) {}
 
     void onPeerHeartbeat(const std::string& peer, const protocol::PeerHeartbeat& status);
+    /// A heartbeat with the partitions that the peer leads.
     void onLeaderHeartbeat(const std::string& peer, const protocol::LeaderHeartbeat& message);
 
     /// Sends a heartbeat to every peer, with all cancellations that the peer may not know.
@@ -66,7 +67,7 @@
         std::uint64_t incarnation = 0;            // of the peer
         std::uint64_t applied = 0;                // revision up to which it has the records
         std::uint64_t cancellationsReceived = 0;  // position in its incarnation's log
-        std::uint64_t acknowledged = 0;           // position in our log that it has confirmed
+        std::uint64_t acknowledged = 0;           // position in this node's log, confirmed by it
         std::map<std::uint32_t, std::uint64_t> leadsInTerm;  // by partition, as it says
         SteadyTime cancellationsKnownAsOf{};  // all that it told users before this is known here
     };
--- a/src/coordination/workers/command_sender.cpp
+++ b/src/coordination/workers/command_sender.cpp
@@ -90,11 +90,11 @@
 
 void CommandSender::send(const Machine& machine, const std::vector<Command>& commands) {
     if (machine.address.empty() || !machine.lastHeartbeat) return;
-    send(machine.id, machine.agentEpoch, commands, true);
+    send(machine.id, machine.agentEpoch, commands, OnEpochMismatch::repeat);
 }
 
 void CommandSender::send(const std::string& id, std::uint64_t agentEpoch,
-                         const std::vector<Command>& commands, bool mayRepeat) {
+                         const std::vector<Command>& commands, OnEpochMismatch onMismatch) {
     std::string address;
     std::uint64_t fencingToken = 0;
     {
@@ -109,16 +109,18 @@
     context_.network.call(
         address, {"POST", protocol::wire::pathCommands, protocol::encodeCbor(body)}, commandTimeout,
         [this, id, agentEpoch, commands,
-         mayRepeat](const std::optional<transport::HttpResponse>& response) {
+         onMismatch](const std::optional<transport::HttpResponse>& response) {
             // The agent epoch of a machine that has just come from another leader is not known here
             // yet. Without the repeat, stops of a job cancelled at that moment waited for its
             // heartbeat.
-            if (!response || response->status != httpConflict || !mayRepeat || commands.empty())
+            if (!response || response->status != httpConflict ||
+                onMismatch == OnEpochMismatch::drop || commands.empty())
                 return;
             const auto heartbeat = protocol::decodeCbor(response->body);
             const auto actual =
                 heartbeat ? protocol::countOf(*heartbeat, protocol::wire::agentEpoch) : 0;
-            if (actual != 0 && actual != agentEpoch) send(id, actual, commands, false);
+            if (actual != 0 && actual != agentEpoch)
+                send(id, actual, commands, OnEpochMismatch::drop);
         });
 }
 
--- a/src/coordination/workers/command_sender.h
+++ b/src/coordination/workers/command_sender.h
@@ -33,9 +33,10 @@
                                                        const Job& job,
                                                        const Allocation& allocation);
     void send(const Machine& machine, const std::vector<protocol::Command>& commands);
-    /// `mayRepeat`: once more if the worker answers that it has another agent epoch.
+    /// What to do if the worker answers that it has another agent epoch.
+    enum class OnEpochMismatch { repeat, drop };
     void send(const std::string& machine, std::uint64_t agentEpoch,
-              const std::vector<protocol::Command>& commands, bool mayRepeat);
+              const std::vector<protocol::Command>& commands, OnEpochMismatch onMismatch);
 
     Context& context_;
     const Membership& membership_;
--- a/src/coordination/workers/heartbeat_handler.cpp
+++ b/src/coordination/workers/heartbeat_handler.cpp
@@ -5,7 +5,7 @@
 HeartbeatResponse HeartbeatHandler::handleHeartbeat(const protocol::Heartbeat& heartbeat) {
     auto clusterState = context_.clusterState.lock();
     Machine* machine = clusterState->machine(heartbeat.machine);
-    if (auto rejection = validator_.reject(*clusterState, machine, heartbeat))
+    if (auto rejection = validator_.validate(*clusterState, machine, heartbeat))
         return std::move(*rejection);
     machineStatus_.apply(*clusterState, *machine, heartbeat);
     std::vector<protocol::Command> commands;
--- a/src/coordination/workers/heartbeat_handler.h
+++ b/src/coordination/workers/heartbeat_handler.h
@@ -29,7 +29,7 @@
     void onPartitionAcquired(std::uint32_t partition) { expiry_.resetPartition(partition); }
     /// See `WorkerExpiry`.
     void expireSilent(std::uint32_t partition) { expiry_.expireSilent(partition); }
-    void releaseAllocations(Machine& machine, const char* reason) {
+    void releaseAllocations(Machine& machine, std::string_view reason) {
         expiry_.releaseAllocations(machine, reason);
     }
 
--- a/src/coordination/workers/heartbeat_validator.cpp
+++ b/src/coordination/workers/heartbeat_validator.cpp
@@ -28,9 +28,8 @@
     return unavailable();
 }
 
-std::optional<HeartbeatResponse> HeartbeatValidator::reject(ClusterState& clusterState,
-                                                            Machine* machine,
-                                                            const protocol::Heartbeat& heartbeat) {
+std::optional<HeartbeatResponse> HeartbeatValidator::validate(
+    ClusterState& clusterState, Machine* machine, const protocol::Heartbeat& heartbeat) {
     if (machine == nullptr) return answerUnknown(clusterState, heartbeat);
     const auto& leader = clusterState.partitions[machine->partition].leader;
     if (leader != context_.settings.name) return redirectTo(clusterState, leader);
--- a/src/coordination/workers/heartbeat_validator.h
+++ b/src/coordination/workers/heartbeat_validator.h
@@ -15,11 +15,12 @@
     HeartbeatValidator(Context& context, const Membership& membership, HeartbeatObserver& observer)
         : context_(context), membership_(membership), observer_(observer) {}
 
-    /// The answer to a heartbeat that must not be applied; none if it may be applied. `machine` is
-    /// the sender, null if this node knows no such machine.
-    [[nodiscard]] std::optional<HeartbeatResponse> reject(ClusterState& clusterState,
-                                                          Machine* machine,
-                                                          const protocol::Heartbeat& heartbeat);
+    /// Returns the answer to a heartbeat that must not be applied; none if it is valid. `machine`
+    /// is the sender, null if this node knows no such machine. May raise the machine's fencing
+    /// token, and tells the observer of a machine without a partition.
+    [[nodiscard]] std::optional<HeartbeatResponse> validate(ClusterState& clusterState,
+                                                            Machine* machine,
+                                                            const protocol::Heartbeat& heartbeat);
 
   private:
     [[nodiscard]] HeartbeatResponse answerUnknown(ClusterState& clusterState,
--- a/src/coordination/workers/worker_expiry.cpp
+++ b/src/coordination/workers/worker_expiry.cpp
@@ -24,7 +24,7 @@
                 for (auto& allocation : slice.allocations) allocation.forgetState();
 }
 
-void WorkerExpiry::releaseAllocations(Machine& machine, const char* reason) {
+void WorkerExpiry::releaseAllocations(Machine& machine, std::string_view reason) {
     auto clusterState = context_.clusterState.lock();
     const auto allocations = machine.allocations;
     if (!allocations.empty())
--- a/src/coordination/workers/worker_expiry.h
+++ b/src/coordination/workers/worker_expiry.h
@@ -20,7 +20,7 @@
     /// their leases, and those of machines without a record.
     void expireSilent(std::uint32_t partition);
     /// Releases all allocations of a machine that is surely gone; `reason` is for the log.
-    void releaseAllocations(Machine& machine, const char* reason);
+    void releaseAllocations(Machine& machine, std::string_view reason);
 
   private:
     /// The node that transferred the machine to this one with its tasks knows that it has done so,
--- a/tests/unit/coordination/membership/membership_test.cpp
+++ b/tests/unit/coordination/membership/membership_test.cpp
@@ -1,5 +1,6 @@
-// What a leader tells its peers of cancellations, and how long it answers workers without news of
-// them.
+/// @file
+/// What a leader tells its peers of cancellations, how long it answers workers without news of
+/// them, and what it reports of its partitions.
 #include "coordination/membership/membership.h"
 
 #include "coordination/membership/membership_fixture.h"
@@ -79,7 +80,7 @@
 
 // A lease renewed now lasts 20 s; of 25 s that leaves under 4 s in which news may be missing, also
 // for a leader whose own lease stands. It once waited 8 s.
-TEST_F(ShortCancelLimit, AnLeaderThatLagsAnswersNoWorkerForLongerThanTheSlackLeft) {
+TEST_F(ShortCancelLimit, ALaggingLeaderAnswersNoWorkerForLongerThanTheSlackLeft) {
     membership.start();
     for (int i = 0; i < 10; ++i) {
         timers.advance(20ms);
--- a/tests/unit/coordination/workers/fault_attribution_test.cpp
+++ b/tests/unit/coordination/workers/fault_attribution_test.cpp
@@ -1,4 +1,5 @@
-// Jobs with a mistake told apart from faulty machines, and what is kept of it in the records.
+/// @file
+/// Crash-looping jobs told apart from faulty machines, and what the records keep of it.
 #include <gtest/gtest.h>
 
 #include "storage/records.h"
