--- a/src/coordination/api/job_status_reader.cpp
+++ b/src/coordination/api/job_status_reader.cpp
@@ -118,7 +118,7 @@
 
 JobStatus JobStatusReader::statusOf(const Job& job) const {
     if (job.cancelled) return JobStatus::cancelled;
-    if (!job.waiting) return JobStatus::active;
+    if (!job.blockedOnDependencies) return JobStatus::active;
     // A job that it needs, directly or through others, may have been called off. All that anybody
     // was told before the records known here were read is in them; what may have been told after
     // that was told less than `cancel_s` ago. A job whose dependencies have all left the live
--- a/src/coordination/controller.cpp
+++ b/src/coordination/controller.cpp
@@ -59,9 +59,8 @@
     membership_.recordsComplete = [this] { return !replica_.hasDeferredEvents(); };
     completionNotifier_.onRead = [this] { scheduleRound(); };
     statusReader_.recordsCurrentAsOf = [this] { return replica_.currentAsOf(); };
-    context_.clusterState.lock()->dependencyGraph.stepTime = [this](const protocol::JobSpec& spec) {
-        return placement_.stepTime(spec);
-    };
+    context_.clusterState.lock()->dependencyGraph.setStepTimeEstimator(
+        [this](const protocol::JobSpec& spec) { return placement_.stepTime(spec); });
     transfers_.onDurable = [this](const std::set<std::string>& machines) {
         onAllocationsDurable(machines);
     };
--- a/src/coordination/migration/work_migrator.cpp
+++ b/src/coordination/migration/work_migrator.cpp
@@ -117,7 +117,7 @@
 }
 
 storage::TaskRange WorkMigrator::movableRange(const Slice& slice) {
-    if (slice.leaving) return {};
+    if (slice.migrating) return {};
     if (slice.untouched()) return slice.dirty ? storage::TaskRange{} : slice.range();
     // The rest of a slice that has begun becomes a slice of its own. It once never moved, and
     // waited beside idle machines of other partitions (slice_left_behind).
@@ -128,7 +128,7 @@
 bool WorkMigrator::movable(const Job& job, std::uint32_t partition) {
     if (job.undivided())
         return std::any_of(job.slices.begin(), job.slices.end(), [partition](const Slice& slice) {
-            return slice.partition == partition && slice.untouched() && !slice.leaving;
+            return slice.partition == partition && slice.untouched() && !slice.migrating;
         });
     return std::any_of(job.slices.begin(), job.slices.end(), [&](const Slice& slice) {
         return slice.partition == partition && movableRange(slice).count > 0;
@@ -140,7 +140,7 @@
     Job* job = clusterState->job(id);
     if (job == nullptr) return;
     const bool allHere = std::all_of(job->slices.begin(), job->slices.end(), [&](const Slice& s) {
-        return s.partition == partition && s.untouched() && s.version == 0 && !s.leaving;
+        return s.partition == partition && s.untouched() && s.version == 0 && !s.migrating;
     });
     if (job->undivided() || (job->slices.size() == 1 && allHere)) {
         if (allHere && job->partition == partition)
@@ -202,8 +202,8 @@
     if (job == nullptr) return;
     for (auto& slice : job->slices) {
         if (!migration.wholeJob && slice.index != migration.slice) continue;
-        slice.leaving.reset();
-        if (leaving) slice.leaving = migration.wholeJob ? slice.range() : migration.range;
+        slice.migrating.reset();
+        if (leaving) slice.migrating = migration.wholeJob ? slice.range() : migration.range;
     }
 }
 
--- a/src/coordination/replication/replica.cpp
+++ b/src/coordination/replication/replica.cpp
@@ -170,7 +170,7 @@
         storage::recordDeparture(*clusterState, event);
         // If these events were dropped, the allocations that a new leader had recorded in a
         // migrated slice before the migrating leader had its answer would never be known to it
-        // (ClaimsThatOvertakeTheAnswerToAPushAreKnown).
+        // (AllocationsThatOvertakeTheAnswerToAMigrationAreKnown).
         deferredEvents_[event.key] = event;
     }
     clusterState->applied = std::max(clusterState->applied, answer.revision);
--- a/src/coordination/replication/slice_writer.cpp
+++ b/src/coordination/replication/slice_writer.cpp
@@ -70,10 +70,10 @@
     if (!written.migrating.ranges.empty())
         written.cuts = cutsAround(slice, written.migrating.ranges);
     else if (context_.jobDependenciesEnabled(*context_.clusterState.lock()))
-        // Recorded while values could be larger, by the version before (limits_lowered).
+        // Recorded while values could be larger, by the version before (scenario limits_lowered).
         written.cuts = cutsToFit(slice);
     // Two slices of one job that were divided in one transaction once added pieces under the same
-    // index, and the tasks of one of them were in no slice any more (rebalancing_limit).
+    // index, and the tasks of one of them were in no slice any more (scenario rebalancing_limit).
     auto& added = batch.addedSlices[job.spec.id];
     written.nextIndex = static_cast<std::uint32_t>(job.slices.size()) + added;
     const auto pieces = storage::cutSlice(slice, written.cuts, written.nextIndex);
@@ -115,8 +115,8 @@
         Slice& piece = pieces[i];
         if (written.migrating.contains(piece.range()))
             piece.partition = written.migrating.target;
-        else if (i == 0 && slice.leaving)
-            piece.leaving = slice.leaving;
+        else if (i == 0 && slice.migrating)
+            piece.migrating = slice.migrating;
         markRecorded(job, piece, *written.writes[i].value, revision, machines);
     }
     clusterState.divideSlice(job, written.index, pieces);
--- a/src/coordination/scheduling/placement.cpp
+++ b/src/coordination/scheduling/placement.cpp
@@ -89,9 +89,9 @@
     const auto used = clusterState.usedBy(name, partition);
     auto quota = quotaShareOf(clusterState, *team, partition);
     if (const auto leaving = clusterState.outgoingQuotas.find(name);
-        leaving != clusterState.outgoingQuotas.end() && leaving->second.first == partition) {
-        quota.cpus -= leaving->second.second.cpus;
-        quota.gpus -= leaving->second.second.gpus;
+        leaving != clusterState.outgoingQuotas.end() && leaving->second.partition == partition) {
+        quota.cpus -= leaving->second.share.cpus;
+        quota.gpus -= leaving->second.share.gpus;
     }
     if (team->cpusMax > 0) left.cpus = quota.cpus - used.cpus;
     if (team->gpusMax > 0) left.gpus = quota.gpus - used.gpus;
@@ -136,7 +136,7 @@
         if (slice.partition != partition || slice.waiting() == 0) continue;
         for (std::uint32_t i = 0; i < slice.done.size(); ++i) {
             const auto task = slice.first + i;
-            if (!slice.unstarted(task) || slice.isLeaving(task)) continue;
+            if (!slice.unstarted(task) || slice.isMigrating(task)) continue;
             if (placed.tasks >= most) return placed;
             if (!job.spec.each.fits(left)) {
                 overQuota = true;
--- a/src/rebalancing/handover.cpp
+++ b/src/rebalancing/handover.cpp
@@ -36,7 +36,7 @@
 std::optional<Refusal> refusalOf(const ClusterState& clusterState, const Job& job) {
     if (job.completing || clusterState.knownCancelled(job)) return Refusal::jobEnding;
     if (std::any_of(job.slices.begin(), job.slices.end(),
-                    [](const Slice& slice) { return slice.leaving.has_value(); }))
+                    [](const Slice& slice) { return slice.migrating.has_value(); }))
         return Refusal::jobLeaving;
     return std::nullopt;
 }
--- a/src/storage/cancellation_log.cpp
+++ b/src/storage/cancellation_log.cpp
@@ -7,7 +7,7 @@
 bool CancellationLog::append(const std::string& job, std::uint64_t revision) {
     if (!known_.insert(job).second) return false;
     entries_.push_back({job, revision});
-    if (entries_.size() > mostEntries) {
+    if (entries_.size() > maxEntries) {
         const Entry& oldest = entries_.front();
         if (oldest.revision != unknownRevision)
             droppedRevision_ = std::max(droppedRevision_, oldest.revision);
@@ -19,10 +19,10 @@
 }
 
 CancellationLog::Extract CancellationLog::since(std::uint64_t position, std::uint64_t revision,
-                                                std::size_t most) const {
+                                                std::size_t maxJobs) const {
     Extract extract;
     auto at = std::clamp(position, first_, end());
-    for (; at < end() && extract.jobs.size() < most; ++at) {
+    for (; at < end() && extract.jobs.size() < maxJobs; ++at) {
         const Entry& entry = entries_[at - first_];
         if (entry.revision > revision) extract.jobs.push_back(entry.job);
     }
--- a/src/storage/cluster_state.cpp
+++ b/src/storage/cluster_state.cpp
@@ -2,20 +2,10 @@
 
 #include <algorithm>
 
-#include "storage/records.h"
+#include "storage/record_keys.h"
 
 namespace fawnwheel::storage {
 
-void GoneMachines::insert(const std::string& id) {
-    if (!known_.insert(id).second) return;
-    order_.push_back(id);
-    if (order_.size() <= std::max(leastKept, mostMachines_ * 2)) return;
-    // The one that went first, whatever its name: the smallest name was once forgotten instead, and
-    // that could be the one just added, which a lagging list then brought back.
-    known_.erase(order_.front());
-    order_.pop_front();
-}
-
 Job* ClusterState::job(const std::string& id) {
     const auto found = jobs.find(id);
     return found == jobs.end() ? nullptr : &found->second;
@@ -30,8 +20,8 @@
 
 bool ClusterState::recordCancellation(const std::string& id, std::uint64_t revision) {
     const bool fresh = cancellations.append(id, revision);
-    if (Job* live = job(id); live != nullptr && !live->knownCancelled)
-        dependencyGraph.onCancelled(*live);
+    if (Job* activeJob = job(id); activeJob != nullptr && !activeJob->knownCancelled)
+        dependencyGraph.onCancelled(*activeJob);
     return fresh;
 }
 
@@ -168,7 +158,7 @@
     if (found == nullptr) return;
     for (const auto& slice : found->slices) {
         for (const auto& allocation : slice.allocations) detach(*found, allocation);
-        // Deleted with the job, as far as they fitted into that transaction; the watch tells.
+        // Those that fitted into the job's last transaction were deleted with it; the watch tells.
         if (slice.version > 0)
             orphanedRecords[keys::slice(id, slice.index)] = {id, slice.partition};
     }
@@ -223,8 +213,8 @@
             allocation.durable = true;
             if (!sameLeader) allocation.forgetState();
         } else if (Machine* m = machine(allocation.machine)) {
-            // Another leader's placement: who takes its partition over then knows where images lie.
-            // Without that all were fetched anew (day zone of a fleet).
+            // Another leader's placement: whoever acquires its partition then knows where images
+            // are cached. Without that all of them were fetched again after a failover.
             recordImage(*m, job.spec);
         }
     }
--- a/src/storage/dependency_graph.cpp
+++ b/src/storage/dependency_graph.cpp
@@ -4,7 +4,7 @@
 
 namespace fawnwheel::storage {
 
-bool DependencyGraph::stopped(const Job& job) {
+bool DependencyGraph::isCancelled(const Job& job) {
     return job.cancelled || job.knownCancelled || job.dependencyCancelled;
 }
 
@@ -22,10 +22,10 @@
     unresolved_.erase(id);
     for (const auto& dependency : job.spec.dependencies) dependents_[dependency].push_back(id);
     resolve(job);
-    collectDemand(job);
-    passOnDemand(job);
+    static_cast<void>(collectDemand(job));
+    propagateDemand(job);
     // Records are read in the order of their names: a dependent may have come first.
-    if (stopped(job)) cancelDependents(id);
+    if (isCancelled(job)) cancelDependents(id);
 }
 
 void DependencyGraph::remove(const Job& job) {
@@ -45,7 +45,7 @@
 void DependencyGraph::onCancelled(Job& job) {
     job.knownCancelled = true;
     cancelDependents(job.spec.id);
-    passOnDemand(job);
+    propagateDemand(job);
 }
 
 void DependencyGraph::recordTerminal(const std::string& job, const TerminalState& state) {
@@ -55,7 +55,7 @@
         const auto found = jobs_.find(id);
         if (found == jobs_.end() || !resolve(found->second)) continue;
         cancelDependents(id);
-        passOnDemand(found->second);
+        propagateDemand(found->second);
     }
 }
 
@@ -70,21 +70,22 @@
 }
 
 bool DependencyGraph::resolve(Job& job) {
-    job.waiting = false;
+    job.blockedOnDependencies = false;
     job.readySince = job.submitted;
     bool dependencyCancelled = false;
     for (const auto& dependency : job.spec.dependencies) {
-        if (const auto final = terminals_.find(dependency); final != terminals_.end()) {
-            if (final->second.cancelled) job.waiting = dependencyCancelled = true;
-            if (final->second.at) job.readySince = std::max(job.readySince, *final->second.at);
+        if (const auto terminal = terminals_.find(dependency); terminal != terminals_.end()) {
+            if (terminal->second.cancelled) job.blockedOnDependencies = dependencyCancelled = true;
+            if (terminal->second.at)
+                job.readySince = std::max(job.readySince, *terminal->second.at);
             continue;
         }
-        job.waiting = true;
-        const auto live = jobs_.find(dependency);
-        if (live == jobs_.end())
+        job.blockedOnDependencies = true;
+        const auto activeJob = jobs_.find(dependency);
+        if (activeJob == jobs_.end())
             unresolved_.insert(dependency);
         else
-            dependencyCancelled = dependencyCancelled || stopped(live->second);
+            dependencyCancelled = dependencyCancelled || isCancelled(activeJob->second);
     }
     const bool fresh = dependencyCancelled && !job.dependencyCancelled;
     job.dependencyCancelled = job.dependencyCancelled || dependencyCancelled;
@@ -120,7 +121,7 @@
                          std::chrono::duration_cast<WallTime::duration>(*dependent.spec.deadline)});
     if (demand.latestEnd)
         *demand.latestEnd -=
-            std::chrono::duration_cast<WallTime::duration>(stepTime(dependent.spec));
+            std::chrono::duration_cast<WallTime::duration>(stepTime_(dependent.spec));
     return demand;
 }
 
@@ -128,7 +129,8 @@
     Demand total{job.spec.priority, std::nullopt};
     for (const auto& id : dependents(job.spec.id)) {
         const auto found = jobs_.find(id);
-        if (found != jobs_.end() && !stopped(found->second)) add(total, demandOf(found->second));
+        if (found != jobs_.end() && !isCancelled(found->second))
+            add(total, demandOf(found->second));
     }
     if (total == demandOn(job)) return false;
     job.priority = total.priority;
@@ -136,7 +138,7 @@
     return true;
 }
 
-void DependencyGraph::passOnDemand(const Job& job) {
+void DependencyGraph::propagateDemand(const Job& job) {
     std::vector<const Job*> open{&job};
     while (!open.empty()) {
         const Job& next = *open.back();
--- a/src/storage/job.cpp
+++ b/src/storage/job.cpp
@@ -6,10 +6,11 @@
 
 namespace {
 
-// One faulty machine fails many tasks, and two of them may be met in a row.
-constexpr std::uint32_t machinesThatBlameTheJob = 3;
-// A machine that failed a task is avoided by its job for so long: it may be the only one that fits.
-constexpr std::chrono::seconds avoidance{60};
+// One faulty machine fails many tasks, and a job may meet two such machines in a row.
+constexpr std::uint32_t failedMachinesOfCrashLoop = 3;
+// A job avoids a machine on which its task failed for this long, and not for ever: it may be the
+// only one that fits.
+constexpr std::chrono::seconds avoidanceDuration{60};
 
 }  // namespace
 
@@ -29,8 +30,8 @@
 
 std::uint32_t Slice::waiting() const {
     const auto started = doneCount + allocations.size();
-    const auto gone = leaving ? leaving->count : 0;
-    return size() - static_cast<std::uint32_t>(std::min<std::size_t>(size(), started + gone));
+    const auto elsewhere = migrating ? migrating->count : 0;
+    return size() - static_cast<std::uint32_t>(std::min<std::size_t>(size(), started + elsewhere));
 }
 
 TaskRange Slice::lastUnstarted() const {
@@ -94,12 +95,12 @@
     if (!failures.any || failures.disproved || doneTasks() > 0) return false;
     std::uint32_t machines = 0;
     for (const auto& slice : slices) machines += slice.failures;
-    return machines >= machinesThatBlameTheJob;
+    return machines >= failedMachinesOfCrashLoop;
 }
 
 bool Job::avoids(const std::string& machine, SteadyTime now) const {
     const auto found = failures.machines.find(machine);
-    return found != failures.machines.end() && now - found->second < avoidance;
+    return found != failures.machines.end() && now - found->second < avoidanceDuration;
 }
 
 Slice* Job::sliceOf(std::uint32_t task) {
--- /dev/null
+++ b/src/storage/record_replay.cpp
@@ -0,0 +1,210 @@
+#include "storage/record_replay.h"
+
+#include <algorithm>
+
+#include "storage/record_codec.h"
+#include "storage/record_keys.h"
+
+namespace fawnwheel::storage {
+
+namespace {
+
+Job makeJob(const JobRecord& record) {
+    Job job;
+    job.spec = record.spec;
+    job.sliceSize = record.sliceSize;
+    job.slices = makeSlices(job.spec, job.sliceSize, record.partition);
+    job.submitted = record.submitted;
+    return job;
+}
+
+void applyJob(ClusterState& clusterState, const std::string& id, const protocol::Event& event) {
+    Job* known = clusterState.job(id);
+    if (known != nullptr && known->version >= event.version) return;
+    if (!event.value) return clusterState.dropJob(id);
+    const auto record = readJob(*event.value);
+    if (!record) return;
+    if (known == nullptr) {
+        clusterState.addJob(makeJob(*record));
+        known = clusterState.job(id);
+    }
+    known->partition = record->partition;
+    known->cancelled = record->cancelled;
+    if (known->cancelled) clusterState.recordCancellation(id, event.version);
+    known->version = event.version;
+    for (auto& slice : known->slices)
+        if (slice.version == 0) slice.partition = record->partition;
+}
+
+void applySlice(ClusterState& clusterState, const std::string& name, const protocol::Event& event) {
+    const auto slash = name.rfind('/');
+    if (slash == std::string::npos) return;
+    // The record of a slice is deleted only with its job's or after it.
+    if (!event.value) {
+        clusterState.orphanedRecords.erase(event.key);
+        return;
+    }
+    const auto id = name.substr(0, slash);
+    Job* job = clusterState.job(id);
+    if (job == nullptr) {
+        clusterState.orphanedRecords[event.key] = {id, partitionOf(*event.value)};
+        return;
+    }
+    const auto index = parseNumber(std::string_view(name).substr(slash + 1));
+    // Each division leaves at least one task to each piece.
+    if (!index || *index >= std::uint64_t{job->spec.tasks} * 2) return;
+    auto content = readSlice(*job, *index, *event.value);
+    if (!content) return;
+    Slice& slice = job->sliceAt(*index);
+    if (slice.version >= event.version) return;
+    clusterState.replaceSlice(*job, slice, std::move(*content));
+    slice.version = event.version;
+}
+
+/// What the machine's former leader observed does not hold for the new one.
+void resetAfterMove(Machine& machine, SteadyTime now) {
+    machine.reservedUntil = {};
+    machine.notBefore = {};
+    machine.consolidating = false;
+    machine.transferring = false;
+    machine.departedTo.reset();
+    machine.interruptionAt.reset();
+    machine.unansweredUntil = {};
+    machine.known = machine.silentSince = machine.idleSince = now;
+}
+
+/// Sets where the fencing tokens of the new leader begin for the machine's worker.
+void startTokens(Machine& machine, SteadyTime now) {
+    if (machine.minFencingToken <= machine.firstFencingToken) return;
+    machine.lastHeartbeat = now;
+    machine.firstFencingToken = machine.fencingToken = machine.expectedToken =
+        machine.minFencingToken;
+    // Lent or returned: the partition it comes from has just had its heartbeat, and it is empty.
+    // With tasks on it nothing is proved until the worker has shown the new leader's token.
+    machine.acknowledgedToken = machine.transferredBy.empty() ? machine.minFencingToken : 0;
+    machine.unacknowledgedSince = now;
+    machine.unacknowledged = 0;
+}
+
+void applyMachineRecord(ClusterState& clusterState, MachineRecord record, SteadyTime now) {
+    const Machine* known = clusterState.machine(record.id);
+    const bool fresh = known == nullptr;
+    const bool moved = !fresh && known->partition != record.partition;
+    Machine& machine = clusterState.addMachine(record.id, record.partition);
+    machine.setRecord(std::move(record));
+    if (fresh) machine.known = machine.silentSince = machine.idleSince = now;
+    if (moved) {
+        resetAfterMove(machine, now);
+        startTokens(machine, now);
+        clusterState.forgetTaskStates(machine);
+    }
+    if (fresh) clusterState.attachAllocations(machine);
+}
+
+void applyMachine(ClusterState& clusterState, const std::string& id, const protocol::Event& event,
+                  SteadyTime now) {
+    Machine* known = clusterState.machine(id);
+    if (known != nullptr && known->version >= event.version) return;
+    if (!event.value) {
+        clusterState.corruptMachines.erase(id);
+        // Version 0: not yet recorded, its first write is in flight.
+        if (known != nullptr && known->version > 0) clusterState.dropMachine(id);
+        return;
+    }
+    const Json& value = *event.value;
+    if (!machineValueValid(value, clusterState.partitionCount)) {
+        // It moves no machine: the leader that had the machine keeps it, and writes the record
+        // again over this version.
+        clusterState.corruptMachines[id] = {event.version, value};
+        if (known != nullptr) known->version = event.version;
+        return;
+    }
+    clusterState.corruptMachines.erase(id);
+    applyMachineRecord(clusterState, readMachine(id, value, event.version), now);
+}
+
+void applyPartition(ClusterState& clusterState, std::uint32_t number,
+                    const protocol::Event& event) {
+    Partition& partition = clusterState.partitions[number];
+    if (partition.version >= event.version || !event.value) return;
+    partition = readPartition(*event.value, event.version);
+}
+
+void applyNode(ClusterState& clusterState, const std::string& name, const protocol::Event& event) {
+    const auto known = clusterState.nodes.find(name);
+    if (event.value)
+        clusterState.nodes[name] =
+            std::max(event.version, known == clusterState.nodes.end() ? 0 : known->second);
+    else if (known != clusterState.nodes.end() && known->second < event.version)
+        clusterState.nodes.erase(known);
+}
+
+void applyQuota(ClusterState& clusterState, const std::string& team, const protocol::Event& event) {
+    if (clusterState.quotaVersions[team] >= event.version || !event.value) return;
+    clusterState.quotas[team] = readQuota(*event.value);
+    clusterState.quotaVersions[team] = event.version;
+}
+
+void applyCatalog(ClusterState& clusterState, const protocol::Event& event) {
+    if (!event.value || event.version <= clusterState.catalogVersion) return;
+    clusterState.catalog = protocol::parseCatalog(*event.value);
+    clusterState.catalogVersion = event.version;
+}
+
+void applyTerm(ClusterState& clusterState, const protocol::Event& event) {
+    if (!event.value || event.version <= clusterState.termVersion) return;
+    clusterState.lastTerm = readTerm(*event.value);
+    clusterState.termVersion = event.version;
+}
+
+}  // namespace
+
+void recordCancellation(ClusterState& clusterState, const protocol::Event& event) {
+    const auto [kind, id] = parseKey(event.key);
+    if (kind == RecordKind::job && event.value && isCancelledValue(*event.value))
+        clusterState.recordCancellation(id, event.version);
+}
+
+void recordDeparture(ClusterState& clusterState, const protocol::Event& event) {
+    const auto [kind, id] = parseKey(event.key);
+    Machine* machine = kind == RecordKind::machine ? clusterState.machine(id) : nullptr;
+    if (machine == nullptr || !event.value || machine->version >= event.version ||
+        !machineValueValid(*event.value, clusterState.partitionCount))
+        return;
+    const auto partition = partitionOf(*event.value);
+    machine->departedTo.reset();
+    if (partition != machine->partition) machine->departedTo = partition;
+}
+
+void applyEvent(ClusterState& clusterState, const protocol::Event& event, SteadyTime now) {
+    const auto [kind, name] = parseKey(event.key);
+    switch (kind) {
+        case RecordKind::unknown:
+            return;
+        case RecordKind::catalog:
+            return applyCatalog(clusterState, event);
+        case RecordKind::term:
+            return applyTerm(clusterState, event);
+        case RecordKind::job:
+            return applyJob(clusterState, name, event);
+        case RecordKind::slice:
+            return applySlice(clusterState, name, event);
+        case RecordKind::machine:
+            return applyMachine(clusterState, name, event, now);
+        case RecordKind::partition:
+            if (const auto number = parseNumber(name)) applyPartition(clusterState, *number, event);
+            return;
+        case RecordKind::node:
+            return applyNode(clusterState, name, event);
+        case RecordKind::quota:
+            return applyQuota(clusterState, name, event);
+        case RecordKind::jobDependenciesGate:
+            if (event.value) clusterState.nodesWithJobDependencies.insert(name);
+            return;
+        case RecordKind::machineTransfersGate:
+            if (event.value) clusterState.nodesWithMachineTransfers.insert(name);
+            return;
+    }
+}
+
+}  // namespace fawnwheel::storage
--- a/tests/unit/coordination/migration/machine_transfers_test.cpp
+++ b/tests/unit/coordination/migration/machine_transfers_test.cpp
@@ -235,9 +235,9 @@
     array.slices[0].allocationOf(3)->durable = false;
     EXPECT_EQ(refusalFor("m-1"), Refusal::recordPending);
     array.slices[0].allocationOf(3)->durable = true;
-    array.slices[0].leaving = TaskRange{8, 2};
+    array.slices[0].migrating = TaskRange{8, 2};
     EXPECT_EQ(refusalFor("m-1"), Refusal::jobLeaving);
-    array.slices[0].leaving.reset();
+    array.slices[0].migrating.reset();
     clusterState->recordCancellation("run-1", 1);
     EXPECT_EQ(refusalFor("m-1"), Refusal::jobEnding);
 }
--- a/tests/unit/storage/dependency_graph_test.cpp
+++ b/tests/unit/storage/dependency_graph_test.cpp
@@ -38,13 +38,13 @@
     add("run-a", {});
     add("run-b", {});
     const Job& last = add("run-c", {"run-a", "run-b"});
-    EXPECT_FALSE(clusterState.job("run-a")->waiting);
-    EXPECT_TRUE(last.waiting);
+    EXPECT_FALSE(clusterState.job("run-a")->blockedOnDependencies);
+    EXPECT_TRUE(last.blockedOnDependencies);
     end("run-a", false, start + 20s);
-    EXPECT_TRUE(last.waiting);
+    EXPECT_TRUE(last.blockedOnDependencies);
     // Its active record is gone, but nobody has read yet how it ended.
     clusterState.dropJob("run-b");
-    EXPECT_TRUE(last.waiting);
+    EXPECT_TRUE(last.blockedOnDependencies);
     EXPECT_EQ(clusterState.dependencyGraph.unresolved(), std::set<std::string>{"run-b"});
     EXPECT_FALSE(clusterState.schedulable(last));
     clusterState.dependencyGraph.recordTerminal("run-b", {false, start + 7s});
@@ -80,7 +80,7 @@
     clusterState.dependencyGraph.recordTerminal("run-a", {true, start});
     EXPECT_TRUE(clusterState.job("run-b")->dependencyCancelled);
     EXPECT_TRUE(clusterState.job("run-c")->dependencyCancelled);
-    EXPECT_TRUE(clusterState.job("run-b")->waiting);
+    EXPECT_TRUE(clusterState.job("run-b")->blockedOnDependencies);
 }
 
 TEST_F(Chains, ToldOfBeforeItsRecordIsRead) {
