--- a/src/coordination/controller.cpp
+++ b/src/coordination/controller.cpp
@@ -36,9 +36,8 @@
       completionNotifier_(context_, membership_),
       router_(replica_, membership_, reachability_, heartbeats_, admission_) {
     completionNotifier_.onRead = [this] { scheduleRound(); };
-    context_.clusterState.lock()->dependencyGraph.stepTime = [this](const protocol::JobSpec& spec) {
-        return placement_.stepTime(spec);
-    };
+    context_.clusterState.lock()->dependencyGraph.setStepTimeEstimator(
+        [this](const protocol::JobSpec& spec) { return placement_.stepTime(spec); });
     placement_.canProvision = [this](const Job& job, const std::string& zone) {
         return fleet_.canProvision(job, zone);
     };
