--- a/src/coordination/membership/node_lease.cpp
+++ b/src/coordination/membership/node_lease.cpp
@@ -43,8 +43,8 @@
     // the record on a lease that nobody renews.
     transaction.compares.push_back(
         {storage::keys::node(name), known == clusterState->nodes.end() ? 0 : known->second});
-    // While this node had no lease, a peer may have acquired its partitions. Answering their
-    // workers once more would prolong leases that the new leader counts down.
+    // These guard against partitions that a peer has acquired while this node had no lease:
+    // answering their workers once more would prolong leases that the new leader counts down.
     for (const auto& [partition, term] : acquiredTerms_.all())
         transaction.compares.push_back(
             {storage::keys::partition(partition), clusterState->partitions[partition].version});
@@ -65,16 +65,15 @@
     // Of very many partitions those that don't fit into the transaction are acquired anew.
     const auto maxCompares = std::max<std::size_t>(1, context_.settings.transactionConditions());
     acquiredTerms_.truncate(maxCompares - 1);
-    context_.state.transact(nodeTransaction(lease), protocol::RequestPriority::lease,
-                            [this, lease, sent](const protocol::CompareAndSwapResponse& answer) {
-                                if (answer.result == protocol::StateResult::refused) {
-                                    onNodeRefused(answer.failed);
-                                    return refreshNodeVersion(lease, sent);
-                                }
-                                if (answer.result != protocol::StateResult::ok)
-                                    return retryGrantLater();
-                                onNodeWritten(lease, sent, answer.revision);
-                            });
+    const auto onAnswer = [this, lease, sent](const protocol::CompareAndSwapResponse& answer) {
+        if (answer.result == protocol::StateResult::refused) {
+            onNodeRefused(answer.failed);
+            return refreshNodeVersion(lease, sent);
+        }
+        if (answer.result != protocol::StateResult::ok) return retryGrantLater();
+        onNodeWritten(lease, sent, answer.revision);
+    };
+    context_.state.transact(nodeTransaction(lease), protocol::RequestPriority::lease, onAnswer);
 }
 
 void NodeLease::onNodeRefused(const std::vector<std::string>& failedKeys) {
