--- a/src/coordination/controller.cpp
+++ b/src/coordination/controller.cpp
@@ -26,17 +26,21 @@
       pipeline_(context_),
       membership_(context_),
       stateWriter_(context_, pipeline_),
-      placement_(context_, membership_),
+      queueOrder_(context_),
+      teamQuotas_(context_),
       heartbeats_(context_, membership_, stateWriter_),
-      fleet_(context_, membership_, pipeline_, placement_, heartbeats_),
-      quotas_(context_, membership_, pipeline_, placement_),
+      fleet_(context_, membership_, pipeline_, queueOrder_, heartbeats_, *this),
+      placement_(context_, membership_, queueOrder_, teamQuotas_, fleet_),
+      preemption_(context_, queueOrder_),
+      consolidation_(context_),
+      quotas_(context_, membership_, pipeline_, teamQuotas_, queueOrder_),
       transfers_(context_, pipeline_, stateWriter_.writer(), quotas_, heartbeats_),
       lending_(context_, membership_, placement_, transfers_),
       rebalancer_(context_, membership_, pipeline_, placement_, transfers_),
       migrator_(context_, membership_, pipeline_, stateWriter_, placement_),
       statusReader_(context_),
       admission_(context_, statusReader_, migrator_),
-      completionNotifier_(context_, membership_) {
+      completionNotifier_(context_, membership_, *this) {
     replica_.inFlight = [this](const std::string& key) { return pipeline_.inFlight(key); };
     replica_.onChange = [this] {
         fleet_.adoptCatalog();
@@ -73,10 +77,9 @@
         stopping_.erase(id);
     };
     stateWriter_.onCancelled = [this] { membership_.broadcastCancellations([] {}); };
-    completionNotifier_.onRead = [this] { scheduleRound(); };
     statusReader_.recordsCurrentAsOf = [this] { return replica_.currentAsOf(); };
     context_.clusterState.lock()->dependencyGraph.stepTime = [this](const protocol::JobSpec& spec) {
-        return placement_.stepTime(spec);
+        return queueOrder_.stepTime(spec);
     };
     stateWriter_.onDurable = [this](const std::set<std::string>& machines) {
         heartbeats_.requestHeartbeats(machines);
@@ -88,10 +91,6 @@
         fleet_.onUnassignedHeartbeat(heartbeat);
     };
     heartbeats_.onChange = [this] { scheduleRound(); };
-    placement_.canProvision = [this](const Job& job, const std::string& zone) {
-        return fleet_.canProvision(job, zone);
-    };
-    fleet_.onAnswer = [this] { scheduleRound(); };
     admission_.synced = [this] { return replica_.synced(); };
     admission_.onAccepted = [this] { scheduleRound(); };
     admission_.onCancelled = [this](std::function<void()> then) {
@@ -129,7 +128,7 @@
         if (membership_.isLeaseValid() && !reachability_.isUnreachable()) {
             const auto unschedulable = placement_.run(partition);
             rebalancer_.recordUnschedulable(partition, unschedulable);
-            for (const auto& machine : placement_.preemptFor(partition, unschedulable))
+            for (const auto& machine : preemption_.preemptFor(partition, unschedulable))
                 heartbeats_.stopMarked(machine);
             lending_.requestLoans(partition, unschedulable);
             quotas_.requestQuota(partition, unschedulable);
@@ -169,7 +168,7 @@
         fleet_.reconcileMachines(partition);
         if (membership_.isLeaseValid()) lending_.returnIdleLoans(partition);
         if (membership_.isLeaseValid() && fleet_.mayConsolidate(partition))
-            if (const auto machine = placement_.consolidateOne(partition))
+            if (const auto machine = consolidation_.consolidateOne(partition))
                 heartbeats_.stopMarked(*machine);
     }
     std::erase_if(stopping_, [this](const std::string& id) {
--- a/src/coordination/controller.h
+++ b/src/coordination/controller.h
@@ -9,12 +9,15 @@
 #include "coordination/migration/work_migrator.h"
 #include "coordination/provisioning/fleet.h"
 #include "coordination/replication/replica.h"
+#include "coordination/round_scheduler.h"
 #include "coordination/scheduling/completion_notifier.h"
+#include "coordination/scheduling/consolidation.h"
+#include "coordination/scheduling/preemption.h"
 #include "coordination/scheduling/quota_exchange.h"
 
 namespace fawnwheel::coordination {
 
-class Controller {
+class Controller : private RoundScheduler {
   public:
     Controller(const config::Settings& settings, const config::OperatorSettings& tuning,
                transport::Timers& timers, transport::Network& network, std::uint64_t seed);
@@ -32,7 +35,7 @@
 
   private:
     void handleHeartbeat(const std::string& body, const transport::HttpReply& reply);
-    void scheduleRound();
+    void scheduleRound() override;
     void runRound();
     void runMaintenance();
     void stopCancelledJobs();
@@ -44,9 +47,13 @@
     TransactionPipeline pipeline_;
     Membership membership_;
     StateWriter stateWriter_;
-    Placement placement_;
+    QueueOrder queueOrder_;
+    TeamQuotas teamQuotas_;
     HeartbeatHandler heartbeats_;
     Fleet fleet_;
+    Placement placement_;
+    Preemption preemption_;
+    Consolidation consolidation_;
     QuotaExchange quotas_;
     MachineTransfers transfers_;
     MachineLending lending_;
--- a/src/coordination/migration/machine_lending.cpp
+++ b/src/coordination/migration/machine_lending.cpp
@@ -22,10 +22,11 @@
     auto clusterState = context_.clusterState.lock();
     for (const auto& entry : unschedulable) {
         // In the queue's order one gang of a zone is served before the next.
-        if (!entry.gang || entry.waitsTurn || entry.lacking == 0) continue;
+        if (!entry.gang || entry.blockedByEarlierGang || entry.tasksWithoutFreeMachine == 0)
+            continue;
         const Job* job = clusterState->job(entry.job);
         if (job == nullptr || job->partition != partition) continue;
-        if (restUntil_.contains(entry.job) || !throttle_.due(entry.job, context_.now())) continue;
+        if (restUntil_.contains(entry.job) || !throttle_.isDue(entry.job, context_.now())) continue;
         struct Lender {
             std::uint32_t idle = 0;
             std::uint32_t busy = 0;  // of use to it once they are free
@@ -52,7 +53,7 @@
         // provisioned, but asking costs little and unused loans go back. A busy machine kept here
         // does not spare the question: two partitions with an idle machine each once left gangs of
         // two waiting for minutes (largest_first).
-        auto missing = entry.lacking;
+        auto missing = entry.tasksWithoutFreeMachine;
         std::sort(lenders.begin(), lenders.end(),
                   [](const Lender& a, const Lender& b) { return a.idle > b.idle; });
         for (auto& lender : lenders) {
--- a/src/coordination/migration/rebalancer.cpp
+++ b/src/coordination/migration/rebalancer.cpp
@@ -80,8 +80,8 @@
     auto clusterState = context_.clusterState.lock();
     for (const auto& entry : unschedulable) {
         const Job* job = clusterState->job(entry.job);
-        const auto tasks = entry.gang ? entry.lacking : entry.tasks;
-        if (job == nullptr || entry.overQuota || entry.waitsTurn || tasks == 0) continue;
+        const auto tasks = entry.gang ? entry.tasksWithoutFreeMachine : entry.tasks;
+        if (job == nullptr || entry.overQuota || entry.blockedByEarlierGang || tasks == 0) continue;
         // Work that can be divided, or is a single task, goes to the machines: a migration takes
         // one change. With machines moved for it too, the arrays of best-effort jobs took them from
         // all other work and the changes from its records (docs/results.md).
--- a/src/coordination/provisioning/autoscaler.cpp
+++ b/src/coordination/provisioning/autoscaler.cpp
@@ -31,11 +31,11 @@
             if (!inZone.empty() && zone != inZone) continue;
             for (const bool spot : {true, false}) {
                 if (spot && !context_.tuning.useSpot) continue;
-                if (!Placement::typeAllowed(job.spec, type, zone, spot)) continue;
+                if (!typeAllowed(job.spec, type, zone, spot)) continue;
                 const Kind kind{type.name, zone, spot};
                 const auto refused = refused_.find(kind);
                 if (refused != refused_.end() && now < refused->second.until) continue;
-                const double fit = Placement::countThatFit(job, type.capacity, tasks);
+                const double fit = countThatFit(job, type.capacity, tasks);
                 double price = (spot ? type.spotPrice : type.price) / std::max(1.0, fit);
                 // Near the partition's own node, so that a cut between zones separates fewer of
                 // them.
@@ -86,8 +86,8 @@
         }
         for (std::uint32_t left = entry.tasks; left > 0; --left) {
             const auto fits = std::find_if(coming.begin(), coming.end(), [&](const Coming& c) {
-                return Placement::typeAllowed(job->spec, *context_.type(c.kind.type), c.kind.zone,
-                                              c.kind.spot) &&
+                return typeAllowed(job->spec, *context_.type(c.kind.type), c.kind.zone,
+                                   c.kind.spot) &&
                        job->spec.each.fits(c.available);
             });
             if (fits != coming.end()) {
@@ -116,8 +116,7 @@
         return;
     const auto kind = cheapest(job, entry.tasks, entry.zone);
     if (!kind || asking(*kind)) return;
-    const auto each =
-        Placement::countThatFit(job, context_.type(kind->type)->capacity, entry.tasks);
+    const auto each = countThatFit(job, context_.type(kind->type)->capacity, entry.tasks);
     const auto machines =
         std::min(maxProvisionedAtOnce, static_cast<int>((entry.tasks + each - 1) / each));
     // Many gangs in one call: with a call for each, a morning's gangs took a minute to provision
@@ -158,7 +157,7 @@
                           const ProvisioningRequest& request,
                           const std::vector<std::string>& machines) {
     inProgress_[partition][kind] -= request.count;
-    onAnswer();
+    rounds_.scheduleRound();
     auto clusterState = context_.clusterState.lock();
     const auto* type = context_.type(kind.type);
     auto next = machines.begin();
@@ -168,9 +167,8 @@
         for (int i = 0; i < count && next != machines.end(); ++i, ++next) {
             Machine* machine = ensureMachine(*next, kind.type, kind.zone, kind.spot, partition);
             if (machine == nullptr || job == nullptr || type == nullptr) continue;
-            placement_.reserve(*machine, *job,
-                               Placement::countThatFit(*job, type->capacity, job->spec.tasks),
-                               ticks(type->bootTime * lateBoot) + bootGrace);
+            reserve(context_, *machine, *job, countThatFit(*job, type->capacity, job->spec.tasks),
+                    ticks(type->bootTime * lateBoot) + bootGrace);
         }
     }
     for (; next != machines.end(); ++next)
@@ -189,7 +187,7 @@
         for (const auto& zone : type.zones)
             for (const bool spot : {true, false}) {
                 if ((!inZone.empty() && zone != inZone) || (spot && !context_.tuning.useSpot) ||
-                    !Placement::typeAllowed(job.spec, type, zone, spot))
+                    !typeAllowed(job.spec, type, zone, spot))
                     continue;
                 const auto refused = refused_.find({type.name, zone, spot});
                 if (refused == refused_.end() || now - refused->second.until > refusalMemory)
--- a/src/coordination/provisioning/fleet.cpp
+++ b/src/coordination/provisioning/fleet.cpp
@@ -266,7 +266,7 @@
                              Machine* machine = clusterState->machine(id);
                              if (machine != nullptr) writes.settled(*machine, result, revision);
                          }
-                         onAnswer();
+                         rounds_.scheduleRound();
                          writeSome(writes, partition);
                      });
 }
@@ -302,7 +302,7 @@
 bool Fleet::wantedByAny(const ClusterState& clusterState, const Machine& machine,
                         const MachineType& type) const {
     return std::any_of(clusterState.jobs.begin(), clusterState.jobs.end(), [&](const auto& entry) {
-        return Placement::typeAllowed(entry.second.spec, type, machine.zone, machine.spot);
+        return typeAllowed(entry.second.spec, type, machine.zone, machine.spot);
     });
 }
 
--- a/src/coordination/provisioning/fleet.h
+++ b/src/coordination/provisioning/fleet.h
@@ -2,29 +2,32 @@
 // telling which are gone.
 #pragma once
 
-#include "coordination/scheduling/placement.h"
+#include "coordination/round_scheduler.h"
+#include "coordination/scheduling/cloud_availability.h"
+#include "coordination/scheduling/queue_order.h"
+#include "coordination/scheduling/unschedulable_work.h"
 #include "coordination/workers/heartbeat_handler.h"
 
 namespace fawnwheel::coordination {
 
-class Fleet {
+class Fleet : public CloudAvailability {
   public:
     Fleet(Context& context, Membership& membership, TransactionPipeline& pipeline,
-          Placement& placement, HeartbeatHandler& heartbeats)
+          QueueOrder& queueOrder, HeartbeatHandler& heartbeats, RoundScheduler& rounds)
         : context_(context),
           membership_(membership),
           pipeline_(pipeline),
-          placement_(placement),
-          heartbeats_(heartbeats) {}
+          queueOrder_(queueOrder),
+          heartbeats_(heartbeats),
+          rounds_(rounds) {}
 
     void start();
     // Before the cloud has answered, what was recorded of its machine types serves.
     void adoptCatalog();
     // A worker heartbeats that has no record yet, and whose default partition is ours.
     void onUnassignedHeartbeat(const protocol::Heartbeat& heartbeat);
-    std::function<void()> onAnswer = [] {};
     void scaleOutFor(std::uint32_t partition, const std::vector<UnschedulableWork>& unschedulable);
-    [[nodiscard]] bool canProvision(const Job& job, const std::string& zone) const;
+    [[nodiscard]] bool canProvision(const Job& job, const std::string& zone) const override;
     void onCapacityExhausted(const protocol::CapacityExhausted& message);
     void recordClasses(ClusterState& clusterState);
     // Whether it may be worth consolidating this partition's machines: nothing waits, and those
@@ -108,8 +111,9 @@
     Context& context_;
     Membership& membership_;
     TransactionPipeline& pipeline_;
-    Placement& placement_;
+    QueueOrder& queueOrder_;
     HeartbeatHandler& heartbeats_;
+    RoundScheduler& rounds_;
     struct Refusal {
         SteadyTime until{};
         Duration pause{};
--- a/src/coordination/provisioning/warm_pool.cpp
+++ b/src/coordination/provisioning/warm_pool.cpp
@@ -36,7 +36,7 @@
         ++seen.jobs;
         bool inTime = !slack;
         for (const auto& type : context_.catalog) {
-            if (!Placement::typeAllowed(spec, type, spec.zone.value_or(""), false)) continue;
+            if (!typeAllowed(spec, type, spec.zone.value_or(""), false)) continue;
             seen.types.insert(type.name);
             inTime = inTime || type.bootTime + Seconds(spec.imageSize / type.fetchRate) < *slack;
         }
@@ -77,7 +77,7 @@
 }
 
 bool Fleet::mayConsolidate(std::uint32_t partition) {
-    if (placement_.queueLength(partition) > 0) return false;
+    if (queueOrder_.queueLength(partition) > 0) return false;
     auto clusterState = context_.clusterState.lock();
     const auto& machines = clusterState->machinesOf(partition);
     return std::none_of(machines.begin(), machines.end(), [&](const Machine* machine) {
--- a/src/coordination/scheduling/completion_notifier.cpp
+++ b/src/coordination/scheduling/completion_notifier.cpp
@@ -12,13 +12,13 @@
 
 using namespace std::chrono_literals;
 
-constexpr std::size_t mostReads = 16;  // at once
-constexpr auto pauseAfterFailure = 300ms;
+constexpr std::size_t maxReadsInFlight = 16;
+constexpr auto retryPause = 300ms;
 
 }  // namespace
 
-bool CompletionNotifier::concerns(ClusterState& clusterState, const std::string& dependency,
-                                  const Partitions& partitions) {
+bool CompletionNotifier::hasDependentIn(ClusterState& clusterState, const std::string& dependency,
+                                        const Partitions& partitions) {
     const auto& dependents = clusterState.dependencyGraph.dependents(dependency);
     return std::any_of(dependents.begin(), dependents.end(), [&](const std::string& id) {
         const Job* job = clusterState.job(id);
@@ -38,38 +38,38 @@
 
 void CompletionNotifier::resolveDependencies() {
     const auto now = context_.now();
-    std::erase_if(notBefore_, [now](const auto& entry) { return entry.second <= now; });
+    std::erase_if(retryAt_, [now](const auto& entry) { return entry.second <= now; });
     std::vector<std::string> wanted;
     const auto partitions = ledPartitions();
     {
         auto clusterState = context_.clusterState.lock();
         for (const auto& id : clusterState->dependencyGraph.unresolved()) {
-            if (reading_.size() + wanted.size() >= mostReads) break;
-            if (!reading_.contains(id) && !notBefore_.contains(id) &&
-                concerns(*clusterState, id, partitions))
+            if (readsInFlight_.size() + wanted.size() >= maxReadsInFlight) break;
+            if (!readsInFlight_.contains(id) && !retryAt_.contains(id) &&
+                hasDependentIn(*clusterState, id, partitions))
                 wanted.push_back(id);
         }
     }
-    for (const auto& id : wanted) read(id);
+    for (const auto& id : wanted) readTerminal(id);
 }
 
-void CompletionNotifier::read(const std::string& dependency) {
-    reading_.insert(dependency);
+void CompletionNotifier::readTerminal(const std::string& dependency) {
+    readsInFlight_.insert(dependency);
     context_.state.read(
         storage::keys::terminal(dependency),
         [this, dependency](const protocol::ReadResponse& answer) {
-            reading_.erase(dependency);
+            readsInFlight_.erase(dependency);
             if (answer.result != protocol::StateResult::ok || answer.items.empty()) {
-                // Without a record the message was early, or the cluster state lags; it is asked
+                // Without a record the message was early, or the cluster state lags: it is read
                 // again.
-                notBefore_[dependency] = context_.now() + context_.jittered(pauseAfterFailure);
+                retryAt_[dependency] = context_.now() + context_.jittered(retryPause);
                 return;
             }
             const auto state = storage::readTerminal(answer.items.front().value);
-            spdlog::debug("job {}: read to be {}", dependency,
+            spdlog::debug("completion: dependency_resolved job={} outcome={}", dependency,
                           state.cancelled ? "cancelled" : "done");
             context_.clusterState.lock()->dependencyGraph.recordTerminal(dependency, state);
-            onRead();
+            rounds_.scheduleRound();
         },
         protocol::RequestPriority::userRequest);
 }
@@ -92,11 +92,11 @@
     {
         auto clusterState = context_.clusterState.lock();
         if (clusterState->dependencyGraph.isTerminalKnown(message.job) ||
-            reading_.contains(message.job) || reading_.size() >= mostReads ||
-            !concerns(*clusterState, message.job, ledPartitions()))
+            readsInFlight_.contains(message.job) || readsInFlight_.size() >= maxReadsInFlight ||
+            !hasDependentIn(*clusterState, message.job, ledPartitions()))
             return;
     }
-    read(message.job);
+    readTerminal(message.job);
 }
 
 }  // namespace fawnwheel::coordination
--- /dev/null
+++ b/src/coordination/scheduling/placement_constraints.cpp
@@ -0,0 +1,86 @@
+#include "coordination/scheduling/placement_constraints.h"
+
+#include <algorithm>
+
+namespace fawnwheel::coordination {
+
+namespace {
+
+using protocol::JobKind;
+
+constexpr double maxMissedHeartbeats = 2.5;  // no new work after so many
+constexpr Seconds loanClosedToOthers{45};    // to work that has waited for less
+
+}  // namespace
+
+ZoneUse zoneUseOf(const ClusterState& clusterState, const Job& job) {
+    ZoneUse use;
+    for (const auto& slice : job.slices) {
+        for (const auto& allocation : slice.allocations) {
+            // A machine that is no longer known still counts, wherever it is.
+            const auto found = clusterState.machines.find(allocation.machine);
+            ++use[found == clusterState.machines.end() ? std::string() : found->second.zone];
+        }
+    }
+    return use;
+}
+
+bool typeAllowed(const protocol::JobSpec& spec, const MachineType& type, const std::string& zone,
+                 bool spot) {
+    if (spot && !spec.spot) return false;
+    if (spec.zone && *spec.zone != zone) return false;
+    if (spec.types &&
+        std::find(spec.types->begin(), spec.types->end(), type.name) == spec.types->end())
+        return false;
+    return spec.each.fits(type.capacity);
+}
+
+std::uint32_t countThatFit(const Job& job, Resources capacity, std::uint32_t limit) {
+    std::uint32_t count = 0;
+    for (; count < limit && job.spec.each.fits(capacity); ++count) capacity -= job.spec.each;
+    return count;
+}
+
+bool takesWork(const Context& context, const Machine& machine) {
+    return takesWork(context, machine, context.now());
+}
+
+bool takesWork(const Context& context, const Machine& machine, SteadyTime now) {
+    return machine.version != 0 && machine.acknowledged() && !machine.transferring &&
+           !machine.decommissioned && !machine.consolidating && !machine.interruptionAt &&
+           machine.lastHeartbeat &&
+           now - *machine.lastHeartbeat <
+               ticks(context.settings.heartbeatInterval * maxMissedHeartbeats) &&
+           now >= machine.notBefore;
+}
+
+bool mayUseLoan(const Context& context, const Job& job, const Machine& machine) {
+    // A loan is for a gang's start only. But beside the gang's tasks there may be the only capacity
+    // that is left, and work that waits on and on beside it is not served (slice_left_behind).
+    if (!machine.lender || job.spec.kind == JobKind::gang) return true;
+    return !machine.allocations.empty() &&
+           context.timers.wallNow() > plus(job.readySince, loanClosedToOthers);
+}
+
+bool canHost(const Context& context, const Job& job, const Machine& machine) {
+    const auto* type = context.type(machine.type);
+    if (type == nullptr || !typeAllowed(job.spec, *type, machine.zone, machine.spot)) return false;
+    if (job.avoids(machine.id, context.now())) return false;
+    if (!mayUseLoan(context, job, machine)) return false;
+    Resources capacity = type->capacity;
+    capacity -= machine.used;
+    if (context.now() < machine.reservedUntil && machine.reservedFor != job.spec.id)
+        capacity -= machine.reservedCapacity;
+    return job.spec.each.fits(capacity);
+}
+
+void reserve(const Context& context, Machine& machine, const Job& job, std::uint32_t tasks,
+             Duration length) {
+    machine.reservedFor = job.spec.id;
+    machine.reservedTasks = tasks;
+    machine.reservedCapacity = {};
+    for (std::uint32_t i = 0; i < tasks; ++i) machine.reservedCapacity += job.spec.each;
+    machine.reservedUntil = context.now() + length;
+}
+
+}  // namespace fawnwheel::coordination
--- a/src/coordination/scheduling/queue_order.cpp
+++ b/src/coordination/scheduling/queue_order.cpp
@@ -1,8 +1,6 @@
-// The ready queue of a partition: which jobs wait, in what order, and how much of each may be
-// placed.
-#include <algorithm>
+#include "coordination/scheduling/queue_order.h"
 
-#include "coordination/scheduling/placement.h"
+#include <algorithm>
 
 namespace fawnwheel::coordination {
 
@@ -10,21 +8,22 @@
 
 using protocol::JobKind;
 
-constexpr std::uint32_t placementsPerRun = 64;
-constexpr std::chrono::seconds longestRecording{
-    30};  // of allocations, for more of best-effort jobs to be made
-constexpr std::uint32_t unprovenTasks = 256;  // at a time, of a job that has shown no task to run
+constexpr std::uint32_t maxPlacementsPerRun = 64;
+// Of allocations; beyond it no more are made for best-effort jobs.
+constexpr std::chrono::seconds maxRecordingTime{30};
+// At a time, of a job of which no task has been seen to run.
+constexpr std::uint32_t maxUnprovenTasks = 256;
 // What has no objective (left) is served as if it had to start this long after its submission.
-constexpr Seconds patience{600};
-constexpr Seconds largestBegin{240};  // what the operators ask of a class's largest jobs
-constexpr Seconds largestLead{120};   // to gather for them
+constexpr Seconds defaultStartWithin{600};
+constexpr Seconds largestGangStartWithin{240};  // what the operators ask of a class's largest jobs
+constexpr Seconds gangAssemblyTime{120};        // to assemble machines for them
 constexpr Seconds riskMargin{10};
 
 }  // namespace
 
-transport::WallTime Placement::latestStart(const Job& job) const {
+transport::WallTime QueueOrder::latestStart(const Job& job) const {
     // The next of the job's objectives that can still be met. What has missed all of them goes
-    // behind, since hurrying it helps nobody, but it grows old and is not passed over for ever.
+    // behind, since hurrying it helps nobody, but its age still counts, so that it does not starve.
     const auto now = context_.timers.wallNow();
     std::optional<transport::WallTime> next;
     const auto consider = [&](transport::WallTime latest) {
@@ -40,27 +39,27 @@
     }
     if (job.spec.deadline) consider(plus(job.submitted, *job.spec.deadline - job.spec.estimate));
     if (job.latestEnd) consider(plus(*job.latestEnd, -job.spec.estimate));
-    const auto latest = next ? *next : sinceReady(patience);
+    const auto latest = next ? *next : sinceReady(defaultStartWithin);
     // A day on which a class's largest gangs don't begin in time is lost, and they need the most
     // machines at once: behind what is easier to place, under half of them began.
-    if (isLargest(job) && now < sinceReady(largestBegin))
-        return std::min(latest, sinceReady(largestBegin - largestLead));
+    if (isLargest(job) && now < sinceReady(largestGangStartWithin))
+        return std::min(latest, sinceReady(largestGangStartWithin - gangAssemblyTime));
     return latest;
 }
 
-bool Placement::isLargest(const Job& job) const {
+bool QueueOrder::isLargest(const Job& job) const {
     const auto largest = largestGang_.find(job.spec.jobClass);
     return job.spec.kind == JobKind::gang && job.spec.tasks > 1 && largest != largestGang_.end() &&
            job.spec.tasks >= largest->second;
 }
 
-Seconds Placement::stepTime(const protocol::JobSpec& spec) const {
+Seconds QueueOrder::stepTime(const protocol::JobSpec& spec) const {
     // A start waits for a worker's heartbeat, and so may an end that was reported while one was
     // under way.
     return spec.estimate + fetchTime(spec) + context_.settings.heartbeatInterval;
 }
 
-Seconds Placement::fetchTime(const protocol::JobSpec& spec) const {
+Seconds QueueOrder::fetchTime(const protocol::JobSpec& spec) const {
     std::optional<double> fetch;
     for (const auto& type : context_.catalog) {
         if (!typeAllowed(spec, type, spec.zone.value_or(""), false)) continue;
@@ -70,25 +69,29 @@
     return Seconds(fetch.value_or(0));
 }
 
-bool Placement::isSloAtRisk(const Job& job) const {
-    const Seconds needed = fetchTime(job) + context_.settings.heartbeatInterval * 2 + riskMargin;
+bool QueueOrder::isSloAtRisk(const Job& job) const {
+    const Seconds needed =
+        fetchTime(job.spec) + context_.settings.heartbeatInterval * 2 + riskMargin;
     return latestStart(job) < plus(context_.timers.wallNow(), needed);
 }
 
-bool Placement::before(const Job& one, const Job& other) const {
+bool QueueOrder::before(const Job& one, const Job& other) const {
     return std::tuple(one.priority, latestStart(one), one.spec.id) <
            std::tuple(other.priority, latestStart(other), other.spec.id);
 }
 
-std::vector<Placement::Ready> Placement::readyJobs(ClusterState& clusterState,
-                                                   std::uint32_t partition) {
-    std::vector<Ready> ready;
-    const auto now = context_.now();
+void QueueOrder::recordLargestGangs(const ClusterState& clusterState) {
     for (const auto& [id, job] : clusterState.jobs)
         if (job.spec.kind == JobKind::gang && clusterState.schedulable(job)) {
             auto& largest = largestGang_[job.spec.jobClass];
             largest = std::max(largest, job.spec.tasks);
         }
+}
+
+std::vector<ReadyJob> QueueOrder::readyJobs(ClusterState& clusterState, std::uint32_t partition) {
+    std::vector<ReadyJob> ready;
+    const auto now = context_.now();
+    recordLargestGangs(clusterState);
     for (auto& [id, job] : clusterState.jobs) {
         if (!clusterState.startable(job) || now < job.notBefore) continue;
         if (job.spec.kind == JobKind::gang && job.anyAllocation()) {
@@ -104,14 +107,14 @@
             if (slice.partition == partition) tasks += slice.waiting();
         if (tasks > 0) ready.push_back({&job, tasks, latestStart(job)});
     }
-    std::sort(ready.begin(), ready.end(), [](const Ready& a, const Ready& b) {
-        return std::tie(a.probe, a.job->priority, a.latest, a.job->spec.id) <
-               std::tie(b.probe, b.job->priority, b.latest, b.job->spec.id);
+    std::sort(ready.begin(), ready.end(), [](const ReadyJob& a, const ReadyJob& b) {
+        return std::tie(a.probe, a.job->priority, a.latestStart, a.job->spec.id) <
+               std::tie(b.probe, b.job->priority, b.latestStart, b.job->spec.id);
     });
     return ready;
 }
 
-bool Placement::mayProbe(const Job& job, std::uint32_t partition) {
+bool QueueOrder::mayProbe(const Job& job, std::uint32_t partition) {
     // One task at a time for the whole job, wherever its slices lie: by the first that waits.
     if (job.anyAllocation()) return false;
     const auto first = std::find_if(job.slices.begin(), job.slices.end(),
@@ -119,26 +122,26 @@
     return first != job.slices.end() && first->partition == partition;
 }
 
-std::uint32_t Placement::mostToPlace(const Ready& ready) const {
+std::uint32_t QueueOrder::maxTasksToPlace(const ReadyJob& ready) const {
     if (ready.probe) return 1;
     const Job& job = *ready.job;
-    if (job.spec.tasks <= unprovenTasks || job.doneTasks() > 0) return placementsPerRun;
-    // Of a large array with a mistake not all tasks have to fail to show it.
+    if (job.spec.tasks <= maxUnprovenTasks || job.doneTasks() > 0) return maxPlacementsPerRun;
+    // A large array whose tasks all fail shows that with a few of them.
     const auto now = context_.now();
-    std::uint32_t claimed = 0;
+    std::uint32_t allocated = 0;
     for (const auto& slice : job.slices)
         for (const auto& allocation : slice.allocations) {
             if (allocation.ran &&
                 now - *allocation.ran > ticks(context_.settings.heartbeatInterval * 2))
-                return placementsPerRun;
-            ++claimed;
+                return maxPlacementsPerRun;
+            ++allocated;
         }
-    return std::min(placementsPerRun, unprovenTasks - std::min(unprovenTasks, claimed));
+    return std::min(maxPlacementsPerRun, maxUnprovenTasks - std::min(maxUnprovenTasks, allocated));
 }
 
-void Placement::stopBrokenGang(Job& job) {
+void QueueOrder::stopBrokenGang(Job& job) {
     if (job.complete() || job.allocatedTasks() == job.spec.tasks) return;
-    // The rest would wait for a task that does not come back under this attempt.
+    // The rest would wait for a task that is not started again under this attempt.
     for (auto& slice : job.slices) {
         for (auto& allocation : slice.allocations) {
             allocation.abandoned = true;
@@ -147,12 +150,12 @@
     }
 }
 
-bool Placement::allocationsPending(const ClusterState& clusterState,
+bool QueueOrder::areRecordsLagging(const ClusterState& clusterState,
                                    std::uint32_t partition) const {
     // Beyond what the state service writes, the allocations of a best-effort job's thousands of
     // short tasks once waited for 150 s for their records and held their machines, and those of the
-    // hosts behind them (day fresh-5728 of vatback).
-    const auto oldest = context_.now() - longestRecording;
+    // entitled jobs behind them (day fresh-5728 of vatback).
+    const auto oldest = context_.now() - maxRecordingTime;
     return std::any_of(clusterState.jobs.begin(), clusterState.jobs.end(), [&](const auto& entry) {
         const auto& slices = entry.second.slices;
         return std::any_of(slices.begin(), slices.end(), [&](const Slice& slice) {
@@ -165,7 +168,7 @@
     });
 }
 
-std::vector<std::uint32_t> Placement::queueLengths() {
+std::vector<std::uint32_t> QueueOrder::queueLengths() {
     std::vector<std::uint32_t> lengths(context_.partitionCount(), 0);
     const auto now = context_.now();
     auto clusterState = context_.clusterState.lock();
@@ -179,7 +182,7 @@
     return lengths;
 }
 
-std::uint32_t Placement::queueLength(std::uint32_t partition) {
+std::uint32_t QueueOrder::queueLength(std::uint32_t partition) {
     return queueLengths()[partition];
 }
 
--- a/src/coordination/scheduling/quota_exchange.cpp
+++ b/src/coordination/scheduling/quota_exchange.cpp
@@ -14,11 +14,11 @@
     for (const auto& entry : unschedulable) {
         if (!entry.overQuota) continue;
         const Job* job = clusterState->job(entry.job);
-        if (job == nullptr || !throttle_.due(entry.job, context_.now())) continue;
+        if (job == nullptr || !throttle_.isDue(entry.job, context_.now())) continue;
         for (std::uint32_t other = 0; other < context_.partitionCount(); ++other) {
             const auto& leader = clusterState->partitions[other].leader;
             if (other == partition || !clusterState->nodes.contains(leader)) continue;
-            const auto left = placement_.remainingQuota(*clusterState, job->spec.team, other);
+            const auto left = quotas_.remainingQuota(*clusterState, job->spec.team, other);
             if (left.cpus <= 0 && left.gpus <= 0) continue;
             const protocol::QuotaRequest request{other, partition, entry.job};
             if (leader == context_.settings.name)
@@ -43,39 +43,51 @@
         return;
     const auto* team = context_.team(job->spec.team);
     if (team == nullptr || clusterState->outgoingQuotas.contains(team->name)) return;
+    const auto moved = grantFor(*clusterState, *job, *team, request);
+    if (isNeededByLender(*clusterState, *job, request.lender) ||
+        (moved.cpus <= 0 && moved.gpus <= 0))
+        return;
+    const auto transfer = begin(*clusterState, *team, request.lender, request.borrower, moved);
+    if (!transfer) return;
+    spdlog::debug(
+        "quota: transfer_started team={} job={} cpus={} gpus={} from_partition={} "
+        "to_partition={}",
+        team->name, request.job, moved.cpus, moved.gpus, request.lender, request.borrower);
+    pipeline_.commit(request.lender,
+                     {{transfer->compare,
+                       {storage::keys::partition(request.borrower),
+                        clusterState->partitions[request.borrower].version}},
+                      {transfer->change}},
+                     [this, transfer = *transfer](CommitResult result, std::uint64_t revision) {
+                         settle(*context_.clusterState.lock(), transfer, result, revision);
+                     });
+}
+
+storage::QuotaShare QuotaExchange::grantFor(ClusterState& clusterState, const Job& job,
+                                            const config::Team& team,
+                                            const protocol::QuotaRequest& request) const {
     const std::uint32_t tasks =
-        job->spec.tasks - std::min(job->spec.tasks, job->doneTasks() + job->allocatedTasks());
-    const auto theirs = placement_.remainingQuota(*clusterState, team->name, request.borrower);
-    const auto ours = placement_.remainingQuota(*clusterState, team->name, request.lender);
-    const auto given = [tasks](double each, double has, double left) {
+        job.spec.tasks - std::min(job.spec.tasks, job.doneTasks() + job.allocatedTasks());
+    const auto borrowers = quotas_.remainingQuota(clusterState, team.name, request.borrower);
+    const auto lenders = quotas_.remainingQuota(clusterState, team.name, request.lender);
+    const auto granted = [tasks](double each, double has, double left) {
         return std::clamp(each * tasks - std::max(0.0, has), 0.0, std::max(0.0, left));
     };
     storage::QuotaShare moved;
-    if (team->cpusMax > 0) moved.cpus = given(job->spec.each.cpus, theirs.cpus, ours.cpus);
-    if (team->gpusMax > 0) moved.gpus = given(job->spec.each.gpus, theirs.gpus, ours.gpus);
-    // Work of this partition that comes earlier keeps its share.
-    const bool needed =
-        std::any_of(clusterState->jobs.begin(), clusterState->jobs.end(), [&](const auto& entry) {
-            const Job& other = entry.second;
-            return &other != job && other.partition == request.lender &&
-                   other.spec.team == team->name && clusterState->schedulable(other) &&
-                   other.allocatedTasks() + other.doneTasks() < other.spec.tasks &&
-                   placement_.before(other, *job);
-        });
-    if (needed || (moved.cpus <= 0 && moved.gpus <= 0)) return;
+    if (team.cpusMax > 0) moved.cpus = granted(job.spec.each.cpus, borrowers.cpus, lenders.cpus);
+    if (team.gpusMax > 0) moved.gpus = granted(job.spec.each.gpus, borrowers.gpus, lenders.gpus);
+    return moved;
+}
 
-    const auto quota = begin(*clusterState, *team, request.lender, request.borrower, moved);
-    if (!quota) return;
-    spdlog::debug("share: of {} for job {}, {} CPUs, {} GPUs, part {} to {}", team->name,
-                  request.job, moved.cpus, moved.gpus, request.lender, request.borrower);
-    pipeline_.commit(request.lender,
-                     {{quota->compare,
-                       {storage::keys::partition(request.borrower),
-                        clusterState->partitions[request.borrower].version}},
-                      {quota->change}},
-                     [this, quota = *quota](CommitResult result, std::uint64_t revision) {
-                         settle(*context_.clusterState.lock(), quota, result, revision);
-                     });
+bool QuotaExchange::isNeededByLender(const ClusterState& clusterState, const Job& job,
+                                     std::uint32_t lender) const {
+    return std::any_of(clusterState.jobs.begin(), clusterState.jobs.end(), [&](const auto& entry) {
+        const Job& other = entry.second;
+        return &other != &job && other.partition == lender && other.spec.team == job.spec.team &&
+               clusterState.schedulable(other) &&
+               other.allocatedTasks() + other.doneTasks() < other.spec.tasks &&
+               queueOrder_.before(other, job);
+    });
 }
 
 std::optional<QuotaExchange::QuotaTransfer> QuotaExchange::begin(ClusterState& clusterState,
@@ -86,7 +98,7 @@
     if (clusterState.outgoingQuotas.contains(team.name)) return std::nullopt;
     std::map<std::uint32_t, storage::QuotaShare> next;
     for (std::uint32_t partition = 0; partition < context_.partitionCount(); ++partition)
-        next[partition] = placement_.quotaShareOf(clusterState, team, partition);
+        next[partition] = quotas_.quotaShareOf(clusterState, team, partition);
     next[from].cpus -= moved.cpus;
     next[from].gpus -= moved.gpus;
     next[to].cpus += moved.cpus;
@@ -98,12 +110,12 @@
                          {key, storage::quotaValue(next), 0}};
 }
 
-void QuotaExchange::settle(ClusterState& clusterState, const QuotaTransfer& change,
+void QuotaExchange::settle(ClusterState& clusterState, const QuotaTransfer& transfer,
                            CommitResult result, std::uint64_t revision) {
     if (result == CommitResult::done)
-        storage::applyEvent(clusterState, {change.change.key, change.change.value, revision},
+        storage::applyEvent(clusterState, {transfer.change.key, transfer.change.value, revision},
                             context_.now());
-    clusterState.outgoingQuotas.erase(change.team);
+    clusterState.outgoingQuotas.erase(transfer.team);
 }
 
 }  // namespace fawnwheel::coordination
--- /dev/null
+++ b/src/coordination/scheduling/team_quotas.cpp
@@ -0,0 +1,64 @@
+#include "coordination/scheduling/team_quotas.h"
+
+#include <algorithm>
+#include <cmath>
+
+namespace fawnwheel::coordination {
+
+namespace {
+
+constexpr double unlimited = 1e12;
+constexpr double quotaTolerance = 1e-6;
+
+}  // namespace
+
+storage::QuotaShare TeamQuotas::quotaShareOf(const ClusterState& clusterState,
+                                             const config::Team& team,
+                                             std::uint32_t partition) const {
+    const auto partitions = static_cast<double>(context_.partitionCount());
+    storage::QuotaShare quota{team.cpusMax / partitions, team.gpusMax / partitions};
+    const auto known = clusterState.quotas.find(team.name);
+    if (known == clusterState.quotas.end() || !known->second.contains(partition)) return quota;
+    storage::QuotaShare total;
+    for (const auto& [number, recorded] : known->second) {
+        total.cpus += recorded.cpus;
+        total.gpus += recorded.gpus;
+    }
+    const auto& own = known->second.at(partition);
+    // Recorded for another limit or other partitions: the lesser of both never exceeds the limit.
+    const bool fits = known->second.size() == context_.partitionCount() &&
+                      std::abs(total.cpus - team.cpusMax) < quotaTolerance &&
+                      std::abs(total.gpus - team.gpusMax) < quotaTolerance;
+    return fits ? own
+                : storage::QuotaShare{std::min(quota.cpus, own.cpus),
+                                      std::min(quota.gpus, own.gpus)};
+}
+
+Resources TeamQuotas::remainingQuota(ClusterState& clusterState, const std::string& name,
+                                     std::uint32_t partition) const {
+    Resources left{unlimited, unlimited, unlimited};
+    const auto* team = context_.team(name);
+    if (team == nullptr) return left;
+    const auto used = clusterState.usedBy(name, partition);
+    auto quota = quotaShareOf(clusterState, *team, partition);
+    if (const auto leaving = clusterState.outgoingQuotas.find(name);
+        leaving != clusterState.outgoingQuotas.end() && leaving->second.first == partition) {
+        quota.cpus -= leaving->second.second.cpus;
+        quota.gpus -= leaving->second.second.gpus;
+    }
+    if (team->cpusMax > 0) left.cpus = quota.cpus - used.cpus;
+    if (team->gpusMax > 0) left.gpus = quota.gpus - used.gpus;
+    return left;
+}
+
+bool TeamQuotas::withinGuarantee(const ClusterState& clusterState, const Job& job) const {
+    const auto* team = context_.team(job.spec.team);
+    if (team == nullptr || (team->cpus <= 0 && team->gpus <= 0)) return false;
+    Resources used = job.spec.each;
+    for (std::uint32_t partition = 0; partition < context_.partitionCount(); ++partition)
+        used += clusterState.usedBy(job.spec.team, partition);
+    return (team->cpus <= 0 || used.cpus <= team->cpus) &&
+           (team->gpus <= 0 || used.gpus <= team->gpus);
+}
+
+}  // namespace fawnwheel::coordination
--- a/tests/unit/coordination/migration/machine_transfers_test.cpp
+++ b/tests/unit/coordination/migration/machine_transfers_test.cpp
@@ -3,7 +3,7 @@
 #include "coordination/migration/machine_transfers.h"
 
 #include "coordination/replication/record_bench.h"
-#include "coordination/scheduling/placement.h"
+#include "coordination/scheduling/quota_exchange.h"
 
 namespace fawnwheel::coordination {
 namespace {
@@ -20,8 +20,9 @@
   protected:
     TransferBench()
         : membership(context),
-          placement(context, membership),
-          quotas(context, membership, pipeline, placement),
+          teamQuotas(context),
+          queueOrder(context),
+          quotas(context, membership, pipeline, teamQuotas, queueOrder),
           heartbeats(context, membership, stateWriter),
           transfers(context, pipeline, stateWriter.writer(), quotas, heartbeats) {
         settings_.teams = {{"t", 0, 0, 90, 0}};
@@ -111,7 +112,8 @@
     }
 
     Membership membership;
-    Placement placement;
+    TeamQuotas teamQuotas;
+    QueueOrder queueOrder;
     QuotaExchange quotas;
     HeartbeatHandler heartbeats;
     MachineTransfers transfers;
@@ -264,9 +266,9 @@
     EXPECT_TRUE(context.clusterState.lock()->outgoingQuotas.contains("t"));
     serveAll();
     auto clusterState = context.clusterState.lock();
-    EXPECT_DOUBLE_EQ(placement.quotaShareOf(*clusterState, *team, 0).cpus, 27);
-    EXPECT_DOUBLE_EQ(placement.quotaShareOf(*clusterState, *team, 1).cpus, 30);
-    EXPECT_DOUBLE_EQ(placement.quotaShareOf(*clusterState, *team, 2).cpus, 33);
+    EXPECT_DOUBLE_EQ(teamQuotas.quotaShareOf(*clusterState, *team, 0).cpus, 27);
+    EXPECT_DOUBLE_EQ(teamQuotas.quotaShareOf(*clusterState, *team, 1).cpus, 30);
+    EXPECT_DOUBLE_EQ(teamQuotas.quotaShareOf(*clusterState, *team, 2).cpus, 33);
     EXPECT_FALSE(clusterState->outgoingQuotas.contains("t"));
 }
 
