--- a/src/coordination/controller.cpp
+++ b/src/coordination/controller.cpp
@@ -29,8 +29,15 @@
       queueOrder_(context_),
       teamQuotas_(context_),
       heartbeats_(context_, membership_, stateWriter_),
-      fleet_(context_, membership_, pipeline_, queueOrder_, heartbeats_, *this),
-      placement_(context_, membership_, queueOrder_, teamQuotas_, fleet_),
+      machineRecords_(context_, pipeline_, *this),
+      catalog_(context_, membership_, pipeline_),
+      decommissioner_(context_, membership_, heartbeats_, machineRecords_),
+      inventory_(context_, membership_, heartbeats_, machineRecords_, decommissioner_),
+      warmPool_(context_, queueOrder_),
+      reconciler_(context_, membership_, machineRecords_, catalog_, decommissioner_, inventory_,
+                  warmPool_),
+      autoscaler_(context_, membership_, machineRecords_, inventory_, *this),
+      placement_(context_, membership_, queueOrder_, teamQuotas_, autoscaler_),
       preemption_(context_, queueOrder_),
       consolidation_(context_),
       quotas_(context_, membership_, pipeline_, teamQuotas_, queueOrder_),
@@ -43,7 +50,7 @@
       completionNotifier_(context_, membership_, *this) {
     replica_.inFlight = [this](const std::string& key) { return pipeline_.inFlight(key); };
     replica_.onChange = [this] {
-        fleet_.adoptCatalog();
+        catalog_.adoptRecorded();
         membership_.reconcile();
         stopCancelledJobs();
         completionNotifier_.resolveDependencies();
@@ -88,7 +95,7 @@
     transfers_.onDurable = stateWriter_.onDurable;
     rebalancer_.onChange = [this] { scheduleRound(); };
     heartbeats_.onUnassigned = [this](const protocol::Heartbeat& heartbeat) {
-        fleet_.onUnassignedHeartbeat(heartbeat);
+        inventory_.onUnassignedHeartbeat(heartbeat);
     };
     heartbeats_.onChange = [this] { scheduleRound(); };
     admission_.synced = [this] { return replica_.synced(); };
@@ -102,7 +109,8 @@
 void Controller::start() {
     replica_.start();
     membership_.start();
-    fleet_.start();
+    catalog_.start();
+    inventory_.start();
     migrator_.start();
     rebalancer_.start();
     runMaintenance();
@@ -132,7 +140,7 @@
                 heartbeats_.stopMarked(machine);
             lending_.requestLoans(partition, unschedulable);
             quotas_.requestQuota(partition, unschedulable);
-            fleet_.scaleOutFor(partition, unschedulable);
+            autoscaler_.scaleOutFor(partition, unschedulable);
         }
         stateWriter_.flush(partition);
     }
@@ -165,9 +173,9 @@
 void Controller::runMaintenance() {
     for (const auto partition : membership_.ledPartitions()) {
         if (membership_.isLeaseValid()) heartbeats_.expireSilent(partition);
-        fleet_.reconcileMachines(partition);
+        reconciler_.reconcileMachines(partition);
         if (membership_.isLeaseValid()) lending_.returnIdleLoans(partition);
-        if (membership_.isLeaseValid() && fleet_.mayConsolidate(partition))
+        if (membership_.isLeaseValid() && warmPool_.mayConsolidate(partition))
             if (const auto machine = consolidation_.consolidateOne(partition))
                 heartbeats_.stopMarked(*machine);
     }
@@ -228,7 +236,7 @@
             else if constexpr (std::is_same_v<Message, protocol::MigrationResponse>)
                 migrator_.onMigrationResponse(message);
             else if constexpr (std::is_same_v<Message, protocol::CapacityExhausted>)
-                fleet_.onCapacityExhausted(message);
+                autoscaler_.onCapacityExhausted(message);
             else if constexpr (std::is_same_v<Message, protocol::LoanRequest>)
                 lending_.onLoanRequest(peer, message);
             else if constexpr (std::is_same_v<Message, protocol::QuotaRequest>)
--- a/src/coordination/controller.h
+++ b/src/coordination/controller.h
@@ -7,7 +7,8 @@
 #include "coordination/migration/machine_lending.h"
 #include "coordination/migration/rebalancer.h"
 #include "coordination/migration/work_migrator.h"
-#include "coordination/provisioning/fleet.h"
+#include "coordination/provisioning/autoscaler.h"
+#include "coordination/provisioning/machine_reconciler.h"
 #include "coordination/replication/replica.h"
 #include "coordination/round_scheduler.h"
 #include "coordination/scheduling/completion_notifier.h"
@@ -50,7 +51,13 @@
     QueueOrder queueOrder_;
     TeamQuotas teamQuotas_;
     HeartbeatHandler heartbeats_;
-    Fleet fleet_;
+    MachineRecords machineRecords_;
+    MachineCatalog catalog_;
+    Decommissioner decommissioner_;
+    MachineInventory inventory_;
+    WarmPool warmPool_;
+    MachineReconciler reconciler_;
+    Autoscaler autoscaler_;
     Placement placement_;
     Preemption preemption_;
     Consolidation consolidation_;
--- a/src/coordination/provisioning/autoscaler.cpp
+++ b/src/coordination/provisioning/autoscaler.cpp
@@ -1,9 +1,10 @@
-// Renting: what kinds of machines are asked for, for which jobs, and what the cloud refused.
+#include "coordination/provisioning/autoscaler.h"
+
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
 
-#include "coordination/provisioning/fleet.h"
+#include "coordination/scheduling/placement_constraints.h"
 
 namespace fawnwheel::coordination {
 
@@ -11,19 +12,25 @@
 
 using namespace std::chrono_literals;
 
-constexpr auto firstRefusalPause = 8s;
-constexpr auto longestRefusalPause = 40s;
-constexpr auto loansFirst = 2s;
+constexpr auto minRefusalPause = 8s;
+constexpr auto maxRefusalPause = 40s;
+constexpr auto loansFirst = 2s;           // before machines are requested for a gang
 constexpr auto refusalMemory = 30s;       // after a pause's end: there may be some again
-constexpr double lateBoot = 2.0;          // no longer counted on
+constexpr double lateBoot = 2.0;          // times the stated boot time: no longer counted on
+constexpr auto bootGrace = 20s;           // beyond that
 constexpr int maxProvisionedAtOnce = 50;  // what one call may ask for
-constexpr int rentalTries = 3;
+constexpr int maxTries = 3;
+constexpr double otherZonePenalty = 1.02;  // factor of the price
+
+Duration latestBoot(const MachineType& type) {
+    return ticks(type.bootTime * lateBoot) + bootGrace;
+}
 
 }  // namespace
 
-std::optional<Fleet::Kind> Fleet::cheapest(const Job& job, std::uint32_t tasks,
-                                           const std::string& inZone) const {
-    std::optional<Kind> best;
+std::optional<MachinePoolId> Autoscaler::cheapest(const Job& job, std::uint32_t tasks,
+                                                  const std::string& inZone) const {
+    std::optional<MachinePoolId> best;
     double bestPrice = 0;
     const auto now = context_.now();
     for (const auto& type : context_.catalog) {
@@ -32,16 +39,16 @@
             for (const bool spot : {true, false}) {
                 if (spot && !context_.tuning.useSpot) continue;
                 if (!typeAllowed(job.spec, type, zone, spot)) continue;
-                const Kind kind{type.name, zone, spot};
-                const auto refused = refused_.find(kind);
+                const MachinePoolId pool{type.name, zone, spot};
+                const auto refused = refused_.find(pool);
                 if (refused != refused_.end() && now < refused->second.until) continue;
                 const double fit = countThatFit(job, type.capacity, tasks);
                 double price = (spot ? type.spotPrice : type.price) / std::max(1.0, fit);
                 // Near the partition's own node, so that a cut between zones separates fewer of
                 // them.
-                if (zone != context_.settings.zone) price *= 1.02;
+                if (zone != context_.settings.zone) price *= otherZonePenalty;
                 if (!best || price < bestPrice) {
-                    best = kind;
+                    best = pool;
                     bestPrice = price;
                 }
             }
@@ -50,138 +57,143 @@
     return best;
 }
 
-void Fleet::scaleOutFor(std::uint32_t partition,
-                        const std::vector<UnschedulableWork>& unschedulable) {
-    // Calls are few: none is queued behind others, and each rests on the answers before it.
-    if (unschedulable.empty() || !membership_.isLeaseValid() || context_.cloud.waiting() > 0)
-        return;
+std::vector<Autoscaler::ComingMachine> Autoscaler::comingMachines(const ClusterState& clusterState,
+                                                                  std::uint32_t partition) {
+    std::vector<ComingMachine> coming;
     const auto now = context_.now();
-    struct Coming {
-        Kind kind;
-        Resources available;
-    };
-    std::vector<Coming> coming;
-    std::map<Kind, ProvisioningRequest> wanted;
-    auto clusterState = context_.clusterState.lock();
-    for (const auto* machine : clusterState->machinesOf(partition)) {
+    for (const auto* machine : clusterState.machinesOf(partition)) {
         const auto* type = context_.type(machine->type);
-        // Those that are up and not yet recorded or proved are as good as booting.
+        // Those that are up and not yet recorded or acknowledged are as good as booting.
         const bool inUse =
             machine->lastHeartbeat && machine->version != 0 && machine->acknowledged();
         if (machine->decommissioned || inUse || type == nullptr ||
-            now - machine->known > ticks(type->bootTime * lateBoot) + bootGrace)
+            now - machine->known > latestBoot(*type))
             continue;
         coming.push_back({{machine->type, machine->zone, machine->spot}, type->capacity});
     }
-    for (const auto& [kind, count] : inProgress_[partition])
+    for (const auto& [pool, count] : inProgress_[partition])
         for (int i = 0; i < count; ++i)
-            if (const auto* type = context_.type(kind.type))
-                coming.push_back({kind, type->capacity});
+            if (const auto* type = context_.type(pool.type))
+                coming.push_back({pool, type->capacity});
+    return coming;
+}
+
+void Autoscaler::scaleOutFor(std::uint32_t partition,
+                             const std::vector<UnschedulableWork>& unschedulable) {
+    // Calls are few: none is queued behind others, and each rests on the answers before it.
+    if (unschedulable.empty() || !membership_.isLeaseValid() || context_.cloud.waiting() > 0)
+        return;
+    auto clusterState = context_.clusterState.lock();
+    auto coming = comingMachines(*clusterState, partition);
+    ProvisioningRequests requests;
     for (const auto& entry : unschedulable) {
         const Job* job = clusterState->job(entry.job);
         if (job == nullptr || entry.overQuota) continue;
-        if (entry.gang) {
-            requestForGang(entry, *job, wanted);
+        if (entry.gang)
+            requestForGang(entry, *job, requests);
+        else
+            requestForArray(entry.tasks, *job, coming, requests);
+    }
+    for (const auto& [pool, request] : requests)
+        if (request.count > 0) scaleOut(partition, pool, request);
+}
+
+void Autoscaler::requestForArray(std::uint32_t tasks, const Job& job,
+                                 std::vector<ComingMachine>& coming,
+                                 ProvisioningRequests& requests) const {
+    for (std::uint32_t left = tasks; left > 0; --left) {
+        const auto fits = std::find_if(coming.begin(), coming.end(), [&](const ComingMachine& c) {
+            return typeAllowed(job.spec, *context_.type(c.pool.type), c.pool.zone, c.pool.spot) &&
+                   job.spec.each.fits(c.available);
+        });
+        if (fits != coming.end()) {
+            fits->available -= job.spec.each;
             continue;
         }
-        for (std::uint32_t left = entry.tasks; left > 0; --left) {
-            const auto fits = std::find_if(coming.begin(), coming.end(), [&](const Coming& c) {
-                return typeAllowed(job->spec, *context_.type(c.kind.type), c.kind.zone,
-                                   c.kind.spot) &&
-                       job->spec.each.fits(c.available);
-            });
-            if (fits != coming.end()) {
-                fits->available -= job->spec.each;
-                continue;
-            }
-            const auto kind = cheapest(*job, left, {});
-            // The answer to the last call tells whether there are more of this kind.
-            if (!kind || asking(*kind) || wanted[*kind].count >= maxProvisionedAtOnce) break;
-            ++wanted[*kind].count;
-            coming.push_back({*kind, context_.type(kind->type)->capacity});
-            coming.back().available -= job->spec.each;
-        }
+        const auto pool = cheapest(job, left, {});
+        // The answer to the last call tells whether the pool has more machines.
+        if (!pool || isRequestInFlight(*pool) || requests[*pool].count >= maxProvisionedAtOnce)
+            break;
+        ++requests[*pool].count;
+        coming.push_back({*pool, context_.type(pool->type)->capacity});
+        coming.back().available -= job.spec.each;
     }
-    for (const auto& [kind, request] : wanted)
-        if (request.count > 0) scaleOut(partition, kind, request);
 }
 
-void Fleet::requestForGang(const UnschedulableWork& entry, const Job& job,
-                           std::map<Kind, ProvisioningRequest>& wanted) const {
-    // What it lacks, in the zone where it gathers, and kept for it from the start: machines
-    // provisioned task by task lay in several zones and went to other work as they came up. Peers
-    // are asked for idle machines first.
+void Autoscaler::requestForGang(const UnschedulableWork& entry, const Job& job,
+                                ProvisioningRequests& requests) const {
+    // What it lacks, in the zone where it is assembled, and reserved for it from the start:
+    // machines provisioned task by task lay in several zones and went to other work as they came
+    // up. Peers are asked for idle machines first.
     if (entry.tasks == 0 || provisioningFor_.contains(entry.job) ||
         context_.now() - job.assemblySince < loansFirst)
         return;
-    const auto kind = cheapest(job, entry.tasks, entry.zone);
-    if (!kind || asking(*kind)) return;
-    const auto each = countThatFit(job, context_.type(kind->type)->capacity, entry.tasks);
+    const auto pool = cheapest(job, entry.tasks, entry.zone);
+    if (!pool || isRequestInFlight(*pool)) return;
+    const auto each = countThatFit(job, context_.type(pool->type)->capacity, entry.tasks);
     const auto machines =
         std::min(maxProvisionedAtOnce, static_cast<int>((entry.tasks + each - 1) / each));
     // Many gangs in one call: with a call for each, a morning's gangs took a minute to provision
     // for.
-    auto& request = wanted[*kind];
+    auto& request = requests[*pool];
     if (request.count + machines > maxProvisionedAtOnce) return;
     request.count += machines;
-    request.gangs.emplace_back(entry.job, machines);
+    request.gangs.push_back({entry.job, machines});
 }
 
-void Fleet::scaleOut(std::uint32_t partition, const Kind& kind,
-                     const ProvisioningRequest& request) {
-    for (const auto& [gang, machines] : request.gangs) provisioningFor_.insert(gang);
-    inProgress_[partition][kind] += request.count;
+void Autoscaler::scaleOut(std::uint32_t partition, const MachinePoolId& pool,
+                          const ProvisioningRequest& request) {
+    for (const auto& entry : request.gangs) provisioningFor_.insert(entry.gang);
+    inProgress_[partition][pool] += request.count;
     // Terms are given out once and the number grows, so no name is ever used again.
     const auto name = "r-" + context_.settings.name + "-" +
                       std::to_string(membership_.term(partition)) + "-" +
-                      std::to_string(++provisioningRequests_);
-    spdlog::debug("rental {}: {} {} in {}{}, {} gangs", name, request.count, kind.type, kind.zone,
-                  kind.spot ? ", spot" : "", request.gangs.size());
-    sendProvisioningRequest(partition, kind, request, name, rentalTries);
+                      std::to_string(++requestCount_);
+    spdlog::debug("autoscaler: scale_out request={} count={} type={} zone={} spot={} gangs={}",
+                  name, request.count, pool.type, pool.zone, pool.spot, request.gangs.size());
+    send({name, partition, pool, request}, maxTries);
 }
 
-void Fleet::sendProvisioningRequest(std::uint32_t partition, const Kind& kind,
-                                    const ProvisioningRequest& request, const std::string& name,
-                                    int tries) {
-    context_.cloud.provision(
-        name, kind.type, kind.zone, kind.spot, request.count,
-        [this, partition, kind, request, name, tries](protocol::ProvisioningResult result,
-                                                      const std::vector<std::string>& machines) {
-            if (result == protocol::ProvisioningResult::unknown && tries > 1)
-                return sendProvisioningRequest(partition, kind, request, name, tries - 1);
-            onProvisioned(partition, kind, request, machines);
-        });
+void Autoscaler::send(const PendingRequest& pending, int tries) {
+    context_.cloud.provision(pending.name, pending.pool.type, pending.pool.zone, pending.pool.spot,
+                             pending.request.count,
+                             [this, pending, tries](protocol::ProvisioningResult result,
+                                                    const std::vector<std::string>& machines) {
+                                 if (result == protocol::ProvisioningResult::unknown && tries > 1)
+                                     return send(pending, tries - 1);
+                                 onProvisioned(pending, machines);
+                             });
 }
 
-void Fleet::onProvisioned(std::uint32_t partition, const Kind& kind,
-                          const ProvisioningRequest& request,
-                          const std::vector<std::string>& machines) {
-    inProgress_[partition][kind] -= request.count;
+void Autoscaler::onProvisioned(const PendingRequest& pending,
+                               const std::vector<std::string>& machines) {
+    const auto& [name, partition, pool, request] = pending;
+    inProgress_[partition][pool] -= request.count;
     rounds_.scheduleRound();
     auto clusterState = context_.clusterState.lock();
-    const auto* type = context_.type(kind.type);
+    const auto* type = context_.type(pool.type);
     auto next = machines.begin();
     for (const auto& [gang, count] : request.gangs) {
         provisioningFor_.erase(gang);
         const Job* job = clusterState->job(gang);
         for (int i = 0; i < count && next != machines.end(); ++i, ++next) {
-            Machine* machine = ensureMachine(*next, kind.type, kind.zone, kind.spot, partition);
+            Machine* machine = inventory_.addMachine(pool, *next, partition);
             if (machine == nullptr || job == nullptr || type == nullptr) continue;
             reserve(context_, *machine, *job, countThatFit(*job, type->capacity, job->spec.tasks),
-                    ticks(type->bootTime * lateBoot) + bootGrace);
+                    latestBoot(*type));
         }
     }
-    for (; next != machines.end(); ++next)
-        ensureMachine(*next, kind.type, kind.zone, kind.spot, partition);
+    for (; next != machines.end(); ++next) inventory_.addMachine(pool, *next, partition);
     for (const auto& id : machines)
-        if (clusterState->machine(id) != nullptr) write(recording_, partition, id);
+        if (clusterState->machine(id) != nullptr)
+            records_.write(MachineRecords::Change::record, partition, id);
     if (static_cast<int>(machines.size()) < request.count)
-        recordRefusal(kind);
+        recordRefusal(pool);
     else
-        refused_.erase(kind);
+        refused_.erase(pool);
 }
 
-bool Fleet::canProvision(const Job& job, const std::string& inZone) const {
+bool Autoscaler::canProvision(const Job& job, const std::string& inZone) const {
     const auto now = context_.now();
     for (const auto& type : context_.catalog)
         for (const auto& zone : type.zones)
@@ -196,30 +208,30 @@
     return false;
 }
 
-void Fleet::recordRefusal(const Kind& kind) {
-    auto& refusal = refused_[kind];
-    refusal.pause = std::clamp<Duration>(refusal.pause * 2, firstRefusalPause, longestRefusalPause);
+void Autoscaler::recordRefusal(const MachinePoolId& pool) {
+    auto& refusal = refused_[pool];
+    refusal.pause = std::clamp<Duration>(refusal.pause * 2, minRefusalPause, maxRefusalPause);
     refusal.until = context_.now() + context_.jittered(refusal.pause);
     const auto millis = std::chrono::duration_cast<std::chrono::milliseconds>(refusal.pause);
-    const protocol::CapacityExhausted message{kind.type, kind.zone, kind.spot,
+    const protocol::CapacityExhausted message{pool.type, pool.zone, pool.spot,
                                               static_cast<std::uint64_t>(millis.count())};
     for (const auto& peer : context_.settings.peers)
         context_.network.sendFrame(peer.name,
                                    protocol::encodePeer({context_.settings.name, message}));
 }
 
-void Fleet::onCapacityExhausted(const protocol::CapacityExhausted& message) {
+void Autoscaler::onCapacityExhausted(const protocol::CapacityExhausted& message) {
     const auto pause = std::min<Duration>(
         std::chrono::milliseconds(std::min<std::uint64_t>(message.pauseMillis, 1'000'000)),
-        longestRefusalPause);
+        maxRefusalPause);
     auto& refusal = refused_[{message.type, message.zone, message.spot}];
     refusal.pause = std::max(refusal.pause, pause);
     refusal.until = std::max(refusal.until, context_.now() + pause);
 }
 
-bool Fleet::asking(const Kind& kind) const {
+bool Autoscaler::isRequestInFlight(const MachinePoolId& pool) const {
     return std::any_of(inProgress_.begin(), inProgress_.end(), [&](const auto& entry) {
-        const auto found = entry.second.find(kind);
+        const auto found = entry.second.find(pool);
         return found != entry.second.end() && found->second > 0;
     });
 }
--- /dev/null
+++ b/src/coordination/provisioning/decommissioner.cpp
@@ -0,0 +1,83 @@
+#include "coordination/provisioning/decommissioner.h"
+
+#include <spdlog/spdlog.h>
+
+namespace fawnwheel::coordination {
+
+namespace {
+
+using Change = MachineRecords::Change;
+
+constexpr std::size_t maxReleasedAtOnce = 100;
+
+const char* nameOf(DecommissionReason reason) {
+    switch (reason) {
+        case DecommissionReason::failed:
+            return "failed";
+        case DecommissionReason::neverBooted:
+            return "never_booted";
+        case DecommissionReason::faulty:
+            return "faulty";
+        case DecommissionReason::silent:
+            return "silent";
+        case DecommissionReason::unreachable:
+            return "unreachable";
+        case DecommissionReason::consolidated:
+            return "consolidated";
+        case DecommissionReason::idle:
+            break;
+    }
+    return "idle";
+}
+
+}  // namespace
+
+void Decommissioner::decommission(Machine& machine, DecommissionReason reason) {
+    // Its new leader will see to it.
+    if (machine.transferring) return;
+    if (machine.decommissioned || records_.isPending(Change::decommission, machine.id)) return;
+    spdlog::info("inventory: machine_decommissioned machine={} reason={}", machine.id,
+                 nameOf(reason));
+    machine.decommissioned = true;  // no new allocations from now on
+    records_.write(Change::decommission, machine.partition, machine.id);
+}
+
+void Decommissioner::releaseDecommissioned() {
+    // One call at a time, for all that has come together meanwhile: calls are few, and with one for
+    // each machine hundreds of idle ones stayed for minutes.
+    if (!releasing_.empty()) return;
+    std::vector<std::string> names;
+    auto clusterState = context_.clusterState.lock();
+    for (const auto partition : membership_.ledPartitions())
+        for (const auto* machine : clusterState->machinesOf(partition)) {
+            // Only after the record says so, durably: a late copy of the request must not hit a
+            // machine that has work again.
+            if (machine->decommissioned && !records_.isPending(Change::decommission, machine->id) &&
+                names.size() < maxReleasedAtOnce && releasing_.insert(machine->id).second)
+                names.push_back(machine->id);
+        }
+    if (names.empty()) return;
+    context_.cloud.release(names, [this, names](bool gone) {
+        for (const auto& id : names) {
+            releasing_.erase(id);
+            if (!gone) continue;
+            auto held = context_.clusterState.lock();
+            Machine* machine = held->machine(id);
+            if (machine == nullptr || !membership_.isLeader(machine->partition)) continue;
+            heartbeats_.releaseAllocations(*machine, "given back");
+            forget(machine->partition, id);
+        }
+    });
+}
+
+void Decommissioner::forget(std::uint32_t partition, const std::string& id) {
+    auto clusterState = context_.clusterState.lock();
+    const Machine* machine = clusterState->machine(id);
+    // While an allocation on it is being written, its end can't be recorded.
+    if (machine == nullptr || !machine->allocations.empty()) return;
+    if (machine->version == 0 && !records_.isPending(Change::record, id))
+        return clusterState->dropMachine(id);
+    records_.write(Change::drop, partition, id);
+}
+
+}  // namespace fawnwheel::coordination
--- /dev/null
+++ b/src/coordination/provisioning/machine_records.cpp
@@ -0,0 +1,107 @@
+#include "coordination/provisioning/machine_records.h"
+
+#include <algorithm>
+
+#include "storage/records.h"
+
+namespace fawnwheel::coordination {
+
+bool MachineRecords::isPending(Change change, const std::string& machine) const {
+    return batches_.contains(change) && batches_.at(change).pending.contains(machine);
+}
+
+void MachineRecords::write(Change change, std::uint32_t partition, const std::string& machine) {
+    auto& batches = batches_[change];
+    if (!batches.pending.insert(machine).second) return;
+    batches.queues[partition].push_back(machine);
+    writeBatch(change, partition);
+}
+
+MachineRecords::Batch MachineRecords::nextBatch(Change change, std::uint32_t partition) {
+    // Many in one transaction, and half of what it may hold, so that allocations don't wait for
+    // long. With one write after the other a thousand machines took minutes to record, and idle
+    // ones to be given back.
+    const auto limit = std::max<std::size_t>(1, context_.settings.transactionChanges / 2);
+    auto& batches = batches_[change];
+    auto& queue = batches.queues[partition];
+    Batch batch;
+    auto clusterState = context_.clusterState.lock();
+    while (!queue.empty() && batch.machines.size() < limit) {
+        const auto id = std::move(queue.front());
+        queue.pop_front();
+        const Machine* machine = clusterState->machine(id);
+        if (machine == nullptr || machine->partition != partition) {
+            batches.pending.erase(id);
+            continue;
+        }
+        const auto key = storage::keys::machine(id);
+        batch.transaction.compares.push_back({key, machine->version});
+        batch.transaction.writes.push_back({key, valueOf(change, *machine), 0});
+        batch.machines.push_back(id);
+    }
+    return batch;
+}
+
+void MachineRecords::writeBatch(Change change, std::uint32_t partition) {
+    auto& batches = batches_[change];
+    if (batches.queues[partition].empty() || !batches.inFlight.insert(partition).second) return;
+    auto batch = nextBatch(change, partition);
+    if (batch.machines.empty()) {
+        batches.inFlight.erase(partition);
+        return;
+    }
+    pipeline_.commit(partition, std::move(batch.transaction),
+                     [this, change, partition, machines = std::move(batch.machines)](
+                         CommitResult result, std::uint64_t revision) {
+                         onCommitted(change, partition, machines, result, revision);
+                     });
+}
+
+void MachineRecords::onCommitted(Change change, std::uint32_t partition,
+                                 const std::vector<std::string>& machines, CommitResult result,
+                                 std::uint64_t revision) {
+    auto& batches = batches_[change];
+    batches.inFlight.erase(partition);
+    for (const auto& id : machines) {
+        batches.pending.erase(id);
+        auto clusterState = context_.clusterState.lock();
+        Machine* machine = clusterState->machine(id);
+        if (machine != nullptr) settle(change, *machine, result, revision);
+    }
+    rounds_.scheduleRound();
+    writeBatch(change, partition);
+}
+
+std::optional<protocol::Json> MachineRecords::valueOf(Change change, const Machine& machine) {
+    if (change == Change::drop) return std::nullopt;
+    if (change == Change::record) return storage::machineValue(machine);
+    Machine decommissioned = machine;
+    decommissioned.decommissioned = true;
+    return storage::machineValue(decommissioned);
+}
+
+void MachineRecords::settle(Change change, Machine& machine, CommitResult result,
+                            std::uint64_t revision) {
+    const bool done = result == CommitResult::done;
+    switch (change) {
+        case Change::record:
+            if (done) {
+                machine.version = std::max(machine.version, revision);
+                context_.clusterState.lock()->corruptMachines.erase(machine.id);
+            } else if (machine.version == 0 && result != CommitResult::partitionLost) {
+                // Another of the batch has a record; this one is tried again.
+                write(Change::record, machine.partition, machine.id);
+            }
+            break;
+        case Change::decommission:
+            // Also if the records have been read anew meanwhile, as they stood before.
+            machine.decommissioned = done;
+            if (done) machine.version = std::max(machine.version, revision);
+            break;
+        case Change::drop:
+            if (done) context_.clusterState.lock()->dropMachine(std::string(machine.id));
+            break;
+    }
+}
+
+}  // namespace fawnwheel::coordination
