--- a/src/coordination/provisioning/autoscaler.cpp
+++ b/src/coordination/provisioning/autoscaler.cpp
@@ -14,16 +14,16 @@
 
 constexpr auto minRefusalPause = 8s;
 constexpr auto maxRefusalPause = 40s;
-constexpr auto loansFirst = 2s;           // before machines are requested for a gang
+constexpr auto loanHeadStart = 2s;        // before machines are requested for a gang
 constexpr auto refusalMemory = 30s;       // after a pause's end: there may be some again
-constexpr double lateBoot = 2.0;          // times the stated boot time: no longer counted on
+constexpr double maxBootFactor = 2.0;     // times the stated boot time: no longer counted on
 constexpr auto bootGrace = 20s;           // beyond that
 constexpr int maxProvisionedAtOnce = 50;  // what one call may ask for
 constexpr int maxTries = 3;
 constexpr double otherZonePenalty = 1.02;  // factor of the price
 
-Duration latestBoot(const MachineType& type) {
-    return ticks(type.bootTime * lateBoot) + bootGrace;
+Duration bootDeadline(const MachineType& type) {
+    return ticks(type.bootTime * maxBootFactor) + bootGrace;
 }
 
 }  // namespace
@@ -57,9 +57,9 @@
     return best;
 }
 
-std::vector<Autoscaler::ComingMachine> Autoscaler::comingMachines(const ClusterState& clusterState,
-                                                                  std::uint32_t partition) {
-    std::vector<ComingMachine> coming;
+std::vector<Autoscaler::IncomingMachine> Autoscaler::incomingMachines(
+    const ClusterState& clusterState, std::uint32_t partition) {
+    std::vector<IncomingMachine> incoming;
     const auto now = context_.now();
     for (const auto* machine : clusterState.machinesOf(partition)) {
         const auto* type = context_.type(machine->type);
@@ -67,15 +67,15 @@
         const bool inUse =
             machine->lastHeartbeat && machine->version != 0 && machine->acknowledged();
         if (machine->decommissioned || inUse || type == nullptr ||
-            now - machine->known > latestBoot(*type))
+            now - machine->known > bootDeadline(*type))
             continue;
-        coming.push_back({{machine->type, machine->zone, machine->spot}, type->capacity});
+        incoming.push_back({{machine->type, machine->zone, machine->spot}, type->capacity});
     }
     for (const auto& [pool, count] : inProgress_[partition])
         for (int i = 0; i < count; ++i)
             if (const auto* type = context_.type(pool.type))
-                coming.push_back({pool, type->capacity});
-    return coming;
+                incoming.push_back({pool, type->capacity});
+    return incoming;
 }
 
 void Autoscaler::scaleOutFor(std::uint32_t partition,
@@ -84,7 +84,7 @@
     if (unschedulable.empty() || !membership_.isLeaseValid() || context_.cloud.waiting() > 0)
         return;
     auto clusterState = context_.clusterState.lock();
-    auto coming = comingMachines(*clusterState, partition);
+    auto incoming = incomingMachines(*clusterState, partition);
     ProvisioningRequests requests;
     for (const auto& entry : unschedulable) {
         const Job* job = clusterState->job(entry.job);
@@ -92,21 +92,23 @@
         if (entry.gang)
             requestForGang(entry, *job, requests);
         else
-            requestForArray(entry.tasks, *job, coming, requests);
+            requestForArray(entry.tasks, *job, incoming, requests);
     }
     for (const auto& [pool, request] : requests)
         if (request.count > 0) scaleOut(partition, pool, request);
 }
 
 void Autoscaler::requestForArray(std::uint32_t tasks, const Job& job,
-                                 std::vector<ComingMachine>& coming,
+                                 std::vector<IncomingMachine>& incoming,
                                  ProvisioningRequests& requests) const {
     for (std::uint32_t left = tasks; left > 0; --left) {
-        const auto fits = std::find_if(coming.begin(), coming.end(), [&](const ComingMachine& c) {
-            return typeAllowed(job.spec, *context_.type(c.pool.type), c.pool.zone, c.pool.spot) &&
-                   job.spec.each.fits(c.available);
-        });
-        if (fits != coming.end()) {
+        const auto fits =
+            std::find_if(incoming.begin(), incoming.end(), [&](const IncomingMachine& c) {
+                return typeAllowed(job.spec, *context_.type(c.pool.type), c.pool.zone,
+                                   c.pool.spot) &&
+                       job.spec.each.fits(c.available);
+            });
+        if (fits != incoming.end()) {
             fits->available -= job.spec.each;
             continue;
         }
@@ -115,8 +117,8 @@
         if (!pool || isRequestInFlight(*pool) || requests[*pool].count >= maxProvisionedAtOnce)
             break;
         ++requests[*pool].count;
-        coming.push_back({*pool, context_.type(pool->type)->capacity});
-        coming.back().available -= job.spec.each;
+        incoming.push_back({*pool, context_.type(pool->type)->capacity});
+        incoming.back().available -= job.spec.each;
     }
 }
 
@@ -126,7 +128,7 @@
     // machines provisioned task by task lay in several zones and went to other work as they came
     // up. Peers are asked for idle machines first.
     if (entry.tasks == 0 || provisioningFor_.contains(entry.job) ||
-        context_.now() - job.assemblySince < loansFirst)
+        context_.now() - job.assemblySince < loanHeadStart)
         return;
     const auto pool = cheapest(job, entry.tasks, entry.zone);
     if (!pool || isRequestInFlight(*pool)) return;
@@ -180,7 +182,7 @@
             Machine* machine = inventory_.addMachine(pool, *next, partition);
             if (machine == nullptr || job == nullptr || type == nullptr) continue;
             reserve(context_, *machine, *job, countThatFit(*job, type->capacity, job->spec.tasks),
-                    latestBoot(*type));
+                    bootDeadline(*type));
         }
     }
     for (; next != machines.end(); ++next) inventory_.addMachine(pool, *next, partition);
--- a/src/coordination/provisioning/autoscaler.h
+++ b/src/coordination/provisioning/autoscaler.h
@@ -46,7 +46,7 @@
         ProvisioningRequest request;
     };
     // A machine that is booting or requested, with what is not yet counted on.
-    struct ComingMachine {
+    struct IncomingMachine {
         MachinePoolId pool;
         Resources available;
     };
@@ -55,9 +55,10 @@
         Duration pause{};
     };
 
-    [[nodiscard]] std::vector<ComingMachine> comingMachines(const ClusterState& clusterState,
-                                                            std::uint32_t partition);
-    void requestForArray(std::uint32_t tasks, const Job& job, std::vector<ComingMachine>& coming,
+    [[nodiscard]] std::vector<IncomingMachine> incomingMachines(const ClusterState& clusterState,
+                                                                std::uint32_t partition);
+    void requestForArray(std::uint32_t tasks, const Job& job,
+                         std::vector<IncomingMachine>& incoming,
                          ProvisioningRequests& requests) const;
     void requestForGang(const UnschedulableWork& entry, const Job& job,
                         ProvisioningRequests& requests) const;
--- a/src/coordination/provisioning/decommissioner.cpp
+++ b/src/coordination/provisioning/decommissioner.cpp
@@ -61,8 +61,8 @@
         for (const auto& id : names) {
             releasing_.erase(id);
             if (!gone) continue;
-            auto held = context_.clusterState.lock();
-            Machine* machine = held->machine(id);
+            auto state = context_.clusterState.lock();
+            Machine* machine = state->machine(id);
             if (machine == nullptr || !membership_.isLeader(machine->partition)) continue;
             heartbeats_.releaseAllocations(*machine, "given back");
             forget(machine->partition, id);
--- a/src/coordination/provisioning/machine_inventory.cpp
+++ b/src/coordination/provisioning/machine_inventory.cpp
@@ -17,8 +17,8 @@
 constexpr double listFractionOfCalls = 0.2;
 constexpr double maxLagFactor = 2.2;  // a list may lag by up to twice the stated time
 constexpr auto listLagMargin = 1s;
-constexpr auto requesterFirst = 10s;  // who provisioned a machine records it itself
-constexpr auto unassignedGrace = 1s;  // until a machine that sends heartbeats is taken in
+constexpr auto requesterHeadStart = 10s;  // who provisioned a machine records it itself
+constexpr auto unassignedGrace = 1s;      // until a machine that sends heartbeats is taken in
 constexpr auto notLeadingPause = 500ms;
 
 }  // namespace
@@ -92,7 +92,7 @@
     const auto partition = partitionFor(clusterState, listed.id, listed.zone);
     if (!ownPartitions.contains(partition) || clusterState.goneMachines.contains(listed.id)) return;
     const auto& found = unassigned_.try_emplace(listed.id, UnassignedMachine{now}).first->second;
-    if (asked - found.seen <= maxListLag() || now - found.seen <= requesterFirst) return;
+    if (asked - found.seen <= maxListLag() || now - found.seen <= requesterHeadStart) return;
     unassigned_.erase(listed.id);
     addMachine({listed.type, listed.zone, listed.spot}, listed.id, partition);
 }
@@ -128,7 +128,7 @@
 
 void MachineInventory::onUnassignedHeartbeat(const protocol::Heartbeat& heartbeat) {
     const auto now = context_.now();
-    // A heartbeat that was held back on its way.
+    // A heartbeat that was delayed on its way.
     if (context_.clusterState.lock()->goneMachines.contains(heartbeat.machine)) return;
     const auto [entry, fresh] = unassigned_.try_emplace(heartbeat.machine);
     if (fresh) entry->second.seen = now;
--- a/src/coordination/provisioning/machine_reconciler.cpp
+++ b/src/coordination/provisioning/machine_reconciler.cpp
@@ -12,9 +12,9 @@
 using namespace std::chrono_literals;
 using Change = MachineRecords::Change;
 
-constexpr double neverBoots = 4.0;  // times the stated boot time
-constexpr auto bootGrace = 20s;     // beyond that
-constexpr auto minSilence = 15s;    // before a machine is given back
+constexpr double bootFailure = 4.0;  // times the stated boot time
+constexpr auto bootGrace = 20s;      // beyond that
+constexpr auto minSilence = 15s;     // before a machine is given back
 constexpr double maxMissedHeartbeats = 3.5;
 constexpr double overdueHeartbeats = 1.5;  // a heartbeat that is so late is overdue
 constexpr auto maxFaultBackoff = 1min;     // a longer one: the machine is faulty
@@ -32,8 +32,8 @@
 
 }  // namespace
 
-bool MachineReconciler::isWantedByAny(const ClusterState& clusterState, const Machine& machine,
-                                      const MachineType& type) const {
+bool MachineReconciler::isUsableByAnyJob(const ClusterState& clusterState, const Machine& machine,
+                                         const MachineType& type) const {
     return std::any_of(clusterState.jobs.begin(), clusterState.jobs.end(), [&](const auto& entry) {
         return typeAllowed(entry.second.spec, type, machine.zone, machine.spot);
     });
@@ -44,13 +44,14 @@
     const auto now = context_.now();
     if (records_.isPending(Change::record, machine.id)) return;
     // What only late copies of heartbeats speak of, or can't receive, is of no use.
-    const bool ghost =
+    const bool neverAcknowledged =
         !machine.acknowledged() && now - machine.known > ticks(context_.settings.lease);
-    if (machine.acknowledged() && isWantedByAny(*context_.clusterState.lock(), machine, type)) {
+    if (machine.acknowledged() && isUsableByAnyJob(*context_.clusterState.lock(), machine, type)) {
         records_.write(Change::record, partition, machine.id);
-    } else if (ghost || now - machine.idleSince > warmPool_.idleLimit(machine, type)) {
+    } else if (neverAcknowledged || now - machine.idleSince > warmPool_.idleLimit(machine, type)) {
         // It never had work, and no allocation can name it: it needs no record to be given back.
-        spdlog::debug("inventory: unrecorded_machine_decommissioned machine={}", machine.id);
+        spdlog::debug("inventory: unrecorded_machine_decommissioned machine={} reason=unused",
+                      machine.id);
         machine.decommissioned = true;
     }
 }
@@ -123,7 +124,7 @@
     const auto now = context_.now();
     const bool empty = machine.allocations.empty();
     if (!machine.lastHeartbeat) {
-        if (empty && now - machine.known > ticks(type.bootTime * neverBoots) + bootGrace)
+        if (empty && now - machine.known > ticks(type.bootTime * bootFailure) + bootGrace)
             return DecommissionReason::neverBooted;
         return std::nullopt;
     }
--- a/src/coordination/provisioning/machine_reconciler.h
+++ b/src/coordination/provisioning/machine_reconciler.h
@@ -34,8 +34,8 @@
     // How long a machine may be silent before it is given back.
     [[nodiscard]] Duration silenceLimit() const;
     // Whether any job could use the machine.
-    [[nodiscard]] bool isWantedByAny(const ClusterState& clusterState, const Machine& machine,
-                                     const MachineType& type) const;
+    [[nodiscard]] bool isUsableByAnyJob(const ClusterState& clusterState, const Machine& machine,
+                                        const MachineType& type) const;
     // Where most of the partition's machines miss their heartbeats at the same time.
     [[nodiscard]] std::set<std::string> quietZones(const ClusterState& clusterState,
                                                    std::uint32_t partition) const;
--- a/src/coordination/scheduling/capacity_index.cpp
+++ b/src/coordination/scheduling/capacity_index.cpp
@@ -73,17 +73,17 @@
     return machine.reservedFor == job.spec.id ? machineCapacity.free : machineCapacity.unreserved;
 }
 
-std::uint32_t CapacityIndex::countPlaces(const Job& job, const ZoneUse& zoneUse) const {
-    std::uint32_t places = 0;
+std::uint32_t CapacityIndex::countSlots(const Job& job, const ZoneUse& zoneUse) const {
+    std::uint32_t slots = 0;
     for (const auto& pool : pools_) {
         if (!pool.allows(job, zoneUse)) continue;
         for (const auto& machineCapacity : pool.machines) {
             if (!job.spec.each.fits(machineCapacity.free)) continue;
-            places += countThatFit(job, capacityFor(job, machineCapacity), job.spec.tasks - places);
-            if (places >= job.spec.tasks) return places;
+            slots += countThatFit(job, capacityFor(job, machineCapacity), job.spec.tasks - slots);
+            if (slots >= job.spec.tasks) return slots;
         }
     }
-    return places;
+    return slots;
 }
 
 }  // namespace fawnwheel::coordination
--- a/src/coordination/scheduling/capacity_index.h
+++ b/src/coordination/scheduling/capacity_index.h
@@ -46,7 +46,7 @@
     [[nodiscard]] Resources capacityFor(const Job& job,
                                         const MachineCapacity& machineCapacity) const;
     /// How many of the job's tasks fit, up to all of them.
-    [[nodiscard]] std::uint32_t countPlaces(const Job& job, const ZoneUse& zoneUse) const;
+    [[nodiscard]] std::uint32_t countSlots(const Job& job, const ZoneUse& zoneUse) const;
 
   private:
     // The pool that the machine belongs to, made if it is the first; none: its type is unknown.
--- a/src/coordination/scheduling/consolidation.cpp
+++ b/src/coordination/scheduling/consolidation.cpp
@@ -21,8 +21,8 @@
            (job.spec.tasks <= 1 || !job.undivided());
 }
 
-bool Consolidation::findPlace(const ClusterState& clusterState, const Machine& machine,
-                              const Job& job, std::map<std::string, Resources>& consumed) const {
+bool Consolidation::findCapacity(const ClusterState& clusterState, const Machine& machine,
+                                 const Job& job, std::map<std::string, Resources>& consumed) const {
     for (const auto* other : clusterState.machinesOf(machine.partition)) {
         // On machines in use only: an empty one might be the next to go.
         if (other == &machine || other->allocations.empty() || !takesWork(context_, *other))
@@ -46,7 +46,7 @@
         if (allocation == nullptr || !canMove(*job, *allocation)) return false;
         longestLeft = std::max(
             longestLeft, Seconds(job->spec.estimate - Seconds(now - *allocation->ran)).count());
-        if (!findPlace(clusterState, machine, *job, consumed)) return false;
+        if (!findCapacity(clusterState, machine, *job, consumed)) return false;
         allocations.push_back(allocation);
     }
     return longestLeft > minSecondsLeftToMove;
--- a/src/coordination/scheduling/consolidation.h
+++ b/src/coordination/scheduling/consolidation.h
@@ -23,9 +23,10 @@
     // Whether the task saves its progress, runs long enough to have counted as started, and is not
     // tied to other tasks.
     [[nodiscard]] bool canMove(const Job& job, const Allocation& allocation) const;
-    // Finds a place for one more task of the job, beside what `consumed` counts, and counts it.
-    [[nodiscard]] bool findPlace(const ClusterState& clusterState, const Machine& machine,
-                                 const Job& job, std::map<std::string, Resources>& consumed) const;
+    // Finds capacity for one more task of the job, beside what `consumed` counts, and counts it.
+    [[nodiscard]] bool findCapacity(const ClusterState& clusterState, const Machine& machine,
+                                    const Job& job,
+                                    std::map<std::string, Resources>& consumed) const;
 
     Context& context_;
 };
--- a/src/coordination/scheduling/fragmentation_guard.cpp
+++ b/src/coordination/scheduling/fragmentation_guard.cpp
@@ -39,13 +39,13 @@
     for (auto& largerTask : largestOfClasses_) {
         const auto& spec = largerTask.job->spec;
         const auto needed = slotsNeeded(spec.jobClass, clusterState, partition);
-        std::uint32_t places = 0;
+        std::uint32_t slots = 0;
         for (const auto& pool : capacityIndex.pools()) {
             if (!typeAllowed(spec, *pool.type, pool.zone, pool.spot)) continue;
             for (const auto& machineCapacity : pool.machines)
-                places += countThatFit(*largerTask.job, machineCapacity.unreserved, spec.tasks);
+                slots += countThatFit(*largerTask.job, machineCapacity.unreserved, spec.tasks);
         }
-        largerTask.spareSlots = places > needed ? places - needed : 0;
+        largerTask.spareSlots = slots > needed ? slots - needed : 0;
     }
 }
 
--- a/src/coordination/scheduling/fragmentation_guard.h
+++ b/src/coordination/scheduling/fragmentation_guard.h
@@ -1,12 +1,12 @@
 /// @file
-/// Protects places for large tasks from being fragmented by smaller ones.
+/// Protects slots for large tasks from being fragmented by smaller ones.
 #pragma once
 
 #include "coordination/scheduling/capacity_index.h"
 
 namespace fawnwheel::coordination {
 
-/// A place where a task might go: the capacity that is free on some machine of a pool.
+/// Where a task might go: the capacity that is free on some machine of a pool.
 struct CandidateSlot {
     const MachineType& type;
     const std::string& zone;
@@ -14,13 +14,13 @@
     Resources free;
 };
 
-/// How many places for other classes' larger tasks an allocation would take.
+/// How many slots for other classes' larger tasks an allocation would take.
 struct LostSlots {
     std::uint32_t all = 0;
     std::uint32_t ofEntitled = 0;  ///< of other teams' more urgent jobs, and not spare
 };
 
-/// For each job class, the job with the largest tasks that can be scheduled, and how many places
+/// For each job class, the job with the largest tasks that can be scheduled, and how many slots
 /// for it are spare. Refers to jobs of the cluster state, which stays locked meanwhile.
 class FragmentationGuard {
   public:
@@ -29,12 +29,12 @@
     explicit FragmentationGuard(const ClusterState& clusterState);
 
     [[nodiscard]] bool empty() const { return largestOfClasses_.empty(); }
-    /// What one task of the job would take of larger tasks' places in this slot.
+    /// What one task of the job would take of larger tasks' slots there.
     [[nodiscard]] LostSlots slotsLost(const CandidateSlot& slot, const Job& job) const;
-    /// Counts the places beyond what waits and what may come next. Until then none is spare.
+    /// Counts the slots beyond what waits and what may come next. Until then none is spare.
     void countSpareSlots(const CapacityIndex& capacityIndex, const ClusterState& clusterState,
                          std::uint32_t partition);
-    /// A task of the job is placed on the machine: takes what it uses off the spare places.
+    /// A task of the job is placed on the machine: subtracts what it uses from the spare slots.
     void useSpareSlots(const MachineType& type, const MachineCapacity& machineCapacity,
                        const Job& job);
 
@@ -48,7 +48,7 @@
                                                  const CandidateSlot& slot, const Job& job);
     // Whether the job's tasks are smaller ones that go after the larger task's.
     [[nodiscard]] static bool mayLoseSlots(const LargerTask& largerTask, const Job& job);
-    // Places that tasks of the class need on the partition, now and soon.
+    // Slots that tasks of the class need on the partition, now and soon.
     [[nodiscard]] static std::uint32_t slotsNeeded(const std::string& jobClass,
                                                    const ClusterState& clusterState,
                                                    std::uint32_t partition);
--- a/src/coordination/scheduling/gang_assembler.cpp
+++ b/src/coordination/scheduling/gang_assembler.cpp
@@ -108,12 +108,12 @@
     if (reserved < job.spec.tasks)
         reserved += reserveFreeMachines(capacityIndex, job, job.spec.tasks - reserved);
     if (reserved >= job.spec.tasks) return {};
-    const auto lacking = job.spec.tasks - reserved;
-    auto missing = lacking;
+    const auto withoutFreeMachine = job.spec.tasks - reserved;
+    auto missing = withoutFreeMachine;
     blockedZones.insert(job.assemblyZone);
     if (!cloud_.canProvision(job, job.assemblyZone))
         missing -= reserveBusyMachines(capacityIndex, job, missing);
-    return {missing, lacking};
+    return {missing, withoutFreeMachine};
 }
 
 std::uint32_t GangAssembler::reserveFreeMachines(CapacityIndex& capacityIndex, const Job& job,
--- a/src/coordination/scheduling/machine_selector.cpp
+++ b/src/coordination/scheduling/machine_selector.cpp
@@ -9,13 +9,13 @@
 
 using protocol::TaskState;
 
-constexpr double sharedFetch = 0.4;        // of a fetch that another task has begun
+constexpr double sharedFetchFactor = 0.4;  // of a fetch that another task has begun
 constexpr double idleGpuSeconds = 25;      // what using up a GPU machine's CPUs counts as
-constexpr double lostSlotSeconds = 30;     // what taking a place of larger tasks counts as
+constexpr double lostSlotSeconds = 30;     // what taking a slot of larger tasks counts as
 constexpr double emptyMachineSeconds = 4;  // what breaking into an empty machine counts as
-// Of a best-effort job on a partition that may take places of entitled jobs.
+// Of a best-effort job on a partition that may take slots of entitled jobs.
 constexpr std::size_t maxBestEffortTasks = 32;
-constexpr auto bestEffortPatience = std::chrono::seconds(60);  // until others' places may be taken
+constexpr auto bestEffortPatience = std::chrono::seconds(60);  // until others' slots may be taken
 
 }  // namespace
 
@@ -45,7 +45,7 @@
         begun = begun || other->spec.image == job.spec.image;
         others.insert(other->spec.image);
     }
-    return begun ? fetch * sharedFetch : fetch * (1 + static_cast<double>(others.size()));
+    return begun ? fetch * sharedFetchFactor : fetch * (1 + static_cast<double>(others.size()));
 }
 
 double MachineSelector::cost(ClusterState& clusterState, const Job& job, const Machine& machine,
--- a/src/coordination/scheduling/machine_selector.h
+++ b/src/coordination/scheduling/machine_selector.h
@@ -6,14 +6,14 @@
 
 namespace fawnwheel::coordination {
 
-/// Whether a choice may take places that other teams' more urgent, larger tasks need.
+/// Whether a choice may take slots that other teams' more urgent, larger tasks need.
 enum class EntitledSlots { usable, preserved };
 
 /// Whether the machine has the job's image, or fetches it for another task.
 [[nodiscard]] bool hasImage(ClusterState& clusterState, const Machine& machine, const Job& job);
 
 /// Compares machines for a task by the seconds that the choice costs: fetching the image, GPUs left
-/// without CPUs, breaking into an empty machine, places of larger tasks.
+/// without CPUs, breaking into an empty machine, slots of larger tasks.
 class MachineSelector {
   public:
     explicit MachineSelector(const Context& context) : context_(context) {}
@@ -24,7 +24,7 @@
                                           const Job& job, const FragmentationGuard& guard,
                                           const ZoneUse& zoneUse,
                                           EntitledSlots entitledSlots) const;
-    /// How many more tasks of a best-effort job that has waited for long may take places of
+    /// How many more tasks of a best-effort job that has waited for long may take slots of
     /// entitled jobs.
     [[nodiscard]] std::uint32_t bestEffortAllowance(const Job& job, std::uint32_t partition) const;
 
--- a/src/coordination/scheduling/placement.cpp
+++ b/src/coordination/scheduling/placement.cpp
@@ -11,11 +11,11 @@
 using protocol::JobKind;
 
 constexpr std::uint32_t taskBits = 24;     // of an attempt's number; the rest is the term
-constexpr double fetchThatCounts = 0.25;   // of the time that a task runs
+constexpr double significantFetch = 0.25;  // of the time that a task runs
 constexpr double maxFetchTimesWaited = 3;  // until a job no longer gives way for a fetch
 
-UnschedulableWork leftover(const ReadyJob& ready, std::uint32_t tasks, bool overQuota) {
-    return {ready.job->spec.id, tasks, overQuota, false, {}, false, 0};
+UnschedulableWork unschedulableWork(const ReadyJob& ready, std::uint32_t tasks, bool overQuota) {
+    return {.job = ready.job->spec.id, .tasks = tasks, .overQuota = overQuota};
 }
 
 }  // namespace
@@ -50,13 +50,13 @@
     if (cachedOnly && !array.overQuota)
         run.toFetch.push_back(ready);
     else
-        run.unschedulable.push_back(leftover(ready, ready.tasks, array.overQuota));
+        run.unschedulable.push_back(unschedulableWork(ready, ready.tasks, array.overQuota));
 }
 
 void Placement::runFetching(PlacementRun& run, const ReadyJob& ready) {
     const auto array = placeArray(run, ready, ImageRule::mayFetch);
     const auto left = ready.tasks - (array.placed + array.waitingForImage);
-    if (left > 0) run.unschedulable.push_back(leftover(ready, left, array.overQuota));
+    if (left > 0) run.unschedulable.push_back(unschedulableWork(ready, left, array.overQuota));
 }
 
 void Placement::runGang(PlacementRun& run, const ReadyJob& ready) {
@@ -66,7 +66,7 @@
     const bool overQuota = result == GangResult::overQuota;
     // One task alone needs no assembly and lies in one zone anyway.
     if (job.spec.tasks == 1 || overQuota) {
-        run.unschedulable.push_back(leftover(ready, ready.tasks, overQuota));
+        run.unschedulable.push_back(unschedulableWork(ready, ready.tasks, overQuota));
         return;
     }
     gangs_.chooseZone(run.clusterState, run.partition, job);
@@ -81,8 +81,12 @@
         progress = gangs_.assemble(run.clusterState, run.partition, job, run.capacityIndex,
                                    run.blockedZones);
     }
-    run.unschedulable.push_back({job.spec.id, progress.missingTasks, false, true, job.assemblyZone,
-                                 blocked, progress.tasksWithoutFreeMachine});
+    run.unschedulable.push_back({.job = job.spec.id,
+                                 .tasks = progress.missingTasks,
+                                 .gang = true,
+                                 .zone = job.assemblyZone,
+                                 .blockedByEarlierGang = blocked,
+                                 .tasksWithoutFreeMachine = progress.tasksWithoutFreeMachine});
 }
 
 Placement::ArrayProgress Placement::placeArray(PlacementRun& run, const ReadyJob& ready,
@@ -90,9 +94,9 @@
     Job& job = *ready.job;
     ArrayProgress array{job, imageRule, queueOrder_.maxTasksToPlace(ready),
                         run.quotaLeft(job.spec.team)};
-    // Counted in each round, the places of thousands of tasks took half of a round's time.
+    // Counted in each round, the zones of thousands of allocations took half of a round's time.
     if (job.spec.oneZone || job.spec.spread) array.zoneUse = zoneUseOf(run.clusterState, job);
-    // The entitled jobs' places stay open for what comes next. What finds no other place takes a
+    // The entitled jobs' slots stay open for what comes next. What finds no other slot takes a
     // few of them, so that a best-effort job never waits for good.
     array.bestEffort = context_.isBestEffort(job);
     if (array.bestEffort) array.allowance = selector_.bestEffortAllowance(job, run.partition);
@@ -163,8 +167,8 @@
     const auto fetch = queueOrder_.fetchTime(job.spec);
     const Seconds waited = context_.timers.wallNow() - job.readySince;
     if (waited >= fetch || job.spec.estimate.count() <= 0) return 0;
-    // Places on machines that have the image come free at this rate.
-    double places = 0;
+    // Slots on machines that have the image come free at this rate.
+    double slots = 0;
     for (const auto& pool : capacityIndex.pools()) {
         if (!pool.allows(job, {})) continue;
         const auto each = countThatFit(job, pool.type->capacity, job.spec.tasks);
@@ -172,19 +176,19 @@
             if (std::any_of(machineCapacity.machine->images.begin(),
                             machineCapacity.machine->images.end(),
                             [&](const auto& i) { return i.name == job.spec.image; }))
-                places += each;
+                slots += each;
     }
-    return static_cast<std::uint32_t>(places * (fetch / job.spec.estimate));
+    return static_cast<std::uint32_t>(slots * (fetch / job.spec.estimate));
 }
 
 bool Placement::yieldsToCached(const Job& job) const {
     // In a backlog every job has waited long. Each machine that came free then fetched the image of
     // the first in the queue, while later ones had theirs there: half of the GPUs' time went into
-    // fetches, and the backlog stayed (day zone of a fleet). What finds no place at all for long
+    // fetches, and the backlog stayed (day zone of a fleet). What finds no machine at all for long
     // takes one wherever it is.
     const auto fetch = queueOrder_.fetchTime(job.spec);
     const Seconds waited = context_.timers.wallNow() - job.readySince;
-    return fetch > job.spec.estimate * fetchThatCounts &&
+    return fetch > job.spec.estimate * significantFetch &&
            (job.anyAllocation() || waited < fetch * maxFetchTimesWaited);
 }
 
@@ -202,7 +206,7 @@
     for (const auto& zone : zones) {
         ZoneUse zoneUse;
         if (!zone.empty()) zoneUse[zone] = 1;  // confines the choice to this zone
-        if (run.capacityIndex.countPlaces(job, zoneUse) < job.spec.tasks) continue;
+        if (run.capacityIndex.countSlots(job, zoneUse) < job.spec.tasks) continue;
         if (!placeGangIn(run, job, std::move(zoneUse))) continue;
         quotaLeft -= all;
         spdlog::debug("placement: gang_placed job={} first_machine={} class={} wait_s={:.1f}",
--- a/src/coordination/scheduling/placement.h
+++ b/src/coordination/scheduling/placement.h
@@ -78,7 +78,7 @@
         Resources& quotaLeft;     // of its team
         ZoneUse zoneUse{};
         bool bestEffort = false;
-        std::uint32_t allowance = 0;  // of places of entitled jobs
+        std::uint32_t allowance = 0;  // of slots of entitled jobs
         // How many tasks may wait for a cached image; worked out when the first would have to
         // fetch.
         std::optional<std::uint32_t> mayWait{};
--- a/src/coordination/scheduling/preemption.h
+++ b/src/coordination/scheduling/preemption.h
@@ -36,7 +36,7 @@
     // The lowest priority among what runs on the partition and could be stopped for others.
     [[nodiscard]] static protocol::Priority lowestRunning(const ClusterState& clusterState,
                                                           std::uint32_t partition);
-    // Makes room for one task of the job, if possible.
+    // Frees capacity for one task of the job, if possible.
     bool preemptForTask(ClusterState& clusterState, const CapacityIndex& capacityIndex,
                         const Job& job, std::set<std::string>& machines) const;
     // Replaces the choice if stops on this machine lose less.
--- a/src/coordination/scheduling/queue_order.cpp
+++ b/src/coordination/scheduling/queue_order.cpp
@@ -42,12 +42,12 @@
     const auto latest = next ? *next : sinceReady(defaultStartWithin);
     // A day on which a class's largest gangs don't begin in time is lost, and they need the most
     // machines at once: behind what is easier to place, under half of them began.
-    if (isLargest(job) && now < sinceReady(largestGangStartWithin))
+    if (isLargestGangOfClass(job) && now < sinceReady(largestGangStartWithin))
         return std::min(latest, sinceReady(largestGangStartWithin - gangAssemblyTime));
     return latest;
 }
 
-bool QueueOrder::isLargest(const Job& job) const {
+bool QueueOrder::isLargestGangOfClass(const Job& job) const {
     const auto largest = largestGang_.find(job.spec.jobClass);
     return job.spec.kind == JobKind::gang && job.spec.tasks > 1 && largest != largestGang_.end() &&
            job.spec.tasks >= largest->second;
@@ -55,7 +55,7 @@
 
 Seconds QueueOrder::stepTime(const protocol::JobSpec& spec) const {
     // A start waits for a worker's heartbeat, and so may an end that was reported while one was
-    // under way.
+    // in flight.
     return spec.estimate + fetchTime(spec) + context_.settings.heartbeatInterval;
 }
 
@@ -95,7 +95,7 @@
     for (auto& [id, job] : clusterState.jobs) {
         if (!clusterState.startable(job) || now < job.notBefore) continue;
         if (job.spec.kind == JobKind::gang && job.anyAllocation()) {
-            if (job.partition == partition) stopBrokenGang(job);
+            if (job.partition == partition) stopIncompleteGang(job);
             continue;
         }
         if (job.crashLooping()) {
@@ -139,7 +139,7 @@
     return std::min(maxPlacementsPerRun, maxUnprovenTasks - std::min(maxUnprovenTasks, allocated));
 }
 
-void QueueOrder::stopBrokenGang(Job& job) {
+void QueueOrder::stopIncompleteGang(Job& job) {
     if (job.complete() || job.allocatedTasks() == job.spec.tasks) return;
     // The rest would wait for a task that is not started again under this attempt.
     for (auto& slice : job.slices) {
--- a/src/coordination/scheduling/queue_order.h
+++ b/src/coordination/scheduling/queue_order.h
@@ -46,12 +46,12 @@
     [[nodiscard]] std::vector<std::uint32_t> queueLengths();
 
   private:
-    // Of the gangs of its class seen so far.
-    [[nodiscard]] bool isLargest(const Job& job) const;
+    // Whether no larger gang of its class has been seen so far.
+    [[nodiscard]] bool isLargestGangOfClass(const Job& job) const;
     void recordLargestGangs(const ClusterState& clusterState);
     // Whether a crash-looping job may be tried once more, by this partition.
     [[nodiscard]] static bool mayProbe(const Job& job, std::uint32_t partition);
-    static void stopBrokenGang(Job& job);
+    static void stopIncompleteGang(Job& job);
 
     Context& context_;
     std::map<std::string, std::uint32_t> largestGang_;  // tasks, by class
