--- a/src/coordination/controller.cpp
+++ b/src/coordination/controller.cpp
@@ -23,25 +23,31 @@
       reachability_(context_, *this),
       membership_(context_, replica_, reachability_, pipeline_, *this),
       stateWriter_(context_, pipeline_, *this),
-      placement_(context_, membership_),
+      queueOrder_(context_),
+      teamQuotas_(context_),
       heartbeats_(context_, membership_, *this),
-      fleet_(context_, membership_, pipeline_, placement_, heartbeats_),
-      quotas_(context_, membership_, pipeline_, placement_),
+      machineRecords_(context_, pipeline_, *this),
+      catalog_(context_, membership_, pipeline_),
+      decommissioner_(context_, membership_, heartbeats_, machineRecords_),
+      inventory_(context_, membership_, heartbeats_, machineRecords_, decommissioner_),
+      warmPool_(context_, queueOrder_),
+      reconciler_(context_, membership_, machineRecords_, catalog_, decommissioner_, inventory_,
+                  warmPool_),
+      autoscaler_(context_, membership_, machineRecords_, inventory_, *this),
+      placement_(context_, membership_, queueOrder_, teamQuotas_, autoscaler_),
+      preemption_(context_, queueOrder_),
+      consolidation_(context_),
+      quotas_(context_, membership_, pipeline_, teamQuotas_, queueOrder_),
       transfers_(context_, pipeline_, stateWriter_.writer(), quotas_, heartbeats_, *this),
       lending_(context_, membership_, placement_, transfers_),
       rebalancer_(context_, membership_, pipeline_, placement_, transfers_, *this),
       migrator_(context_, membership_, pipeline_, stateWriter_, placement_),
       statusReader_(context_, replica_),
       admission_(context_, replica_, statusReader_, migrator_, *this),
-      completionNotifier_(context_, membership_),
+      completionNotifier_(context_, membership_, *this),
       router_(replica_, membership_, reachability_, heartbeats_, admission_) {
-    completionNotifier_.onRead = [this] { scheduleRound(); };
     context_.clusterState.lock()->dependencyGraph.setStepTimeEstimator(
-        [this](const protocol::JobSpec& spec) { return placement_.stepTime(spec); });
-    placement_.canProvision = [this](const Job& job, const std::string& zone) {
-        return fleet_.canProvision(job, zone);
-    };
-    fleet_.onAnswer = [this] { scheduleRound(); };
+        [this](const protocol::JobSpec& spec) { return queueOrder_.stepTime(spec); });
 }
 
 void Controller::onJobAccepted() {
@@ -54,7 +60,7 @@
 }
 
 void Controller::onReplicaChanged() {
-    fleet_.adoptCatalog();
+    catalog_.adoptRecorded();
     membership_.reconcile();
     stopCancelledJobs();
     completionNotifier_.resolveDependencies();
@@ -79,7 +85,8 @@
 void Controller::start() {
     replica_.start();
     membership_.start();
-    fleet_.start();
+    catalog_.start();
+    inventory_.start();
     migrator_.start();
     rebalancer_.start();
     runMaintenance();
@@ -105,11 +112,11 @@
         if (membership_.isLeaseValid() && !reachability_.isUnreachable()) {
             const auto unschedulable = placement_.run(partition);
             rebalancer_.recordUnschedulable(partition, unschedulable);
-            for (const auto& machine : placement_.preemptFor(partition, unschedulable))
+            for (const auto& machine : preemption_.preemptFor(partition, unschedulable))
                 heartbeats_.sendPendingStops(machine);
             lending_.requestLoans(partition, unschedulable);
             quotas_.requestQuota(partition, unschedulable);
-            fleet_.scaleOutFor(partition, unschedulable);
+            autoscaler_.scaleOutFor(partition, unschedulable);
         }
         stateWriter_.flush(partition);
     }
@@ -153,10 +160,10 @@
 void Controller::runMaintenance() {
     for (const auto partition : membership_.ledPartitions()) {
         if (membership_.isLeaseValid()) heartbeats_.expireSilent(partition);
-        fleet_.reconcileMachines(partition);
+        reconciler_.reconcileMachines(partition);
         if (membership_.isLeaseValid()) lending_.returnIdleLoans(partition);
-        if (membership_.isLeaseValid() && fleet_.mayConsolidate(partition))
-            if (const auto machine = placement_.consolidateOne(partition))
+        if (membership_.isLeaseValid() && warmPool_.mayConsolidate(partition))
+            if (const auto machine = consolidation_.consolidateOne(partition))
                 heartbeats_.sendPendingStops(*machine);
     }
     std::erase_if(stopping_, [this](const std::string& id) {
@@ -189,7 +196,7 @@
             else if constexpr (std::is_same_v<Message, protocol::MigrationResponse>)
                 migrator_.onMigrationResponse(message);
             else if constexpr (std::is_same_v<Message, protocol::CapacityExhausted>)
-                fleet_.onCapacityExhausted(message);
+                autoscaler_.onCapacityExhausted(message);
             else if constexpr (std::is_same_v<Message, protocol::LoanRequest>)
                 lending_.onLoanRequest(peer, message);
             else if constexpr (std::is_same_v<Message, protocol::QuotaRequest>)
--- a/src/coordination/controller.h
+++ b/src/coordination/controller.h
@@ -8,10 +8,13 @@
 #include "coordination/migration/machine_lending.h"
 #include "coordination/migration/rebalancer.h"
 #include "coordination/migration/work_migrator.h"
-#include "coordination/provisioning/fleet.h"
+#include "coordination/provisioning/autoscaler.h"
+#include "coordination/provisioning/machine_reconciler.h"
 #include "coordination/replication/replica.h"
 #include "coordination/round_scheduler.h"
 #include "coordination/scheduling/completion_notifier.h"
+#include "coordination/scheduling/consolidation.h"
+#include "coordination/scheduling/preemption.h"
 #include "coordination/scheduling/quota_exchange.h"
 
 namespace fawnwheel::coordination {
@@ -49,7 +52,7 @@
     void onCancellationsLearned() override { stopCancelledJobs(); }
     void onReachabilityChanged() override;
     void onUnassignedHeartbeat(const protocol::Heartbeat& heartbeat) override {
-        fleet_.onUnassignedHeartbeat(heartbeat);
+        inventory_.onUnassignedHeartbeat(heartbeat);
     }
     void onWorkersChanged() override { scheduleRound(); }
     void runRound();
@@ -67,9 +70,19 @@
     WorkerReachability reachability_;
     Membership membership_;
     StateWriter stateWriter_;
-    Placement placement_;
+    QueueOrder queueOrder_;
+    TeamQuotas teamQuotas_;
     HeartbeatHandler heartbeats_;
-    Fleet fleet_;
+    MachineRecords machineRecords_;
+    MachineCatalog catalog_;
+    Decommissioner decommissioner_;
+    MachineInventory inventory_;
+    WarmPool warmPool_;
+    MachineReconciler reconciler_;
+    Autoscaler autoscaler_;
+    Placement placement_;
+    Preemption preemption_;
+    Consolidation consolidation_;
     QuotaExchange quotas_;
     MachineTransfers transfers_;
     MachineLending lending_;
