--- a/src/coordination/controller.cpp
+++ b/src/coordination/controller.cpp
@@ -1,16 +1,15 @@
 #include "coordination/controller.h"
 
-#include <spdlog/spdlog.h>
-
 namespace fawnwheel::coordination {
 
 namespace {
 
 using namespace std::chrono_literals;
 
-constexpr auto roundDelay = 30ms;     // gathers what one round of events changes
-constexpr int roundPauseFactor = 3;   // times what the last round took
-constexpr auto longestRound = 150ms;  // as far as the pause goes; a longer one was not work
+constexpr auto roundDelay = 30ms;    // collects the changes of many events into one round
+constexpr int roundPauseFactor = 3;  // pause between rounds, times what the last round took
+// Upper bound of a round's duration in that product: what took longer was a pause of the process.
+constexpr auto maxRoundDuration = 150ms;
 constexpr auto maintenanceInterval = 500ms;
 
 }  // namespace
@@ -45,7 +44,9 @@
       statusReader_(context_, replica_),
       admission_(context_, replica_, statusReader_, migrator_, *this),
       completionNotifier_(context_, membership_, *this),
-      router_(replica_, membership_, reachability_, heartbeats_, admission_) {
+      router_(replica_, membership_, reachability_, heartbeats_, admission_),
+      peers_({membership_, migrator_, autoscaler_, lending_, quotas_, completionNotifier_,
+              rebalancer_}) {
     context_.clusterState.lock()->dependencyGraph.setStepTimeEstimator(
         [this](const protocol::JobSpec& spec) { return queueOrder_.stepTime(spec); });
 }
@@ -102,7 +103,7 @@
         roundScheduled_ = false;
         const auto began = context_.now();
         runRound();
-        lastRoundDuration_ = std::min<Duration>(context_.now() - began, longestRound);
+        lastRoundDuration_ = std::min<Duration>(context_.now() - began, maxRoundDuration);
     });
 }
 
@@ -179,36 +180,8 @@
     router_.route(request, std::move(reply));
 }
 
-void Controller::onFrame(const std::string& payload) {
-    const auto envelope = protocol::decodePeer(payload);
-    if (!envelope) {
-        spdlog::debug("peer: a frame that can't be read");
-        return;
-    }
-    const auto& peer = envelope->sender;
-    std::visit(
-        [&](const auto& message) {
-            using Message = std::decay_t<decltype(message)>;
-            if constexpr (std::is_same_v<Message, protocol::PeerHeartbeat>)
-                membership_.onPeerHeartbeat(peer, message);
-            else if constexpr (std::is_same_v<Message, protocol::MigrationRequest>)
-                migrator_.onMigrationRequest(peer, message);
-            else if constexpr (std::is_same_v<Message, protocol::MigrationResponse>)
-                migrator_.onMigrationResponse(message);
-            else if constexpr (std::is_same_v<Message, protocol::CapacityExhausted>)
-                autoscaler_.onCapacityExhausted(message);
-            else if constexpr (std::is_same_v<Message, protocol::LoanRequest>)
-                lending_.onLoanRequest(peer, message);
-            else if constexpr (std::is_same_v<Message, protocol::QuotaRequest>)
-                quotas_.onQuotaRequest(peer, message);
-            else if constexpr (std::is_same_v<Message, protocol::JobCompleted>)
-                completionNotifier_.onJobCompleted(message);
-            else if constexpr (std::is_same_v<Message, protocol::DemandUpdate>)
-                rebalancer_.onDemand(peer, message);
-            else if constexpr (std::is_same_v<Message, protocol::LeaderHeartbeat>)
-                membership_.onLeaderHeartbeat(peer, message);
-        },
-        envelope->message);
+void Controller::onFrame(const std::string& frame) {
+    peers_.dispatch(frame);
 }
 
 }  // namespace fawnwheel::coordination
--- a/src/coordination/controller.h
+++ b/src/coordination/controller.h
@@ -1,5 +1,5 @@
-// One controller: routes requests and messages to the modules of the coordination layer and lets
-// them work in turn.
+/// @file
+/// One controller: owns all modules of the coordination layer and runs the scheduling rounds.
 #pragma once
 
 #include "coordination/api/admission.h"
@@ -8,6 +8,7 @@
 #include "coordination/migration/machine_lending.h"
 #include "coordination/migration/rebalancer.h"
 #include "coordination/migration/work_migrator.h"
+#include "coordination/peer_dispatcher.h"
 #include "coordination/provisioning/autoscaler.h"
 #include "coordination/provisioning/machine_reconciler.h"
 #include "coordination/replication/replica.h"
@@ -19,7 +20,12 @@
 
 namespace fawnwheel::coordination {
 
-/// One controller process: owns all modules and runs them in turn on one thread.
+/// Owns all modules, connects them as each other's observers, and runs them in turn on the thread
+/// of the event loop.
+///
+/// A round places what can start, preempts, requests loans and quota, scales out and writes what
+/// has changed, for each partition that this node leads. Maintenance runs at a fixed interval and
+/// looks for expired workers, idle machines and unneeded loans.
 class Controller final : private RoundScheduler,
                          private ReplicaObserver,
                          private ReachabilityObserver,
@@ -32,18 +38,24 @@
     Controller(const config::Settings& settings, const config::OperatorSettings& tuning,
                transport::Timers& timers, transport::Network& network, std::uint64_t seed);
 
+    /// Starts all modules; to be called once, on the loop's thread.
     void start();
+    /// A request of a user, a worker or a health check. Calls `reply` exactly once, now or later.
     void onRequest(const transport::HttpRequest& request, transport::HttpReply reply);
-    void onFrame(const std::string& payload);
+    /// A frame from a peer.
+    void onFrame(const std::string& frame);
 
+    /// Whether this node can take requests.
     [[nodiscard]] bool healthy() const { return membership_.healthy(); }
-    // For audits: what this process knows.
+    /// For audits: what this process knows.
     [[nodiscard]] storage::Synchronized<ClusterState>& clusterState() {
         return context_.clusterState;
     }
+    /// Whether the cluster state holds all active records.
     [[nodiscard]] bool synced() const { return replica_.synced(); }
 
   private:
+    // RoundScheduler and the observers of the modules
     void scheduleRound() override;
     void onJobAccepted() override;
     void onJobCancelled(std::function<void()> respond) override;
@@ -55,15 +67,16 @@
         inventory_.onUnassignedHeartbeat(heartbeat);
     }
     void onWorkersChanged() override { scheduleRound(); }
-    void runRound();
-    void runMaintenance();
-    void stopCancelledJobs();
-
     void onReplicaChanged() override;
     void onJobTerminal(const std::string& id, bool cancelled) override;
     void onDependentsCancelled() override;
     void onAllocationsDurable(const std::set<std::string>& machines) override;
 
+    void runRound();
+    void runMaintenance();
+    /// Sends stops for jobs that have become known as cancelled.
+    void stopCancelledJobs();
+
     Context context_;
     TransactionPipeline pipeline_;
     Replica replica_;
@@ -92,6 +105,7 @@
     Admission admission_;
     CompletionNotifier completionNotifier_;
     HttpRouter router_;
+    PeerDispatcher peers_;
     bool roundScheduled_ = false;
     Duration lastRoundDuration_{};
     std::set<std::string> stopping_;  // cancelled jobs whose stops have been sent
