--- a/src/coordination/provisioning/machine_inventory.cpp
+++ b/src/coordination/provisioning/machine_inventory.cpp
@@ -4,8 +4,6 @@
 
 #include <algorithm>
 
-#include "storage/records.h"
-
 namespace fawnwheel::coordination {
 
 namespace {
@@ -72,7 +70,7 @@
         present.insert(listed.id);
         applyListedMachine(*clusterState, listed, own, asked);
     }
-    std::erase_if(unassigned_, [&](const auto& e) { return !present.contains(e.first); });
+    std::erase_if(unassignedSince_, [&](const auto& e) { return !present.contains(e.first); });
     reconcileMissing(*clusterState, present, own, asked);
 }
 
@@ -91,9 +89,9 @@
     // process began is told from a new one by the lists of a later moment.
     const auto partition = partitionFor(clusterState, listed.id, listed.zone);
     if (!ownPartitions.contains(partition) || clusterState.goneMachines.contains(listed.id)) return;
-    const auto& found = unassigned_.try_emplace(listed.id, UnassignedMachine{now}).first->second;
-    if (asked - found.seen <= maxListLag() || now - found.seen <= requesterHeadStart) return;
-    unassigned_.erase(listed.id);
+    const auto since = unassignedSince_.try_emplace(listed.id, now).first->second;
+    if (asked - since <= maxListLag() || now - since <= requesterHeadStart) return;
+    unassignedSince_.erase(listed.id);
     addMachine({listed.type, listed.zone, listed.spot}, listed.id, partition);
 }
 
@@ -130,12 +128,11 @@
     const auto now = context_.now();
     // A heartbeat that was delayed on its way.
     if (context_.clusterState.lock()->goneMachines.contains(heartbeat.machine)) return;
-    const auto [entry, fresh] = unassigned_.try_emplace(heartbeat.machine);
-    if (fresh) entry->second.seen = now;
+    const auto [entry, fresh] = unassignedSince_.try_emplace(heartbeat.machine, now);
     // The record of whoever provisioned it may be on its way; but machines that were there before
     // us have none.
-    if (fresh || now - entry->second.seen <= unassignedGrace) return;
-    unassigned_.erase(entry);
+    if (fresh || now - entry->second <= unassignedGrace) return;
+    unassignedSince_.erase(entry);
     addMachine({heartbeat.type, heartbeat.zone, heartbeat.spot}, heartbeat.machine,
                partitionFor(*context_.clusterState.lock(), heartbeat.machine, heartbeat.zone));
 }
--- a/src/coordination/provisioning/machine_inventory.h
+++ b/src/coordination/provisioning/machine_inventory.h
@@ -30,10 +30,6 @@
     void repairRecords(ClusterState& clusterState, std::uint32_t partition);
 
   private:
-    struct UnassignedMachine {
-        SteadyTime seen{};
-    };
-
     void listMachines();
     // `listed`: what earlier pages have shown; `asked`: when the first was requested.
     void listPage(const std::string& after, SteadyTime asked,
@@ -55,7 +51,7 @@
     HeartbeatHandler& heartbeats_;
     MachineRecords& records_;
     Decommissioner& decommissioner_;
-    std::map<std::string, UnassignedMachine> unassigned_;
+    std::map<std::string, SteadyTime> unassignedSince_;  // by machine; when first seen
 };
 
 }  // namespace fawnwheel::coordination
--- a/src/coordination/provisioning/machine_reconciler.cpp
+++ b/src/coordination/provisioning/machine_reconciler.cpp
@@ -3,7 +3,6 @@
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
-#include <tuple>
 
 namespace fawnwheel::coordination {
 
