--- a/src/coordination/replication/replica.cpp
+++ b/src/coordination/replication/replica.cpp
@@ -2,7 +2,8 @@
 
 #include <spdlog/spdlog.h>
 
-#include "storage/records.h"
+#include "storage/record_keys.h"
+#include "storage/record_replay.h"
 
 namespace fawnwheel::coordination {
 
--- a/src/coordination/replication/replica.h
+++ b/src/coordination/replication/replica.h
@@ -3,6 +3,7 @@
 /// changes.
 #pragma once
 
+#include <functional>
 #include <map>
 #include <string>
 #include <vector>
--- a/src/coordination/replication/slice_writer.cpp
+++ b/src/coordination/replication/slice_writer.cpp
@@ -2,7 +2,11 @@
 
 #include <spdlog/spdlog.h>
 
-#include "storage/records.h"
+#include <algorithm>
+
+#include "storage/record_codec.h"
+#include "storage/record_keys.h"
+#include "storage/record_replay.h"
 
 namespace fawnwheel::coordination {
 
--- a/src/coordination/replication/slice_writer.h
+++ b/src/coordination/replication/slice_writer.h
@@ -3,6 +3,7 @@
 /// and applies the transaction's outcome to the cluster state.
 #pragma once
 
+#include <algorithm>
 #include <map>
 #include <set>
 #include <string>
--- a/src/coordination/replication/state_writer.cpp
+++ b/src/coordination/replication/state_writer.cpp
@@ -2,9 +2,12 @@
 
 #include <spdlog/spdlog.h>
 
-#include <numeric>
+#include <algorithm>
+#include <tuple>
 
-#include "storage/records.h"
+#include "storage/record_codec.h"
+#include "storage/record_keys.h"
+#include "storage/record_replay.h"
 
 namespace fawnwheel::coordination {
 
--- a/src/coordination/replication/transaction_pipeline.h
+++ b/src/coordination/replication/transaction_pipeline.h
@@ -6,6 +6,7 @@
 #include <deque>
 #include <functional>
 #include <map>
+#include <optional>
 #include <set>
 #include <string>
 #include <vector>
--- a/src/storage/dependency_graph.h
+++ b/src/storage/dependency_graph.h
@@ -14,6 +14,7 @@
 #include <set>
 #include <string>
 #include <unordered_map>
+#include <utility>
 #include <vector>
 
 #include "storage/job.h"
--- a/src/storage/machine.h
+++ b/src/storage/machine.h
@@ -7,6 +7,7 @@
 #include <optional>
 #include <set>
 #include <string>
+#include <utility>
 #include <vector>
 
 #include "protocol/messages.h"
@@ -43,7 +44,7 @@
 };
 
 /// What this process has learnt of a machine from heartbeats and lists, and has decided about it.
-/// None of it is durable: a new leader begins without it.
+/// None of it is durable: another node that acquires the partition knows none of it.
 struct MachineObservations {
     // The agent on the machine and its lease.
     std::string address;
--- a/src/storage/record_codec.cpp
+++ b/src/storage/record_codec.cpp
@@ -1,5 +1,9 @@
 #include "storage/record_codec.h"
 
+#include <algorithm>
+#include <chrono>
+#include <variant>
+
 namespace fawnwheel::storage {
 
 namespace {
--- a/tests/unit/coordination/replication/state_writer_test.cpp
+++ b/tests/unit/coordination/replication/state_writer_test.cpp
@@ -13,15 +13,15 @@
            std::all_of(cover.begin(), cover.end(), [](int count) { return count == 1; });
 }
 
-class FewChanges : public RecordBench {
+class FewWrites : public RecordBench {
   protected:
-    FewChanges() : RecordBench(16, 4) {}
+    FewWrites() : RecordBench(16, 4) {}
 };
 
 // The end of a job of many slices does not fit into one transaction. Its other slices' records were
 // once queued to be deleted before it was known whether the job had ended: refused, it lived on
-// with another leader, its records went, and its running tasks were known to nobody.
-TEST_F(FewChanges, ARefusedEndLeavesTheSlicesOfTheJob) {
+// with another leader, its records went, and its running tasks were unknown to every leader.
+TEST_F(FewWrites, ARefusedEndLeavesTheSlicesOfTheJob) {
     Job made = makeJob(40, 4);
     for (auto& piece : made.slices)
         for (auto task = piece.first; task < piece.range().end(); ++task) piece.markDone(task);
@@ -34,9 +34,9 @@
     {
         // Ended, as far as this leader has heard from the workers; none of it is recorded yet.
         auto clusterState = context.clusterState.lock();
-        Job& held = *clusterState->job("run-1");
-        clusterState->removeAllocation(held, held.slices[9], 36);
-        for (std::uint32_t task = 36; task < 40; ++task) held.slices[9].markDone(task);
+        Job& known = *clusterState->job("run-1");
+        clusterState->removeAllocation(known, known.slices[9], 36);
+        for (std::uint32_t task = 36; task < 40; ++task) known.slices[9].markDone(task);
     }
     stateWriter.flush(0);
     // The partition goes to a peer before the end is carried out.
@@ -49,9 +49,9 @@
     EXPECT_TRUE(state.records.contains(slice("run-1", 9)));
 }
 
-// Of a job that has ended nothing stays, also where its end is carried out by a leader that ends
-// before it has deleted the rest.
-TEST_F(FewChanges, SlicesOfAnEndedJobGoWhoeverOwnsItsPartitionByThen) {
+// Nothing stays of a job that has ended, also if the leader that committed its end stops before it
+// has deleted the rest.
+TEST_F(FewWrites, SlicesOfAnEndedJobGoWhoeverLeadsItsPartitionByThen) {
     const Job made = makeJob(40, 4);
     for (const auto& piece : made.slices) putSlice(made, piece);
     putJob(makeJob(1, 1));
@@ -69,7 +69,7 @@
   protected:
     SmallValues() : RecordBench(1, 12) {}
 
-    // Two slices of one job, each in a portion of its own and too large for a value.
+    // Two slices of one job, each in a partition of its own and too large for a value.
     void putTwoLargeSlices() {
         Job made = makeJob(80, 40);
         made.slices[1].partition = 1;
@@ -80,13 +80,13 @@
         for (const auto& piece : made.slices) putSlice(made, piece);
         load();
         auto clusterState = context.clusterState.lock();
-        Job& held = *clusterState->job("run-1");
+        Job& known = *clusterState->job("run-1");
         for (const std::uint32_t task : {3U, 43U})
-            clusterState->removeAllocation(held, *held.sliceOf(task), task);
+            clusterState->removeAllocation(known, *known.sliceOf(task), task);
     }
 };
 
-// After a failover one node owns two partitions and divides a slice in each at the same moment.
+// After a failover one node leads two partitions and divides a slice in each at the same moment.
 // What it read back for the one that was refused once shortened the slice whose division was still
 // unanswered; that one was then cut a second time, beyond its end, and an empty piece was recorded
 // over running tasks.
@@ -143,8 +143,8 @@
     EXPECT_TRUE(allOnce(coverInRecords("run-1")));
 }
 
-// The records are read anew, as they stood before, while a change has no outcome. Taken in over
-// what was read, its outcome once had the allocations that it carried written away again.
+// The records are read again, as they stood before, while a transaction has no outcome. Applied
+// over what was read, its outcome once led to a write that removed the allocations it had recorded.
 TEST_F(RecordBench, AReadingBeforeTheOutcomeDoesNotUndoIt) {
     Job made = makeJob(4, 4);
     putJob(made);
@@ -152,8 +152,8 @@
     load();
     {
         auto clusterState = context.clusterState.lock();
-        Job& held = *clusterState->job("run-1");
-        clusterState->addAllocation(held, held.slices[0], makeAllocation(0, "m-1", 7));
+        Job& known = *clusterState->job("run-1");
+        clusterState->addAllocation(known, known.slices[0], makeAllocation(0, "m-1", 7));
     }
     stateWriter.flush(0);
     timers.advance(std::chrono::milliseconds(20));
@@ -170,8 +170,8 @@
 }
 
 // The new leader of a migrated slice may record allocations in it before the migrating leader has
-// its answer. What the watch brings meanwhile was once dropped, and for the job's home the tasks
-// had no places: called off, it ended while they ran.
+// its answer. What the watch delivers meanwhile was once dropped, and for the leader of the job's
+// partition the tasks had no allocations: cancelled, the job ended while they ran.
 TEST_F(RecordBench, AllocationsThatOvertakeTheAnswerToAMigrationAreKnown) {
     Job made = makeJob(8, 4);
     putJob(made);
@@ -193,8 +193,8 @@
     EXPECT_EQ(context.clusterState.lock()->job("run-1")->allocatedTasks(), 1U);
 }
 
-// A cancelled job ends when no task of it has a place. Its home may not judge that by a slice whose
-// record is being changed at that moment.
+// A cancelled job ends when no task of it has an allocation. The leader of its partition may not
+// judge that by a slice whose record is in flight at that moment.
 TEST_F(RecordBench, ACancelledJobDoesNotEndWhileOneOfItsSlicesIsUnderWay) {
     Job made = makeJob(8, 4);
     putJob(made);
@@ -222,8 +222,8 @@
     EXPECT_EQ(state.transactions(), 0U);
 }
 
-// Decided in one term, refused for a while, and sent in the next: what a dependent has done between
-// the two is unknown to it.
+// Decided in one term, refused for a while, and sent in the next: what another leader has done
+// between the two is unknown to it.
 TEST_F(RecordBench, WhatWasDecidedInAnEarlierTermIsNotSentInALaterOne) {
     Job made = makeJob(4, 4);
     made.slices[0].allocations.push_back(makeAllocation(0, "m-1", 7));
@@ -232,8 +232,8 @@
     load();
     {
         auto clusterState = context.clusterState.lock();
-        Job& held = *clusterState->job("run-1");
-        clusterState->removeAllocation(held, held.slices[0], 0);
+        Job& known = *clusterState->job("run-1");
+        clusterState->removeAllocation(known, known.slices[0], 0);
     }
     stateWriter.flush(0);
     timers.advance(std::chrono::milliseconds(20));
@@ -258,10 +258,10 @@
     load();
     {
         auto clusterState = context.clusterState.lock();
-        Job& held = *clusterState->job("run-1");
+        Job& known = *clusterState->job("run-1");
         for (const std::uint32_t task : {0U, 4U}) {
-            held.sliceOf(task)->dirty = true;
-            held.sliceOf(task)->markDone(task);
+            known.sliceOf(task)->dirty = true;
+            known.sliceOf(task)->markDone(task);
         }
     }
     stateWriter.flush(0);
@@ -278,8 +278,8 @@
                   state.records.at(slice("run-1", index)).version);
 }
 
-// A task that runs without a record keeps its place here when its first record is refused; a second
-// place would let it run twice.
+// A task that runs without a record keeps its allocation here when its first record is refused; a
+// second allocation would let it run twice.
 TEST_F(RecordBench, ARefusedRecordDoesNotForgetATaskThatRuns) {
     Job made = makeJob(8, 4);
     putJob(made);
@@ -287,11 +287,11 @@
     load();
     {
         auto clusterState = context.clusterState.lock();
-        Job& held = *clusterState->job("run-1");
+        Job& known = *clusterState->job("run-1");
         auto found = makeAllocation(0, "m-1", 7);
         found.seen = true;
-        clusterState->addAllocation(held, held.slices[0], found);
-        clusterState->addAllocation(held, held.slices[1], makeAllocation(4, "m-1", 8));
+        clusterState->addAllocation(known, known.slices[0], found);
+        clusterState->addAllocation(known, known.slices[1], makeAllocation(4, "m-1", 8));
     }
     stateWriter.flush(0);
     timers.advance(std::chrono::milliseconds(20));
@@ -307,7 +307,7 @@
     EXPECT_NE(context.clusterState.lock()->job("run-1")->slices[0].allocationOf(0), nullptr);
 }
 
-// A slice whose job was created between two pages of a reading is no orphaned, although its job is
+// A slice whose job was created between two pages of a reading is no orphan, although its job is
 // not known here yet.
 TEST_F(RecordBench, ASliceReadBeforeItsJobIsNoOrphan) {
     const Job made = makeJob(4, 4);
@@ -319,8 +319,8 @@
     EXPECT_EQ(sliceRecords("run-1"), 1U);
 }
 
-// The job's home is this node's, and so is the partition of its other slice, whose end is not
-// recorded. That partition is lost before the job's end is carried out: its new leader may have
+// This node leads the job's partition and that of its other slice, whose completion is not
+// recorded. The latter is lost before the job's end is committed: its new leader may have
 // started the task once more.
 TEST_F(RecordBench, AnEndThatRestsOnALostPartitionIsRefused) {
     Job made = makeJob(8, 4);
@@ -333,8 +333,8 @@
     load();
     {
         auto clusterState = context.clusterState.lock();
-        Job& held = *clusterState->job("run-1");
-        clusterState->removeAllocation(held, held.slices[1], 4);
+        Job& known = *clusterState->job("run-1");
+        clusterState->removeAllocation(known, known.slices[1], 4);
     }
     stateWriter.flush(0);
     own(1, "node-1", 2);
@@ -343,7 +343,7 @@
     EXPECT_EQ(sliceRecords("run-1"), 2U);
 }
 
-// An empty page that says there is more is no end: what it would have brought is not gone.
+// An empty page that announces more is not the end: the records behind it are not deleted.
 TEST_F(RecordBench, AnEmptyPageThatSaysMoreIsNoEnd) {
     putJob(makeJob(4, 4));
     replica.start();
--- a/tests/unit/storage/dependency_graph_test.cpp
+++ b/tests/unit/storage/dependency_graph_test.cpp
@@ -98,20 +98,20 @@
     EXPECT_FALSE(clusterState.job("run-a")->latestEnd);
     add("run-d", {"run-c"}, Priority::high, Seconds(100));
     EXPECT_EQ(clusterState.job("run-a")->priority, Priority::high);
-    // Room for the 10 s of each that follows.
+    // Leaves the 10 s of each dependent.
     EXPECT_EQ(*clusterState.job("run-c")->latestEnd, start + 90s);
     EXPECT_EQ(*clusterState.job("run-a")->latestEnd, start + 70s);
     add("run-e", {"run-b"}, Priority::production, Seconds(50));
     EXPECT_EQ(clusterState.job("run-a")->priority, Priority::production);
     EXPECT_EQ(*clusterState.job("run-b")->latestEnd, start + 40s);
     EXPECT_EQ(clusterState.job("run-c")->priority, Priority::high);
-    // Who is cancelled asks nothing any more.
+    // A cancelled dependent demands nothing any more.
     clusterState.recordCancellation("run-e", 9);
     EXPECT_EQ(clusterState.job("run-a")->priority, Priority::high);
     EXPECT_EQ(*clusterState.job("run-a")->latestEnd, start + 70s);
 }
 
-TEST_F(Chains, ReadAnewInAnotherOrderTheyAreTheSame) {
+TEST_F(Chains, ReadAgainInAnotherOrderTheyAreTheSame) {
     add("run-d", {"run-c"}, Priority::high, Seconds(100));
     add("run-c", {"run-b"});
     add("run-a", {});
--- a/tests/unit/storage/records_test.cpp
+++ b/tests/unit/storage/records_test.cpp
@@ -1,3 +1,4 @@
+// How records are applied to the cluster state, and how large slices may be.
 #include "storage/records.h"
 
 #include <gtest/gtest.h>
@@ -214,30 +215,19 @@
     put(keys::job("run-1"), jobValue(job), 5);
     putMachine("m-1", 6);
     put(keys::slice("run-1", 0), sliceValue(first), 7);
-    Job& held = *clusterState.job("run-1");
-    clusterState.removeAllocation(held, held.slices[0], 1);
-    held.slices[0].markDone(1);
+    Job& known = *clusterState.job("run-1");
+    clusterState.removeAllocation(known, known.slices[0], 1);
+    known.slices[0].markDone(1);
     allocation.task = 5;
-    clusterState.addAllocation(held, held.slices[1], allocation);
+    clusterState.addAllocation(known, known.slices[1], allocation);
     EXPECT_TRUE(clusterState.hasUnrecorded(1));
     clusterState.discardUnrecorded(1);
     EXPECT_FALSE(clusterState.hasUnrecorded(1));
-    EXPECT_EQ(sliceValue(held.slices[0]), sliceValue(first));
-    EXPECT_EQ(sliceValue(held.slices[1]), sliceValue(job.slices[1]));
+    EXPECT_EQ(sliceValue(known.slices[0]), sliceValue(first));
+    EXPECT_EQ(sliceValue(known.slices[1]), sliceValue(job.slices[1]));
     EXPECT_EQ(clusterState.machine("m-1")->allocations, (std::vector<TaskRef>{{"run-1", 1, 7}}));
 }
 
-TEST(GoneMachines, ForgetsTheOneThatWentFirst) {
-    GoneMachines gone;
-    gone.insert("m-9");
-    for (int i = 10'000; i < 13'999; ++i) gone.insert("m-" + std::to_string(i));
-    EXPECT_TRUE(gone.contains("m-9"));
-    gone.insert("m-1");
-    EXPECT_TRUE(gone.contains("m-1"));
-    EXPECT_TRUE(gone.contains("m-10000"));
-    EXPECT_FALSE(gone.contains("m-9"));
-}
-
 TEST_F(Records, RangesOutsideTheJobAreIgnored) {
     put(keys::job("run-1"), jobValue(makeJob(4)), 5);
     for (const auto* range :
@@ -250,7 +240,7 @@
     EXPECT_LE(clusterState.job("run-1")->slices.size(), 2U);
 }
 
-TEST_F(Records, MarksOfTheNewVersionStay) {
+TEST_F(Records, FeatureGatesStayRecorded) {
     put(keys::jobDependenciesGate("node-1"), featureGateValue(), 5);
     drop(keys::jobDependenciesGate("node-1"), 6);
     EXPECT_TRUE(clusterState.nodesWithJobDependencies.contains("node-1"));
@@ -263,7 +253,7 @@
     EXPECT_TRUE(clusterState.goneMachines.contains("m-1"));
 }
 
-TEST_F(Records, OfACancellationUnderWayNothingElseIsAcquired) {
+TEST_F(Records, RecordingACancellationAppliesNothingElse) {
     auto job = makeJob(3);
     job.cancelled = true;
     const protocol::Event event{keys::job(job.spec.id), jobValue(job), 9};
@@ -276,33 +266,5 @@
     EXPECT_EQ(clusterState.job(job.spec.id)->version, 5U);
 }
 
-TEST(Cancellations, AReaderGetsWhatItsRecordsLackFromWhereItStopped) {
-    CancellationLog log;
-    EXPECT_TRUE(log.append("run-1", 10));
-    EXPECT_TRUE(log.append("run-2", 30));
-    EXPECT_TRUE(log.append("run-3", 20));
-    EXPECT_FALSE(log.append("run-1", 40));
-    const auto all = log.since(0, 15, 10);
-    EXPECT_EQ(all.jobs, (std::vector<std::string>{"run-2", "run-3"}));
-    EXPECT_TRUE(all.complete);
-    EXPECT_EQ(all.next, 3U);
-    const auto one = log.since(0, 15, 1);
-    EXPECT_EQ(one.jobs, (std::vector<std::string>{"run-2"}));
-    EXPECT_FALSE(one.complete);
-    EXPECT_EQ(log.since(one.next, 15, 10).jobs, (std::vector<std::string>{"run-3"}));
-    EXPECT_TRUE(log.append("run-4", CancellationLog::unknownRevision));
-    EXPECT_EQ(log.since(all.next, 1000, 10).jobs, (std::vector<std::string>{"run-4"}));
-}
-
-TEST(Cancellations, WhoMayLackADroppedOneIsNotCovered) {
-    CancellationLog log;
-    for (std::uint64_t i = 1; i <= 10'001; ++i) log.append("run-" + std::to_string(i), i);
-    EXPECT_FALSE(log.contains("run-1"));
-    EXPECT_FALSE(log.covers(0, 0));
-    EXPECT_TRUE(log.covers(0, 1));
-    EXPECT_TRUE(log.covers(1, 0));
-    EXPECT_EQ(log.since(0, 0, 1).jobs, (std::vector<std::string>{"run-2"}));
-}
-
 }  // namespace
 }  // namespace fawnwheel::storage
