--- a/src/coordination/replication/state_writer.cpp
+++ b/src/coordination/replication/state_writer.cpp
@@ -157,7 +157,8 @@
 }
 
 void StateWriter::addTerminals(Batch& batch, ClusterState& clusterState, std::uint32_t partition,
-                               bool bestEffort, std::size_t maxWrites) const {
+                               Tier tier, std::size_t maxWrites) const {
+    const bool bestEffort = tier == Tier::bestEffort;
     for (auto& [id, job] : clusterState.jobs) {
         if (writer_.full(batch) || batch.transaction.writes.size() >= maxWrites) return;
         if (job.partition == partition && !job.completing &&
@@ -231,11 +232,11 @@
         auto clusterState = context_.clusterState.lock();
         batch.generation = clusterState->generation;
         addCancellations(batch, *clusterState, partition);
-        addTerminals(batch, *clusterState, partition, false, writer_.maxWrites());
-        addTerminals(batch, *clusterState, partition, true, writer_.maxWrites() / 2);
+        addTerminals(batch, *clusterState, partition, Tier::entitled, writer_.maxWrites());
+        addTerminals(batch, *clusterState, partition, Tier::bestEffort, writer_.maxWrites() / 2);
         addMigrations(batch, *clusterState, partition);
         addSlices(batch, *clusterState, partition);
-        addTerminals(batch, *clusterState, partition, true, writer_.maxWrites());
+        addTerminals(batch, *clusterState, partition, Tier::bestEffort, writer_.maxWrites());
     }
     if (batch.transaction.writes.empty()) return deleteOrphans(partition);
     auto transaction = batch.transaction;
--- a/src/coordination/replication/state_writer.h
+++ b/src/coordination/replication/state_writer.h
@@ -61,6 +61,7 @@
         std::vector<protocol::Write> cancellations;  // of jobs that depend on a cancelled one
         std::vector<std::function<void(bool migrated)>> migrationCallbacks;
     };
+    enum class Tier { entitled, bestEffort };
     /// A slice that has changed since its record.
     struct DirtySlice {
         SteadyTime due{};
@@ -75,9 +76,9 @@
     [[nodiscard]] bool isMigrationPossible(const Batch& batch, ClusterState& clusterState,
                                            std::uint32_t partition,
                                            const SliceMigration& migration) const;
-    /// Ends of best-effort jobs or of all others, while the batch has fewer writes than this.
-    void addTerminals(Batch& batch, ClusterState& clusterState, std::uint32_t partition,
-                      bool bestEffort, std::size_t maxWrites) const;
+    /// Adds the ends of jobs of this tier, while the batch has fewer writes than this.
+    void addTerminals(Batch& batch, ClusterState& clusterState, std::uint32_t partition, Tier tier,
+                      std::size_t maxWrites) const;
     void addTerminal(Batch& batch, const ClusterState& clusterState, Job& job) const;
     /// The partition's dirty slices in the order in which they are to be written.
     [[nodiscard]] std::vector<DirtySlice> dirtySlices(ClusterState& clusterState,
--- a/src/storage/cluster_state.cpp
+++ b/src/storage/cluster_state.cpp
@@ -105,23 +105,24 @@
 }
 
 void ClusterState::attach(const Job& job, const Allocation& allocation) {
-    Machine* m = machine(allocation.machine);
-    if (m == nullptr) return;
+    Machine* known = machine(allocation.machine);
+    if (known == nullptr) return;
     const TaskRef ref{job.spec.id, allocation.task, allocation.attempt};
-    if (std::find(m->allocations.begin(), m->allocations.end(), ref) != m->allocations.end())
-        return;
-    m->allocations.push_back(ref);
-    m->used += job.spec.each;
-    ++imageUse_[job.spec.image][m->partition];
+    auto& refs = known->allocations;
+    if (std::find(refs.begin(), refs.end(), ref) != refs.end()) return;
+    refs.push_back(ref);
+    known->used += job.spec.each;
+    ++imageUse_[job.spec.image][known->partition];
 }
 
 void ClusterState::detach(const Job& job, const Allocation& allocation) {
-    Machine* m = machine(allocation.machine);
-    if (m == nullptr) return;
-    if (std::erase(m->allocations, TaskRef{job.spec.id, allocation.task, allocation.attempt}) == 0)
-        return;
-    m->used -= job.spec.each;
-    if (m->allocations.empty()) m->used = {};
+    Machine* known = machine(allocation.machine);
+    if (known == nullptr) return;
+    const TaskRef ref{job.spec.id, allocation.task, allocation.attempt};
+    if (std::erase(known->allocations, ref) == 0) return;
+    known->used -= job.spec.each;
+    // Exact, whatever the rounding of the sums.
+    if (known->allocations.empty()) known->used = {};
 }
 
 void ClusterState::recordImage(Machine& machine, const JobSpec& spec) {
@@ -195,14 +196,7 @@
     return range;
 }
 
-void ClusterState::replaceSlice(Job& job, Slice& slice, SliceContent content) {
-    const auto range = withoutPieces(job, slice, content.range);
-    content.divided = content.divided || range != content.range;
-    content.range = range;
-    content.done.resize(range.count);
-    std::erase_if(content.allocations, [&content](const Allocation& allocation) {
-        return !content.range.contains(allocation.task);
-    });
+void ClusterState::carryOverStates(const Job& job, const Slice& slice, SliceContent& content) {
     const bool sameLeader = content.partition == slice.partition;
     for (auto& allocation : content.allocations) {
         allocation.durable = true;
@@ -212,12 +206,23 @@
             allocation = *old;
             allocation.durable = true;
             if (!sameLeader) allocation.forgetState();
-        } else if (Machine* m = machine(allocation.machine)) {
+        } else if (Machine* known = machine(allocation.machine)) {
             // Another leader's placement: whoever acquires its partition then knows where images
             // are cached. Without that all of them were fetched again after a failover.
-            recordImage(*m, job.spec);
+            recordImage(*known, job.spec);
         }
     }
+}
+
+void ClusterState::replaceSlice(Job& job, Slice& slice, SliceContent content) {
+    const auto range = withoutPieces(job, slice, content.range);
+    content.divided = content.divided || range != content.range;
+    content.range = range;
+    content.done.resize(range.count);
+    std::erase_if(content.allocations, [&content](const Allocation& allocation) {
+        return !content.range.contains(allocation.task);
+    });
+    carryOverStates(job, slice, content);
     shortenOthers(job, slice, content.range);
     for (const auto& allocation : slice.allocations) detach(job, allocation);
     slice.partition = content.partition;
@@ -261,14 +266,14 @@
 void ClusterState::rebuildIndexes() {
     byPartition_.clear();
     imageUse_.clear();
-    for (auto& [id, m] : machines) {
-        m.allocations.clear();
-        m.used = {};
-        byPartition_[m.partition].push_back(&m);
+    for (auto& [id, known] : machines) {
+        known.allocations.clear();
+        known.used = {};
+        byPartition_[known.partition].push_back(&known);
     }
-    for (const auto& [id, j] : jobs)
-        for (const auto& slice : j.slices)
-            for (const auto& allocation : slice.allocations) attach(j, allocation);
+    for (const auto& [id, activeJob] : jobs)
+        for (const auto& slice : activeJob.slices)
+            for (const auto& allocation : slice.allocations) attach(activeJob, allocation);
     dependencyGraph.prune();
 }
 
@@ -282,11 +287,12 @@
 
 Resources ClusterState::usedBy(const std::string& team, std::uint32_t partition) const {
     Resources total;
-    for (const auto& [id, j] : jobs) {
-        if (j.spec.team != team) continue;
-        for (const auto& slice : j.slices) {
+    for (const auto& [id, activeJob] : jobs) {
+        if (activeJob.spec.team != team) continue;
+        for (const auto& slice : activeJob.slices) {
             if (slice.partition != partition) continue;
-            for (std::size_t i = 0; i < slice.allocations.size(); ++i) total += j.spec.each;
+            // Added one by one: a product would round differently.
+            for (std::size_t i = 0; i < slice.allocations.size(); ++i) total += activeJob.spec.each;
         }
     }
     return total;
--- a/src/storage/cluster_state.h
+++ b/src/storage/cluster_state.h
@@ -159,7 +159,10 @@
     [[nodiscard]] Resources usedBy(const std::string& team, std::uint32_t partition) const;
 
   private:
+    /// Adds the allocation to its machine's index.
     void attach(const Job& job, const Allocation& allocation);
+    /// Keeps what is known of allocations that the new content has too.
+    void carryOverStates(const Job& job, const Slice& slice, SliceContent& content);
     /// Shortens other slices that still cover these tasks, so that they end before them.
     void shortenOthers(Job& job, const Slice& slice, const TaskRange& range);
     /// The range without the tasks that a piece divided off it holds.
--- a/src/storage/dependency_graph.h
+++ b/src/storage/dependency_graph.h
@@ -24,7 +24,7 @@
 /// What a terminal record says.
 struct TerminalState {
     bool cancelled = false;
-    std::optional<WallTime> at;  // records of the first version lack it
+    std::optional<WallTime> at;  ///< records of the first version lack it
 };
 
 /// The dependencies between the jobs of a cluster state, whose map of jobs it refers to.
@@ -39,7 +39,8 @@
     /// because the estimator needs the cluster state itself.
     void setStepTimeEstimator(StepTimeEstimator estimator) { stepTime_ = std::move(estimator); }
 
-    /// The job's active record was seen for the first time; all durable fields are set.
+    /// The job's active record was seen for the first time; its specification and the time of its
+    /// submission are set.
     void add(Job& job);
     /// The job's active record is gone. Its terminal state, if known, is to be recorded before.
     void remove(const Job& job);
