--- /dev/null
+++ b/tests/unit/coordination/replication/manual_state.h
@@ -0,0 +1,195 @@
+/// @file
+/// A clock that the test moves, and a small state service whose every request is carried out and
+/// answered when the test says so.
+#pragma once
+
+#include <gtest/gtest.h>
+
+#include <algorithm>
+#include <chrono>
+#include <functional>
+#include <list>
+#include <map>
+#include <string>
+#include <utility>
+#include <vector>
+
+#include "protocol/cbor.h"
+#include "protocol/names.h"
+#include "protocol/state_client.h"
+#include "transport/interfaces.h"
+
+namespace fawnwheel::coordination {
+
+using protocol::Json;
+using transport::Duration;
+using transport::SteadyTime;
+
+/// Time stands still until the test advances it.
+class ManualTimers final : public transport::Timers {
+  public:
+    [[nodiscard]] SteadyTime now() const override { return now_; }
+    [[nodiscard]] transport::WallTime wallNow() const override {
+        return transport::WallTime(std::chrono::hours(1));
+    }
+    transport::TimerId after(Duration delay, std::function<void()> action) override {
+        const auto id = next_++;
+        waiting_.emplace(std::pair(now_ + delay, id), std::move(action));
+        return id;
+    }
+    void cancel(transport::TimerId id) override {
+        std::erase_if(waiting_, [id](const auto& entry) { return entry.first.second == id; });
+    }
+    void advance(Duration by) {
+        const auto until = now_ + by;
+        while (!waiting_.empty() && waiting_.begin()->first.first <= until) {
+            auto due = waiting_.extract(waiting_.begin());
+            now_ = std::max(now_, due.key().first);
+            due.mapped()();
+        }
+        now_ = until;
+    }
+
+  private:
+    SteadyTime now_{std::chrono::hours(1)};
+    transport::TimerId next_ = 1;
+    std::map<std::pair<SteadyTime, transport::TimerId>, std::function<void()>> waiting_;
+};
+
+/// The state service at the address `state`; every other address never answers.
+class ManualState final : public transport::Network {
+  public:
+    struct Record {
+        Json value;
+        std::uint64_t version = 0;
+    };
+    struct Request {
+        transport::HttpRequest request;
+        transport::HttpDone done;
+        [[nodiscard]] bool isTransaction() const {
+            return request.path == protocol::wire::pathTransaction;
+        }
+        [[nodiscard]] bool isWatch() const {
+            return request.path.starts_with(protocol::wire::pathWatch);
+        }
+    };
+    using Requests = std::list<Request>;
+
+    void call(const std::string& address, transport::HttpRequest request, Duration,
+              transport::HttpDone done) override {
+        if (address == "state") pending.push_back({std::move(request), std::move(done)});
+    }
+    void sendFrame(const std::string& peer, std::string payload) override {
+        frames.emplace_back(peer, std::move(payload));
+    }
+
+    void put(const std::string& key, Json value) {
+        records[key] = {std::move(value), ++revision};
+        log.push_back({key, records[key].value, revision});
+    }
+    /// The first transaction that waits, taken out of the queue.
+    Request nextTransaction() {
+        const auto found = std::find_if(pending.begin(), pending.end(), [](const auto& request) {
+            return request.isTransaction();
+        });
+        if (found == pending.end()) {
+            ADD_FAILURE() << "no transaction waits";
+            return {};
+        }
+        auto request = std::move(*found);
+        pending.erase(found);
+        return request;
+    }
+    [[nodiscard]] std::size_t transactions() const {
+        return static_cast<std::size_t>(
+            std::count_if(pending.begin(), pending.end(),
+                          [](const auto& request) { return request.isTransaction(); }));
+    }
+    /// Carries the request out and returns its answer, which the caller may deliver or lose.
+    transport::HttpResponse carryOut(const transport::HttpRequest& request) {
+        namespace wire = protocol::wire;
+        if (request.path == wire::pathTransaction)
+            return transact(*protocol::decodeCbor(request.body));
+        if (request.path.starts_with(std::string(wire::pathKeys) + "?")) return range(request.path);
+        if (request.path.starts_with(wire::pathWatch)) return watch(request.path);
+        if (request.path.starts_with(wire::pathLeases)) return answer(200, {{wire::lease, 1}});
+        const auto key = request.path.substr(std::string(wire::pathKeys).size() + 1);
+        const auto found = records.find(key);
+        if (found == records.end()) return answer(404, {{wire::revision, revision}});
+        return answer(200, itemOf(*found));
+    }
+    void serve(const Request& request) { request.done(carryOut(request.request)); }
+
+    std::map<std::string, Record> records;
+    std::vector<protocol::Event> log;
+    std::uint64_t revision = 0;
+    Requests pending;
+    std::vector<std::pair<std::string, std::string>> frames;  // by peer
+    std::size_t pageSize = 200;
+
+  private:
+    static transport::HttpResponse answer(int status, const Json& body) {
+        return {status, protocol::encodeCbor(body), 0};
+    }
+    static Json itemOf(const std::pair<const std::string, Record>& entry) {
+        namespace wire = protocol::wire;
+        return {{wire::key, entry.first},
+                {wire::value, entry.second.value},
+                {wire::version, entry.second.version}};
+    }
+    static std::string field(const std::string& path, const std::string& name) {
+        const auto at = path.find(name + "=");
+        if (at == std::string::npos) return {};
+        const auto begin = at + name.size() + 1;
+        return path.substr(begin, path.find('&', begin) - begin);
+    }
+    transport::HttpResponse transact(const Json& body) {
+        namespace wire = protocol::wire;
+        for (const auto& compare : protocol::listOf(body, wire::compares)) {
+            const auto found = records.find(protocol::textOf(compare, wire::key));
+            const auto version = found == records.end() ? 0 : found->second.version;
+            if (version != protocol::countOf(compare, wire::version))
+                return answer(409, {{wire::failed, Json::array({compare[wire::key]})},
+                                    {wire::revision, revision}});
+        }
+        ++revision;
+        for (const auto& change : protocol::listOf(body, wire::writes)) {
+            const auto key = protocol::textOf(change, wire::put);
+            if (key.empty()) {
+                const auto dropped = protocol::textOf(change, wire::drop);
+                if (records.erase(dropped) > 0) log.push_back({dropped, std::nullopt, revision});
+                continue;
+            }
+            records[key] = {change[wire::value], revision};
+            log.push_back({key, change[wire::value], revision});
+        }
+        return answer(200, {{wire::revision, revision}});
+    }
+    transport::HttpResponse range(const std::string& path) {
+        namespace wire = protocol::wire;
+        const auto prefix = field(path, wire::queryPrefix);
+        const auto after = field(path, wire::querySince);
+        Json items = Json::array();
+        auto at = records.upper_bound(std::max(prefix, after));
+        for (; at != records.end() && at->first.starts_with(prefix) && items.size() < pageSize;
+             ++at)
+            items.push_back(itemOf(*at));
+        const bool more = at != records.end() && at->first.starts_with(prefix);
+        return answer(200, {{wire::items, items}, {wire::more, more}, {wire::revision, revision}});
+    }
+    transport::HttpResponse watch(const std::string& path) {
+        namespace wire = protocol::wire;
+        const auto since = std::stoull(field(path, wire::querySince));
+        Json events = Json::array();
+        for (const auto& event : log) {
+            if (event.version <= since) continue;
+            Json entry{{event.value ? wire::put : wire::drop, event.key},
+                       {wire::version, event.version}};
+            if (event.value) entry[wire::value] = *event.value;
+            events.push_back(std::move(entry));
+        }
+        return answer(200, {{wire::revision, revision}, {wire::events, events}});
+    }
+};
+
+}  // namespace fawnwheel::coordination
