--- a/src/coordination/scheduling/placement.cpp
+++ b/src/coordination/scheduling/placement.cpp
@@ -90,8 +90,8 @@
     auto quota = quotaShareOf(clusterState, *team, partition);
     if (const auto leaving = clusterState.outgoingQuotas.find(name);
         leaving != clusterState.outgoingQuotas.end() && leaving->second.partition == partition) {
-        quota.cpus -= leaving->second.share.cpus;
-        quota.gpus -= leaving->second.share.gpus;
+        quota.cpus -= leaving->second.quota.cpus;
+        quota.gpus -= leaving->second.quota.gpus;
     }
     if (team->cpusMax > 0) left.cpus = quota.cpus - used.cpus;
     if (team->gpusMax > 0) left.gpus = quota.gpus - used.gpus;
--- a/src/storage/partition.h
+++ b/src/storage/partition.h
@@ -23,7 +23,7 @@
 /// Quota that a partition is giving away; the transaction has no outcome yet.
 struct OutgoingQuota {
     std::uint32_t partition = 0;
-    QuotaShare share;
+    QuotaShare quota;
 };
 
 }  // namespace fawnwheel::storage
