--- a/src/config/operator_settings.cpp
+++ b/src/config/operator_settings.cpp
@@ -10,13 +10,14 @@
 
 namespace {
 
-double numberFrom(const std::string& field, const std::string& text, double least, double most) {
+double numberFrom(const std::string& field, const std::string& text, double minValue,
+                  double maxValue) {
     double value = 0;
     const char* last = text.data() + text.size();
     const auto [end, error] = std::from_chars(text.data(), last, value);
-    if (error != std::errc{} || end != last || !(value >= least && value <= most))
-        throw SettingsError(field + ": must be a number from " + std::to_string(least) + " to " +
-                            std::to_string(most));
+    if (error != std::errc{} || end != last || !(value >= minValue && value <= maxValue))
+        throw SettingsError(field + ": must be a number from " + std::to_string(minValue) + " to " +
+                            std::to_string(maxValue));
     return value;
 }
 
@@ -37,21 +38,21 @@
     return [member](OperatorSettings& s) -> Value& { return s.rebalancing.*member; };
 }
 
-Setter number(const Field<double>& target, double least, double most) {
+Setter number(const Field<double>& target, double minValue, double maxValue) {
     return [=](OperatorSettings& s, const std::string& name, const std::string& value) {
-        target(s) = numberFrom(name, value, least, most);
+        target(s) = numberFrom(name, value, minValue, maxValue);
     };
 }
 
-Setter count(const Field<std::size_t>& target, double least, double most) {
+Setter count(const Field<std::size_t>& target, double minValue, double maxValue) {
     return [=](OperatorSettings& s, const std::string& name, const std::string& value) {
-        target(s) = static_cast<std::size_t>(numberFrom(name, value, least, most));
+        target(s) = static_cast<std::size_t>(numberFrom(name, value, minValue, maxValue));
     };
 }
 
-Setter seconds(const Field<Seconds>& target, double least, double most) {
+Setter seconds(const Field<Seconds>& target, double minValue, double maxValue) {
     return [=](OperatorSettings& s, const std::string& name, const std::string& value) {
-        target(s) = Seconds(numberFrom(name, value, least, most));
+        target(s) = Seconds(numberFrom(name, value, minValue, maxValue));
     };
 }
 
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -12,7 +12,7 @@
 
 using Json = nlohmann::json;
 
-std::string whole(const std::string& path) {
+std::string readFile(const std::string& path) {
     std::ifstream file(path);
     if (!file) throw SettingsError(path + ": can't be read");
     std::ostringstream text;
@@ -32,12 +32,12 @@
             throw SettingsError(name(field) + ": must be a text");
         return value.get<std::string>();
     }
-    void number(const char* field, double& out, double least) const {
+    void number(const char* field, double& out, double minValue) const {
         const Json* value = optional(field);
         if (value == nullptr) return;
-        if (!value->is_number() || !(value->get<double>() >= least))
+        if (!value->is_number() || !(value->get<double>() >= minValue))
             throw SettingsError(name(field) + ": must be a number of at least " +
-                                Json(least).dump());
+                                Json(minValue).dump());
         out = value->get<double>();
     }
     void seconds(const char* field, Seconds& out) const {
@@ -104,37 +104,7 @@
     s.transactionChanges = std::min(s.transactionChanges, later.transactionChanges);
 }
 
-}  // namespace
-
-std::vector<std::string> Settings::nodeNames() const {
-    std::vector<std::string> names{name};
-    for (const auto& peer : peers) names.push_back(peer.name);
-    std::sort(names.begin(), names.end());
-    return names;
-}
-
-std::string Settings::zoneOf(const std::string& node) const {
-    if (node == name) return zone;
-    for (const auto& peer : peers)
-        if (peer.name == node) return peer.zone;
-    return {};
-}
-
-Settings parseSettings(const std::string& json) {
-    const Json root = Json::parse(json, nullptr, false);
-    if (root.is_discarded()) throw SettingsError("settings: not JSON");
-    const Section top(root, "");
-    Settings s;
-    s.name = top.text("host_name");
-    s.zone = top.text("area");
-    s.front = top.text("front");
-    s.internalAddress = top.text("internal_addr");
-    for (const auto& peer : top.list("others"))
-        s.peers.push_back({peer.text("host_name"), peer.text("area"), peer.text("address")});
-    const Section outside = top.section("outside");
-    s.cloud = outside.text("cloud");
-    s.state = outside.text("state");
-    const Section deployment = top.section("deployment");
+void parseTeams(const Section& deployment, Settings& s) {
     for (const auto& entry : deployment.list("teams")) {
         Team team;
         team.name = entry.text("name");
@@ -144,6 +114,9 @@
         entry.number("gpus_max", team.gpusMax, 0);
         s.teams.push_back(team);
     }
+}
+
+void parseObjectives(const Section& deployment, Settings& s) {
     for (const auto& entry : deployment.list("objectives")) {
         ServiceLevelObjective objective;
         objective.kind = objectiveKind(entry.text("kind"));
@@ -153,6 +126,9 @@
         entry.number("share", objective.fraction, 0);
         s.objectives.push_back(objective);
     }
+}
+
+void parseLimits(const Section& deployment, Settings& s) {
     const Section workers = deployment.section("workers");
     workers.seconds("report_s", s.heartbeatInterval);
     workers.seconds("lease_s", s.lease);
@@ -172,15 +148,51 @@
     limits.number("core_share", s.coreFraction, 0.001);
     limits.number("mem_mb", s.memoryMb, 1);
     limits.count("sockets", s.sockets);
+}
+
+}  // namespace
+
+std::vector<std::string> Settings::nodeNames() const {
+    std::vector<std::string> names{name};
+    for (const auto& peer : peers) names.push_back(peer.name);
+    std::sort(names.begin(), names.end());
+    return names;
+}
+
+std::string Settings::zoneOf(const std::string& node) const {
+    if (node == name) return zone;
+    for (const auto& peer : peers)
+        if (peer.name == node) return peer.zone;
+    return {};
+}
+
+Settings parseSettings(const std::string& json) {
+    const Json root = Json::parse(json, nullptr, false);
+    if (root.is_discarded()) throw SettingsError("settings: not JSON");
+    const Section top(root, "");
+    Settings s;
+    s.name = top.text("host_name");
+    s.zone = top.text("area");
+    s.front = top.text("front");
+    s.internalAddress = top.text("internal_addr");
+    for (const auto& peer : top.list("others"))
+        s.peers.push_back({peer.text("host_name"), peer.text("area"), peer.text("address")});
+    const Section outside = top.section("outside");
+    s.cloud = outside.text("cloud");
+    s.state = outside.text("state");
+    const Section deployment = top.section("deployment");
+    parseTeams(deployment, s);
+    parseObjectives(deployment, s);
+    parseLimits(deployment, s);
     return s;
 }
 
 Settings loadSettings(const std::string& path) {
-    return parseSettings(whole(path));
+    return parseSettings(readFile(path));
 }
 
 OperatorSettings loadOperatorSettings(const std::string& path) {
-    return parseOperatorSettings(whole(path));
+    return parseOperatorSettings(readFile(path));
 }
 
 }  // namespace fawnwheel::config
--- a/src/coordination/api/admission.cpp
+++ b/src/coordination/api/admission.cpp
@@ -201,7 +201,7 @@
     context_.state.transact(
         std::move(transaction), protocol::RequestPriority::userRequest,
         [this, submission, key, value](const protocol::CompareAndSwapResponse& answer) {
-            if (answer.result == StateResult::refused) return onRefused(submission, answer);
+            if (answer.result == StateResult::conflict) return onRefused(submission, answer);
             if (answer.result != StateResult::ok) return submission->reply(unavailable());
             {
                 auto clusterState = context_.clusterState.lock();
@@ -225,7 +225,7 @@
     context_.state.transact(
         std::move(transaction), protocol::RequestPriority::userRequest,
         [this, submission](const protocol::CompareAndSwapResponse& answer) {
-            if (answer.result == StateResult::refused) return onRefused(submission, answer);
+            if (answer.result == StateResult::conflict) return onRefused(submission, answer);
             if (answer.result != StateResult::ok) return submission->reply(unavailable());
             statusReader_.recordTerminal(submission->spec.id, true);
             submission->reply(
@@ -322,7 +322,7 @@
         context_.state.transact(
             std::move(transaction), protocol::RequestPriority::userRequest,
             [this, id, key, value, tries, reply](const protocol::CompareAndSwapResponse& answer) {
-                if (answer.result == StateResult::refused && tries + 1 < maxTries)
+                if (answer.result == StateResult::conflict && tries + 1 < maxTries)
                     return tryCancel(id, tries + 1, reply);
                 if (answer.result != StateResult::ok) return reply(unavailable());
                 {
--- a/src/coordination/api/job_status_reader.cpp
+++ b/src/coordination/api/job_status_reader.cpp
@@ -97,11 +97,11 @@
 
 void JobStatusReader::settle(const Sent& sent, const protocol::CompareAndSwapResponse& answer) {
     const auto& statusRequest = sent.statusRequest;
-    if (answer.result != StateResult::ok && answer.result != StateResult::refused)
+    if (answer.result != StateResult::ok && answer.result != StateResult::conflict)
         return statusRequest.done(JobStatus::noAnswer);
     if (failed(answer, statusRequest.id)) return readTerminal(statusRequest);
     // Others of the batch have failed; this one is sent again.
-    if (answer.result == StateResult::refused) return retry(statusRequest);
+    if (answer.result == StateResult::conflict) return retry(statusRequest);
     if (!sent.active) return statusRequest.done(JobStatus::unknownJob);
     JobStatus status = JobStatus::noAnswer;
     {
--- a/src/coordination/membership/node_lease.cpp
+++ b/src/coordination/membership/node_lease.cpp
@@ -66,7 +66,7 @@
     const auto maxCompares = std::max<std::size_t>(1, context_.settings.transactionConditions());
     acquiredTerms_.truncate(maxCompares - 1);
     const auto onAnswer = [this, lease, sent](const protocol::CompareAndSwapResponse& answer) {
-        if (answer.result == protocol::StateResult::refused) {
+        if (answer.result == protocol::StateResult::conflict) {
             onNodeRefused(answer.failed);
             return refreshNodeVersion(lease, sent);
         }
@@ -114,7 +114,7 @@
 void NodeLease::renew() {
     const auto sent = context_.now();
     context_.state.renewLease(id_, [this, sent](protocol::StateResult result) {
-        if (result == protocol::StateResult::refused) {
+        if (result == protocol::StateResult::conflict) {
             spdlog::info("node_lease: lease_lost lease={}", id_);
             joined_ = false;
             // Peers may have acquired this node's partitions; the transaction that writes the
--- a/src/coordination/membership/peer_heartbeats.cpp
+++ b/src/coordination/membership/peer_heartbeats.cpp
@@ -110,7 +110,7 @@
         peer.cancellationsReceived = 0;
     }
     peer.applied = status.applied;
-    peer.acknowledged = status.acknowledgedLife == incarnation_ ? status.acknowledged : 0;
+    peer.acknowledged = status.acknowledgedIncarnation == incarnation_ ? status.acknowledged : 0;
     bool learned = false;
     {
         auto clusterState = context_.clusterState.lock();
@@ -124,7 +124,7 @@
     // Dated by this node's clock: the statement was made after the heartbeat that it echoes was
     // sent. An echo to an earlier process of this node holds as well, since the records have been
     // read since.
-    if (contiguous && status.vouches && status.complete && status.echo != 0 &&
+    if (contiguous && status.cancellationsCovered && status.complete && status.echo != 0 &&
         replica_.everSynced() && fromMicros(status.echo) <= context_.now())
         peer.cancellationsKnownAsOf =
             std::max(peer.cancellationsKnownAsOf, fromMicros(status.echo));
@@ -142,13 +142,14 @@
     status.stateReachable = context_.state.reachable();
     status.ready = isReady();
     status.incarnation = incarnation_;
-    status.acknowledgedLife = peer.incarnation;
+    status.acknowledgedIncarnation = peer.incarnation;
     status.acknowledged = peer.cancellationsReceived;
     auto clusterState = context_.clusterState.lock();
     const auto& log = clusterState->cancellations;
     status.applied = replica_.everSynced() ? clusterState->applied : 0;
     // An earlier process of this node may have told users what only the records hold.
-    status.vouches = replica_.everSynced() && log.covers(peer.acknowledged, peer.applied);
+    status.cancellationsCovered =
+        replica_.everSynced() && log.covers(peer.acknowledged, peer.applied);
     status.next = peer.acknowledged;
     return status;
 }
--- a/src/coordination/migration/rebalancer.cpp
+++ b/src/coordination/migration/rebalancer.cpp
@@ -32,7 +32,7 @@
             zone,
             spot,
             static_cast<std::uint32_t>(demand.tasks),
-            demand.whole,
+            demand.indivisible,
             demand.urgency,
             demand.since};
 }
@@ -44,7 +44,7 @@
              entry.zone,
              entry.spot},
             static_cast<double>(entry.tasks),
-            entry.whole,
+            entry.indivisible,
             std::min(entry.urgency, rebalancing::highestUrgency),
             entry.since};
 }
@@ -156,7 +156,7 @@
     };
     subtractCapacity(*context_.clusterState.lock(), partition, isComing, demands);
     average.sample(demands);
-    auto asked = average.asked();
+    auto asked = average.requested();
     std::stable_sort(asked.begin(), asked.end(), [](const auto& one, const auto& other) {
         return one.urgency > other.urgency;
     });
@@ -382,7 +382,7 @@
 
 void Rebalancer::logRefusal(const std::string& machine, rebalancing::Refusal refusal) {
     spdlog::debug("rebalancer: transfer_refused machine={} reason=\"{}\"", machine,
-                  rebalancing::describe(refusal));
+                  rebalancing::toString(refusal));
 }
 
 }  // namespace fawnwheel::coordination
--- a/src/coordination/replication/transaction_pipeline.cpp
+++ b/src/coordination/replication/transaction_pipeline.cpp
@@ -88,14 +88,14 @@
             // been committed before the limits changed: the records tell.
             pending->rejected = true;
             return readRecords(partition);
-        case protocol::StateResult::refused:
+        case protocol::StateResult::conflict:
             return readRecords(partition);
         case protocol::StateResult::unknown:
             // It may yet be committed. Sending the same again decides it: whichever attempt comes
             // second fails on the versions that the first one changed.
             pending->maybeCommitted = true;
             [[fallthrough]];
-        case protocol::StateResult::notCarried:
+        case protocol::StateResult::notExecuted:
             context_.timers.after(context_.jittered(retryDelay), [this, partition, id] {
                 if (head(partition, id) != nullptr) send(partition);
             });
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,4 +1,5 @@
-// The daemon: reads its settings, wires the layers together and runs until it is ended.
+/// @file
+/// The daemon: reads its settings, wires the layers together and runs until it is ended.
 #include <spdlog/sinks/stdout_sinks.h>
 #include <spdlog/spdlog.h>
 
--- a/src/protocol/cbor.cpp
+++ b/src/protocol/cbor.cpp
@@ -6,64 +6,101 @@
 
 constexpr std::size_t maxDepth = 32;
 
-// The library parses containers recursively, so a body of nothing but machine capacity bytes could
-// exhaust the stack. This bounds the nesting before the library sees it.
-bool depthBounded(const std::string& bytes) {
-    struct Open {
+constexpr unsigned char breakByte = 0xff;
+
+// Checks the nesting of one CBOR value before the library sees it: the library parses containers
+// recursively, so a body of nothing but opening bytes could exhaust the stack.
+class NestingCheck {
+  public:
+    explicit NestingCheck(const std::string& bytes) : bytes_(bytes) {}
+
+    // True if the value is complete and no deeper than `maxDepth`.
+    bool run() {
+        while (at_ < bytes_.size())
+            if (!readItem() || open_.size() > maxDepth) return false;
+        return open_.empty();
+    }
+
+  private:
+    struct Container {
         std::uint64_t left;
         bool indefinite;
     };
-    std::vector<Open> stack;
-    std::size_t at = 0;
-    const auto closeFilled = [&stack] {
-        while (!stack.empty() && !stack.back().indefinite && --stack.back().left == 0)
-            stack.pop_back();
-    };
-    while (at < bytes.size()) {
-        const auto head = static_cast<unsigned char>(bytes[at++]);
+
+    bool readItem() {
+        const auto head = static_cast<unsigned char>(bytes_[at_++]);
+        if (head == breakByte) return closeIndefinite();
         const unsigned major = head >> 5U;
         const unsigned minor = head & 31U;
-        if (head == 0xff) {
-            if (stack.empty() || !stack.back().indefinite) return false;
-            stack.pop_back();
-            closeFilled();
-            continue;
-        }
         std::uint64_t argument = minor;
-        if (minor >= 24 && minor <= 27) {
-            const std::size_t length = std::size_t{1} << (minor - 24U);
-            if (bytes.size() - at < length) return false;
-            argument = 0;
-            for (std::size_t i = 0; i < length; ++i)
-                argument = (argument << 8U) | static_cast<unsigned char>(bytes[at++]);
-        } else if (minor > 27 && minor != 31) {
-            return false;
-        }
+        if (!readArgument(minor, argument)) return false;
         const bool indefinite = minor == 31;
-        if (major == 2 || major == 3) {
-            if (indefinite) {
-                stack.push_back({0, true});
-            } else {
-                if (argument > bytes.size() - at) return false;
-                at += argument;
-                closeFilled();
-            }
-        } else if (major == 4 || major == 5) {
-            if (!indefinite && argument > bytes.size()) return false;
-            const std::uint64_t members = major == 5 ? 2 * argument : argument;
-            if (indefinite)
-                stack.push_back({0, true});
-            else if (members > 0)
-                stack.push_back({members, false});
-            else
+        switch (major) {
+            case 2:
+            case 3:
+                return readString(argument, indefinite);
+            case 4:
+                return openContainer(argument, argument, indefinite);
+            case 5:
+                return openContainer(argument, 2 * argument, indefinite);
+            case 6:  // a tag: the tagged value follows
+                return true;
+            default:
                 closeFilled();
-        } else if (major != 6) {
-            closeFilled();
+                return true;
         }
-        if (stack.size() > maxDepth) return false;
     }
-    return stack.empty();
-}
+
+    bool readArgument(unsigned minor, std::uint64_t& argument) {
+        if (minor < 24 || minor == 31) return true;
+        if (minor > 27) return false;
+        const std::size_t length = std::size_t{1} << (minor - 24U);
+        if (bytes_.size() - at_ < length) return false;
+        argument = 0;
+        for (std::size_t i = 0; i < length; ++i)
+            argument = (argument << 8U) | static_cast<unsigned char>(bytes_[at_++]);
+        return true;
+    }
+
+    bool readString(std::uint64_t length, bool indefinite) {
+        if (indefinite) {
+            open_.push_back({0, true});
+            return true;
+        }
+        if (length > bytes_.size() - at_) return false;
+        at_ += length;
+        closeFilled();
+        return true;
+    }
+
+    bool openContainer(std::uint64_t length, std::uint64_t members, bool indefinite) {
+        if (!indefinite && length > bytes_.size()) return false;
+        if (indefinite)
+            open_.push_back({0, true});
+        else if (members > 0)
+            open_.push_back({members, false});
+        else
+            closeFilled();
+        return true;
+    }
+
+    bool closeIndefinite() {
+        if (open_.empty() || !open_.back().indefinite) return false;
+        open_.pop_back();
+        closeFilled();
+        return true;
+    }
+
+    // Counts an item as read, and closes the containers that it completes.
+    void closeFilled() {
+        while (!open_.empty() && !open_.back().indefinite && --open_.back().left == 0)
+            open_.pop_back();
+    }
+
+    const std::string& bytes_;
+    std::size_t at_ = 0;
+    std::vector<Container> open_;
+};
 
 const Json* member(const Json& map, const char* field) {
     if (!map.is_object()) return nullptr;
@@ -80,7 +117,7 @@
 }
 
 std::optional<Json> decodeCbor(const std::string& bytes) {
-    if (!depthBounded(bytes)) return std::nullopt;
+    if (!NestingCheck(bytes).run()) return std::nullopt;
     Json value = Json::from_cbor(bytes, true, false, Json::cbor_tag_handler_t::ignore);
     if (value.is_discarded()) return std::nullopt;
     return value;
--- a/src/protocol/cloud_client.cpp
+++ b/src/protocol/cloud_client.cpp
@@ -64,7 +64,7 @@
 void CloudClient::list(const std::string& after,
                        std::function<void(std::optional<CloudPage>)> done) {
     std::string path =
-        std::string(wire::pathMachines) + "?" + wire::queryMost + "=" + std::to_string(listPage);
+        std::string(wire::pathMachines) + "?" + wire::queryLimit + "=" + std::to_string(listPage);
     if (!after.empty()) path += std::string("&") + wire::querySince + "=" + after;
     enqueue({"GET", std::move(path), {}},
             [done = std::move(done)](const std::optional<transport::HttpResponse>& response) {
--- a/src/protocol/cloud_client.h
+++ b/src/protocol/cloud_client.h
@@ -1,4 +1,5 @@
-// Client of the cloud, paced to this node's share of the call limit.
+/// @file
+/// Client of the cloud, paced to this node's share of the call limit.
 #pragma once
 
 #include <deque>
@@ -9,22 +10,28 @@
 
 namespace fawnwheel::protocol {
 
+/// Outcome of a provisioning call; `unknown`: no answer, so machines may have been started.
 enum class ProvisioningResult { provisioned, noCapacity, failed, unknown };
 
+/// Asynchronous client of the cloud API. Calls are queued and sent in order at the given rate.
+/// Callbacks run on the event loop; the client must outlive its pending calls.
 class CloudClient {
   public:
     CloudClient(transport::Timers& timers, transport::Network& network, std::string address,
                 double callsPerSecond);
 
-    // Empty: no answer to build on.
+    /// Machine types on offer; empty: no usable answer.
     void catalog(std::function<void(std::optional<std::vector<MachineType>>)> done);
+    /// One page of this account's machines, those after the id `after`; empty: no answer.
     void list(const std::string& after, std::function<void(std::optional<CloudPage>)> done);
+    /// Requests `count` machines; `done` gets the ids of those provisioned.
     void provision(const std::string& provisioningRequest, const std::string& type,
                    const std::string& zone, bool spot, int count,
                    std::function<void(ProvisioningResult, std::vector<std::string>)> done);
-    // True: the machines and all on them are gone.
+    /// True: the machines and all on them are gone.
     void release(const std::vector<std::string>& machines, std::function<void(bool)> done);
 
+    /// Calls queued and not yet sent.
     [[nodiscard]] std::size_t waiting() const { return queue_.size(); }
 
   private:
--- a/src/protocol/messages.h
+++ b/src/protocol/messages.h
@@ -1,4 +1,5 @@
-// Typed messages of users, workers and the cloud, with their validation.
+/// @file
+/// Typed messages of users, workers and the cloud, with their validation.
 #pragma once
 
 #include <chrono>
@@ -13,13 +14,16 @@
 
 using Seconds = std::chrono::duration<double>;
 
+/// How the tasks of a job relate: independent, all together (gang), or a service.
 enum class JobKind { array, gang, service };
+/// Scheduling priority, the most urgent first.
 enum class Priority { production, high, normal, low };
 
+/// Amounts of resources that a task needs or a machine has.
 struct Resources {
     double cpus = 0;
     double gpus = 0;
-    double memory = 0;  // GB
+    double memory = 0;  ///< GB
 
     Resources& operator+=(const Resources& other) {
         cpus += other.cpus;
@@ -41,6 +45,7 @@
     static constexpr double slack = 1e-9;  // sums of decimal amounts
 };
 
+/// A job as submitted by a user.
 struct JobSpec {
     std::string id;
     std::string jobClass;
@@ -50,8 +55,8 @@
     std::uint32_t tasks = 0;
     Resources each;
     std::string image;
-    double imageSize = 0;                           // GB
-    std::optional<std::vector<std::string>> types;  // allowed; none: any
+    double imageSize = 0;                           ///< GB
+    std::optional<std::vector<std::string>> types;  ///< allowed; none: any
     std::optional<std::string> zone;
     bool oneZone = false;
     bool spread = false;
@@ -60,26 +65,30 @@
     Seconds checkpointInterval{};
     Seconds checkpointDuration{};
     std::optional<Seconds> deadline;
-    std::vector<std::string> dependencies;  // jobs that have to be done first, each named once
+    std::vector<std::string> dependencies;  ///< jobs that have to be done first, each named once
 };
 
-// The description, or what is wrong with it.
+/// The job, or the reason why the submission is invalid.
 std::variant<JobSpec, std::string> parseJobSpec(const Json& body);
 Json encodeJobSpec(const JobSpec& spec);
 bool validJobId(const std::string& id);
 
+/// State of a task as its worker reports it.
 enum class TaskState { fetching, waiting, running, saving, exited };
+/// Why a task ended, as its worker reports it.
 enum class ExitCause { done, stopped, peersGone, alone, error, noCapacity, busy, unknown };
 
+/// One task attempt in a heartbeat.
 struct TaskStatus {
     std::string job;
     std::uint32_t index = 0;
     std::uint64_t attempt = 0;
     TaskState state = TaskState::running;
-    ExitCause cause = ExitCause::stopped;  // when exited
+    ExitCause cause = ExitCause::stopped;  ///< when exited
     bool saved = false;
 };
 
+/// Periodic message of the agent on a machine to the leader of its partition.
 struct Heartbeat {
     std::string machine;
     std::string address;
@@ -93,10 +102,13 @@
     std::vector<TaskStatus> tasks;
 };
 
+/// Empty if the body is not a valid heartbeat.
 std::optional<Heartbeat> parseHeartbeat(const Json& body);
 
+/// What a worker is told to do with a task attempt.
 enum class CommandKind { start, stop, forget };
 
+/// A command to a worker, for one task attempt.
 struct Command {
     CommandKind kind = CommandKind::start;
     std::string job;
@@ -105,28 +117,34 @@
     Seconds grace{};
 };
 
+/// Body of a heartbeat response: the fencing token and the commands to carry out.
 Json encodeCommands(std::uint64_t fencingToken, const std::vector<Command>& commands);
-Json encodeRedirect(const std::string& node);  // empty: names nobody
+/// Body of a redirect to the node that leads the partition; an empty name names nobody.
+Json encodeRedirect(const std::string& node);
 Json encodeJobState(const std::string& id, const char* state);
 Json encodeJobState(const std::string& id, const char* state, std::uint32_t done,
                     std::uint32_t running);
 
+/// A machine type of the cloud catalogue.
 struct MachineType {
     std::string name;
     Resources capacity;
     double cacheSize = 0;
-    double fetchRate = 0.1;  // GB a second
-    double price = 0;        // an hour
+    double fetchRate = 0.1;  ///< GB a second
+    double price = 0;        ///< an hour
     double spotPrice = 0;
     Seconds bootTime{};
     std::vector<std::string> zones;
 };
 
+/// Reads the cloud's catalogue of machine types.
 std::vector<MachineType> parseCatalog(const Json& body);
 Json encodeCatalog(const std::vector<MachineType>& types);
 
+/// State of a machine as the cloud lists it.
 enum class CloudState { booting, running, failed };
 
+/// A machine in the cloud's list.
 struct CloudMachine {
     std::string id;
     std::string address;
@@ -137,11 +155,13 @@
     Seconds age{};
 };
 
+/// One page of the cloud's machine list; `more`: further pages follow.
 struct CloudPage {
     std::vector<CloudMachine> machines;
     bool more = false;
 };
 
+/// Reads one page of the cloud's machine list.
 CloudPage parseCloudPage(const Json& body);
 
 }  // namespace fawnwheel::protocol
--- a/src/protocol/names.h
+++ b/src/protocol/names.h
@@ -1,4 +1,5 @@
-// The one table of the wire's own words. Everything else in the project uses the field's terms.
+/// @file
+/// The one table of the wire's own words. Everything else in the project uses the field's terms.
 #pragma once
 
 namespace fawnwheel::protocol::wire {
@@ -115,7 +116,7 @@
 inline constexpr auto pathRenew = "/extend";
 inline constexpr auto pathWatch = "/follow";
 inline constexpr auto querySince = "since";
-inline constexpr auto queryMost = "most";
+inline constexpr auto queryLimit = "most";
 inline constexpr auto queryPrefix = "starts";
 inline constexpr auto queryWait = "wait_ms";
 inline constexpr auto jobPrefix = "run-";
--- a/src/protocol/peer_codec.cpp
+++ b/src/protocol/peer_codec.cpp
@@ -38,7 +38,7 @@
     void operator()(bool& v) { v = in.flag(); }
     void operator()(std::string& v) { v = in.text(); }
     void operator()(std::vector<std::string>& v) {
-        // Grows only with what the frame holds, whatever number it allocations.
+        // Grows only with what the frame holds, whatever count it claims.
         for (auto left = in.number(); left > 0 && in.ok(); --left) v.push_back(in.text());
     }
     void operator()(std::vector<std::uint64_t>& v) {
@@ -57,9 +57,9 @@
     visit(m.ready);
     visit(m.incarnation);
     visit(m.applied);
-    visit(m.acknowledgedLife);
+    visit(m.acknowledgedIncarnation);
     visit(m.acknowledged);
-    visit(m.vouches);
+    visit(m.cancellationsCovered);
     visit(m.complete);
     visit(m.position);
     visit(m.next);
@@ -117,7 +117,7 @@
     visit(entry.zone);
     visit(entry.spot);
     visit(entry.tasks);
-    visit(entry.whole);
+    visit(entry.indivisible);
     visit(entry.urgency);
     visit(entry.since);
 }
--- a/src/protocol/state_client.cpp
+++ b/src/protocol/state_client.cpp
@@ -16,11 +16,7 @@
 // What waits longer than this is refused here: its caller decides anew.
 constexpr auto longestWait = 1500ms;
 constexpr std::size_t rangePage = 200;
-constexpr double calmBeforeGrowth = 1;   // seconds without a refusal
-constexpr double growthPerSecond = 0.2;  // of the even share
-constexpr double shrink = 0.8;
-constexpr double pauseAfterRefusal = 0.2;  // seconds
-constexpr auto leasePause = 100ms;         // calls that need no share wait this long after a 429
+constexpr auto leasePause = 100ms;  // calls that need no share wait this long after a 429
 constexpr int failuresUntilLost = 2;
 
 StateResult plainResult(const std::optional<transport::HttpResponse>& response) {
@@ -30,13 +26,13 @@
             return StateResult::ok;
         case 404:
         case 409:
-            return StateResult::refused;
+            return StateResult::conflict;
         case 400:
             return StateResult::rejected;
         case 410:
         case 429:
         case 503:
-            return StateResult::notCarried;
+            return StateResult::notExecuted;
         default:
             return StateResult::unknown;
     }
@@ -53,21 +49,6 @@
 
 }  // namespace
 
-void AdaptiveRateLimiter::fill(double seconds, bool waiting) {
-    calmFor_ += seconds;
-    if (waiting && calmFor_ > calmBeforeGrowth)
-        rate_ = std::min(most_, rate_ + even_ * growthPerSecond * seconds);
-    else if (!waiting && rate_ > even_)
-        rate_ = std::max(even_, rate_ - even_ * growthPerSecond * seconds);
-    tokens_ = std::min(tokens_ + seconds * rate_, std::max(1.0, rate_));
-}
-
-void AdaptiveRateLimiter::refused() {
-    calmFor_ = 0;
-    rate_ = std::max(least_, rate_ * shrink);
-    tokens_ = std::min(tokens_, -rate_ * pauseAfterRefusal);
-}
-
 StateClient::StateClient(transport::Timers& timers, transport::Network& network,
                          std::string address, StateLimits limits)
     : timers_(timers),
@@ -148,7 +129,7 @@
                 // Not carried out: it goes first as soon as it may. Sent again at once,
                 // the acquisitions of partitions at the start used up what the service allows.
                 urgentNotBefore_ = timers_.now() + leasePause;
-                (again->writes > 0 ? writes_ : requests_).refused();
+                (again->writes > 0 ? writes_ : requests_).onThrottled();
                 queues_[static_cast<std::size_t>(again->priority)].push_front(std::move(*again));
                 return pumpLater();
             }
@@ -229,7 +210,7 @@
 void StateClient::readRange(const std::string& prefix, const std::string& after,
                             std::function<void(ReadResponse)> done) {
     std::string path = std::string(wire::pathKeys) + "?" + wire::queryPrefix + "=" + prefix + "&" +
-                       wire::queryMost + "=" + std::to_string(rangePage);
+                       wire::queryLimit + "=" + std::to_string(rangePage);
     if (!after.empty()) path += std::string("&") + wire::querySince + "=" + after;
     enqueue(RequestPriority::read,
             {{"GET", std::move(path), {}},
--- a/src/rebalancing/demand.cpp
+++ b/src/rebalancing/demand.cpp
@@ -7,16 +7,16 @@
 
 namespace {
 
-constexpr double forgotten = 0.05;  // an average so small that nothing is left of it
+constexpr double negligibleAverage = 0.05;  // an average so small that nothing is left of it
 
-constexpr std::uint32_t leastUrgentPriority = 3;
+constexpr std::uint32_t lowestPriorityRank = 3;
 constexpr std::uint32_t guaranteedUrgency = 4;
 
 }  // namespace
 
 std::uint32_t urgencyOf(protocol::Priority priority, bool withinGuarantee) {
-    const auto rank = std::min(leastUrgentPriority, static_cast<std::uint32_t>(priority));
-    return leastUrgentPriority - rank + (withinGuarantee ? guaranteedUrgency : 0);
+    const auto rank = std::min(lowestPriorityRank, static_cast<std::uint32_t>(priority));
+    return lowestPriorityRank - rank + (withinGuarantee ? guaranteedUrgency : 0);
 }
 
 std::uint64_t millisOf(transport::WallTime time) {
@@ -26,13 +26,13 @@
 }
 
 std::uint32_t TaskShape::placesOn(const std::string& type, const std::string& inZone, bool onSpot,
-                                  protocol::Resources free, std::uint32_t most) const {
+                                  protocol::Resources free, std::uint32_t maxPlaces) const {
     const bool allowed =
         (!onSpot || spot) && (zone.empty() || zone == inZone) &&
         (types.empty() || std::find(types.begin(), types.end(), type) != types.end());
     if (!allowed) return 0;
     std::uint32_t places = 0;
-    while (places < most && each.fits(free)) {
+    while (places < maxPlaces && each.fits(free)) {
         free -= each;
         ++places;
     }
@@ -52,18 +52,18 @@
         Demand& latest = found->latest;
         const bool first = latest.tasks == 0;
         latest.tasks += demand.tasks;
-        latest.whole = first ? demand.whole : latest.whole || demand.whole;
+        latest.indivisible = first ? demand.indivisible : latest.indivisible || demand.indivisible;
         latest.since = first ? demand.since : std::min(latest.since, demand.since);
         latest.urgency = first ? demand.urgency : std::max(latest.urgency, demand.urgency);
     }
     for (auto& entry : entries_)
         entry.average += thresholds_.weight * (entry.latest.tasks - entry.average);
     std::erase_if(entries_, [](const Entry& entry) {
-        return entry.latest.tasks == 0 && entry.average < forgotten;
+        return entry.latest.tasks == 0 && entry.average < negligibleAverage;
     });
 }
 
-std::vector<Demand> DemandAverage::asked() const {
+std::vector<Demand> DemandAverage::requested() const {
     std::vector<Demand> out;
     for (const auto& [latest, average] : entries_) {
         if (latest.tasks == 0 || average < thresholds_.low) continue;
@@ -71,7 +71,7 @@
             std::min(1.0, (average - thresholds_.low) / (thresholds_.high - thresholds_.low));
         Demand demand = latest;
         // A gang that gets a portion of its machines starts no sooner.
-        if (!demand.whole)
+        if (!demand.indivisible)
             demand.tasks = std::ceil(std::min(latest.tasks, std::max(1.0, average * ramp)));
         out.push_back(std::move(demand));
     }
--- a/src/rebalancing/flow_solver.cpp
+++ b/src/rebalancing/flow_solver.cpp
@@ -1,6 +1,6 @@
-// The plan as a minimum-cost flow, with Boost.Graph: from a source over the supplies and the wants
-// to a sink. What can't be found flows from the source to its want at the cost of lacking it, so
-// that a flow that satisfies all wants always exists.
+// The plan as a minimum-cost flow, with Boost.Graph: from a source over the supplies and the
+// demands to a sink. What can't be found flows from the source to its demand at the cost of lacking
+// it, so that a flow that satisfies all demands always exists.
 #include <algorithm>
 #include <boost/graph/adjacency_list.hpp>
 #include <boost/graph/successive_shortest_path_nonnegative_weights.hpp>
@@ -42,10 +42,10 @@
     }
 
     // Throws `TooManySteps` once so many arcs have been looked at.
-    void solve(Vertex source, Vertex sink, std::size_t mostSteps) {
+    void solve(Vertex source, Vertex sink, std::size_t maxSteps) {
         std::size_t steps = 0;
-        const auto cost = [this, &steps, mostSteps](const Edge& edge) {
-            if (++steps > mostSteps) throw TooManySteps{};
+        const auto cost = [this, &steps, maxSteps](const Edge& edge) {
+            if (++steps > maxSteps) throw TooManySteps{};
             return graph_[edge].cost;
         };
         boost::successive_shortest_path_nonnegative_weights(
@@ -66,13 +66,13 @@
 
 }  // namespace
 
-std::optional<TransferPlan> planByMinCostFlow(const PlanModel& model, std::size_t mostSteps) {
+std::optional<TransferPlan> planByMinCostFlow(const PlanModel& model, std::size_t maxSteps) {
     const auto supplies = model.offered.size();
     const auto machineDemands = model.needed.size();
     const Vertex source = supplies + machineDemands;
     const Vertex sink = source + 1;
     // Each edge, with its reverse, is looked at at least once for each want.
-    if ((model.arcs.size() + supplies + machineDemands * 2) * 2 > mostSteps) return std::nullopt;
+    if ((model.arcs.size() + supplies + machineDemands * 2) * 2 > maxSteps) return std::nullopt;
     FlowNetwork network(sink + 1);
     for (std::size_t i = 0; i < supplies; ++i) network.add(source, i, model.offered[i], 0);
     std::vector<Edge> lacking;
@@ -86,7 +86,7 @@
         arcs.push_back(network.add(arc.supply, supplies + arc.machineDemand, most, arc.cost));
     }
     try {
-        network.solve(source, sink, mostSteps);
+        network.solve(source, sink, maxSteps);
     } catch (const TooManySteps&) {
         return std::nullopt;
     }
--- a/src/rebalancing/handover.cpp
+++ b/src/rebalancing/handover.cpp
@@ -29,7 +29,7 @@
     if (!machine.acknowledged() || !machine.lastHeartbeat ||
         rules.now - *machine.lastHeartbeat > rules.silent)
         return Refusal::silent;
-    if (rules.now - machine.known < rules.minTenure) return Refusal::heldTooShort;
+    if (rules.now - machine.known < rules.minTenure) return Refusal::belowMinTenure;
     return std::nullopt;
 }
 
@@ -103,7 +103,7 @@
         if (!machines_.insert(id).second) return;
         open_.push_back(id);
         // Each needs a change of its own: more are never carried out.
-        if (machines_.size() > rules_.mostChanges) refusal_ = Refusal::tooLarge;
+        if (machines_.size() > rules_.maxWrites) refusal_ = Refusal::tooLarge;
     }
 
     void visit(const std::string& id) {
@@ -151,7 +151,7 @@
             }
             for (const auto& slice : job->slices) collectSlice(*job, slice);
         }
-        if (plan_.writes > rules_.mostChanges) refusal_ = Refusal::tooLarge;
+        if (plan_.writes > rules_.maxWrites) refusal_ = Refusal::tooLarge;
     }
 
     void collectSlice(const Job& job, const Slice& slice) {
@@ -191,7 +191,7 @@
 
 }  // namespace
 
-std::string_view describe(Refusal refusal) {
+std::string_view toString(Refusal refusal) {
     switch (refusal) {
         case Refusal::notOurs:
             return "not this part's";
@@ -207,7 +207,7 @@
             return "kept for other work";
         case Refusal::silent:
             return "not heard of lately";
-        case Refusal::heldTooShort:
+        case Refusal::belowMinTenure:
             return "here for too short a time";
         case Refusal::recordPending:
             return "a task's place is not recorded yet";
--- a/src/rebalancing/transfer_plan.cpp
+++ b/src/rebalancing/transfer_plan.cpp
@@ -13,11 +13,11 @@
 constexpr std::int64_t farCost = 3;       // in another zone than its new leader
 constexpr std::int64_t worstFitCost = 8;  // where only one task finds room
 constexpr std::int64_t lackingCost = 100;
-constexpr std::uint32_t mostPlaces = 64;  // more of them make no difference
+constexpr std::uint32_t maxPlaces = 64;  // more of them make no difference
 
 std::uint32_t placesOf(const Supply& supply, const MachineDemand& machineDemand) {
     return machineDemand.demand.shape.placesOn(supply.type, supply.zone, supply.spot, supply.free,
-                                               mostPlaces);
+                                               maxPlaces);
 }
 
 std::int64_t costOf(const PlanInput& input, const Supply& supply,
@@ -92,9 +92,9 @@
     return plan;
 }
 
-TransferPlan makePlan(const PlanInput& input, std::size_t mostSteps) {
+TransferPlan makePlan(const PlanInput& input, std::size_t maxSteps) {
     const auto model = makeModel(input);
-    if (auto plan = planByMinCostFlow(model, mostSteps)) return *plan;
+    if (auto plan = planByMinCostFlow(model, maxSteps)) return *plan;
     return planGreedily(model);
 }
 
--- a/src/transport/frame_link.h
+++ b/src/transport/frame_link.h
@@ -1,5 +1,6 @@
-// Length-framed one-way messages between our own processes. Each process keeps one outgoing
-// connection to every peer and only reads from incoming ones.
+/// @file
+/// Length-framed one-way messages between our own processes. Each process keeps one outgoing
+/// connection to every peer and only reads from incoming ones.
 #pragma once
 
 #include <map>
@@ -11,6 +12,8 @@
 
 namespace fawnwheel::transport {
 
+/// Sends frames to the peers and receives theirs. Runs on the loop's thread; the loop must outlive
+/// it.
 class FrameLink {
   public:
     using OnFrame = std::function<void(const std::string& payload)>;
@@ -23,6 +26,7 @@
     FrameLink(const FrameLink&) = delete;
     FrameLink& operator=(const FrameLink&) = delete;
 
+    /// Best effort, in order while the connection lasts.
     void send(const std::string& peer, const std::string& payload);
 
   private:
--- a/src/transport/http_client.cpp
+++ b/src/transport/http_client.cpp
@@ -132,7 +132,8 @@
         return connection;
     }
     // Orders to the workers of a whole fleet must not take the sockets of all else.
-    if (*open_ >= maxConnections_ && !always_.contains(address) && !evictIdleConnection())
+    if (*open_ >= maxConnections_ && !unboundedAddresses_.contains(address) &&
+        !evictIdleConnection())
         return nullptr;
     Socket socket = connectTo(address);
     if (!socket.open()) return nullptr;
@@ -150,7 +151,7 @@
 
 bool HttpClient::evictIdleConnection() {
     for (auto& [address, pool] : idle_) {
-        if (pool.empty() || always_.contains(address)) continue;
+        if (pool.empty() || unboundedAddresses_.contains(address)) continue;
         pool.back()->fail();
         return true;
     }
--- a/src/transport/http_client.h
+++ b/src/transport/http_client.h
@@ -1,4 +1,5 @@
-// HTTP/1.1 client: keeps idle connections per address, one request at a time on each.
+/// @file
+/// HTTP/1.1 client: keeps idle connections per address, one request at a time on each.
 #pragma once
 
 #include <memory>
@@ -10,12 +11,16 @@
 
 namespace fawnwheel::transport {
 
+/// Asynchronous HTTP client. Runs on the loop's thread; the loop must outlive it.
 class HttpClient {
   public:
-    // Calls to the addresses in `always` are not held to the bound on connections.
-    HttpClient(Loop& loop, std::size_t maxConnections, std::set<std::string> always)
-        : loop_(loop), maxConnections_(maxConnections), always_(std::move(always)) {}
+    /// Calls to the addresses in `unboundedAddresses` are not held to the bound on connections.
+    HttpClient(Loop& loop, std::size_t maxConnections, std::set<std::string> unboundedAddresses)
+        : loop_(loop),
+          maxConnections_(maxConnections),
+          unboundedAddresses_(std::move(unboundedAddresses)) {}
 
+    /// `done` is called exactly once; without a response if none arrived within `timeout`.
     void call(const std::string& address, const HttpRequest& request, Duration timeout,
               HttpDone done);
 
@@ -27,7 +32,7 @@
 
     Loop& loop_;
     std::size_t maxConnections_;
-    std::set<std::string> always_;
+    std::set<std::string> unboundedAddresses_;
     std::shared_ptr<std::size_t> open_ = std::make_shared<std::size_t>(0);
     std::unordered_map<std::string, std::vector<std::shared_ptr<Connection>>> idle_;
 };
--- a/src/transport/http_server.cpp
+++ b/src/transport/http_server.cpp
@@ -13,9 +13,9 @@
 
 constexpr auto idleLimit = 90s;  // an open connection without a request
 constexpr auto readLimit = 10s;  // a request that trickles in
-constexpr auto sweepPeriod = 2s;
+constexpr auto idleCheckPeriod = 2s;
 constexpr std::size_t maxUrl = 2048;
-constexpr double crowdedFraction = 0.8;  // of the connections
+constexpr double nearLimitFraction = 0.8;  // of the connections
 
 const char* reason(int status) {
     switch (status) {
@@ -118,7 +118,7 @@
     }
 
     void respond(const HttpResponse& response) {
-        keepAlive = keepAlive && !server->crowded();
+        keepAlive = keepAlive && !server->isNearConnectionLimit();
         std::string head = "HTTP/1.1 " + std::to_string(response.status) + " " +
                            reason(response.status) + "\r\nContent-Type: application/cbor\r\n" +
                            "Content-Length: " + std::to_string(response.body.size()) + "\r\n";
@@ -162,17 +162,17 @@
       maxConnections_(maxConnections),
       handler_(std::move(handler)) {
     loop_.watch(listener_.fd(), EPOLLIN, [this](std::uint32_t) { acceptAll(); });
-    sweeper_ = loop_.after(sweepPeriod, [this] { sweep(); });
+    idleTimer_ = loop_.after(idleCheckPeriod, [this] { closeIdleConnections(); });
 }
 
 HttpServer::~HttpServer() {
-    loop_.cancel(sweeper_);
+    loop_.cancel(idleTimer_);
     loop_.unwatch(listener_.fd());
 }
 
-bool HttpServer::crowded() const {
+bool HttpServer::isNearConnectionLimit() const {
     return static_cast<double>(connections_.size()) >
-           static_cast<double>(maxConnections_) * crowdedFraction;
+           static_cast<double>(maxConnections_) * nearLimitFraction;
 }
 
 void HttpServer::acceptAll() {
@@ -194,14 +194,14 @@
     }
 }
 
-void HttpServer::sweep() {
+void HttpServer::closeIdleConnections() {
     const auto now = loop_.now();
     std::erase_if(connections_, [now](const auto& c) {
         if (!c->stream->open()) return true;
         if (c->busy) return false;
         return now - c->lastActive > (c->reading ? Duration(readLimit) : Duration(idleLimit));
     });
-    sweeper_ = loop_.after(sweepPeriod, [this] { sweep(); });
+    idleTimer_ = loop_.after(idleCheckPeriod, [this] { closeIdleConnections(); });
 }
 
 }  // namespace fawnwheel::transport
--- a/src/transport/http_server.h
+++ b/src/transport/http_server.h
@@ -1,4 +1,5 @@
-// HTTP/1.1 server: keep-alive, no pipelining, bounded bodies and connections, idle time-outs.
+/// @file
+/// HTTP/1.1 server: keep-alive, no pipelining, bounded bodies and connections, idle time-outs.
 #pragma once
 
 #include <memory>
@@ -8,6 +9,8 @@
 
 namespace fawnwheel::transport {
 
+/// Accepts connections and passes each request to the handler. Runs on the loop's thread; the loop
+/// must outlive it.
 class HttpServer {
   public:
     HttpServer(Loop& loop, const std::string& address, std::size_t maxConnections,
@@ -23,15 +26,15 @@
 
     // More clients than connections may come, say every worker's of a fleet whose other nodes are
     // gone. When most are taken, each answer ends its connection, so that all get their turn.
-    [[nodiscard]] bool crowded() const;
+    [[nodiscard]] bool isNearConnectionLimit() const;
     void acceptAll();
-    void sweep();
+    void closeIdleConnections();
 
     Loop& loop_;
     Socket listener_;
     std::size_t maxConnections_;
     HttpHandler handler_;
-    TimerId sweeper_ = 0;
+    TimerId idleTimer_ = 0;
     std::unordered_set<std::shared_ptr<Connection>> connections_;
 };
 
--- a/src/transport/interfaces.h
+++ b/src/transport/interfaces.h
@@ -1,5 +1,6 @@
-// The two small interfaces behind which time and network sit, so that the same code runs on
-// epoll and in the tests' virtual time.
+/// @file
+/// The two small interfaces behind which time and network sit, so that the same code runs on
+/// epoll and in the tests' virtual time.
 #pragma once
 
 #include <chrono>
@@ -15,40 +16,46 @@
 using Duration = std::chrono::steady_clock::duration;
 using TimerId = std::uint64_t;
 
+/// Clocks and one-shot timers. Actions run on the event loop's thread.
 class Timers {
   public:
     virtual ~Timers() = default;
     [[nodiscard]] virtual SteadyTime now() const = 0;
     [[nodiscard]] virtual WallTime wallNow() const = 0;
+    /// Runs `action` once, after `delay`.
     virtual TimerId after(Duration delay, std::function<void()> action) = 0;
+    /// No effect if the action has run.
     virtual void cancel(TimerId id) = 0;
 };
 
+/// An HTTP request without headers.
 struct HttpRequest {
     std::string method;
-    std::string path;  // with the query
+    std::string path;  ///< with the query
     std::string body;
 };
 
+/// An HTTP response; the only header kept is `Retry-After`.
 struct HttpResponse {
     int status = 0;
     std::string body;
-    int retryAfterSeconds = 0;  // 0: no such header
+    int retryAfterSeconds = 0;  ///< 0: no such header
 };
 
-// An empty response: none arrived, and the request may or may not have been carried out.
+/// An empty response: none arrived, and the request may or may not have been carried out.
 using HttpDone = std::function<void(std::optional<HttpResponse>)>;
-// A handler answers each request exactly once, now or later.
+/// A handler answers each request exactly once, now or later.
 using HttpReply = std::function<void(HttpResponse)>;
 using HttpHandler = std::function<void(HttpRequest, HttpReply)>;
 
+/// Outgoing calls and peer frames. Not thread-safe; callbacks run on the event loop's thread.
 class Network {
   public:
     virtual ~Network() = default;
-    // `address` is "ip:port"; `done` is called exactly once.
+    /// `address` is "ip:port"; `done` is called exactly once.
     virtual void call(const std::string& address, HttpRequest request, Duration timeout,
                       HttpDone done) = 0;
-    // One-way, best effort, in order while the connection lasts.
+    /// One-way, best effort, in order while the connection lasts.
     virtual void sendFrame(const std::string& peer, std::string payload) = 0;
 };
 
--- a/src/transport/loop.h
+++ b/src/transport/loop.h
@@ -1,4 +1,5 @@
-// The event loop: epoll for sockets, an ordered map for timers.
+/// @file
+/// The event loop: epoll for sockets, an ordered map for timers.
 #pragma once
 
 #include <functional>
@@ -10,6 +11,7 @@
 
 namespace fawnwheel::transport {
 
+/// Single-threaded event loop: all methods and callbacks run on the thread that calls `run`.
 class Loop final : public Timers {
   public:
     using IoAction = std::function<void(std::uint32_t events)>;
@@ -24,11 +26,13 @@
     TimerId after(Duration delay, std::function<void()> action) override;
     void cancel(TimerId id) override;
 
+    /// Calls `action` on the epoll `events` of the descriptor, until `unwatch`. Does not own it.
     void watch(int fd, std::uint32_t events, IoAction action);
+    /// Replaces the events that are watched.
     void change(int fd, std::uint32_t events);
     void unwatch(int fd);
 
-    void run();  // until stop()
+    void run();  ///< until stop()
     void stop() { stopped_ = true; }
 
   private:
--- a/src/transport/socket.h
+++ b/src/transport/socket.h
@@ -1,4 +1,5 @@
-// Non-blocking TCP sockets over IPv4, addressed by "ip:port".
+/// @file
+/// Non-blocking TCP sockets over IPv4, addressed by "ip:port".
 #pragma once
 
 #include <memory>
@@ -9,6 +10,7 @@
 
 namespace fawnwheel::transport {
 
+/// Owning file descriptor of a socket; closed on destruction.
 class Socket {
   public:
     explicit Socket(int fd = -1) : fd_(fd) {}
@@ -26,11 +28,11 @@
     int fd_;
 };
 
-Socket listenOn(const std::string& address);   // throws std::system_error
-Socket connectTo(const std::string& address);  // in progress; closed on failure
-Socket acceptFrom(const Socket& listener);     // closed when there is none
+Socket listenOn(const std::string& address);   ///< throws std::system_error
+Socket connectTo(const std::string& address);  ///< in progress; closed on failure
+Socket acceptFrom(const Socket& listener);     ///< closed when there is none
 
-// A connected stream with an output buffer. Owns its socket; calls back on input and on its end.
+/// A connected stream with an output buffer. Owns its socket; calls back on input and on its end.
 class Stream : public std::enable_shared_from_this<Stream> {
   public:
     using OnData = std::function<void(std::string_view)>;
@@ -45,7 +47,7 @@
     void write(std::string_view bytes);
     void pauseReading(bool paused);
     void closeWhenWritten();
-    void close();  // without calling back
+    void close();  ///< without calling back
     [[nodiscard]] bool open() const { return socket_.open(); }
     [[nodiscard]] std::size_t unsent() const { return out_.size() - sent_; }
 
--- a/src/transport/tcp_network.h
+++ b/src/transport/tcp_network.h
@@ -1,4 +1,5 @@
-// The Network of a real process: HTTP client and peer link on the epoll loop.
+/// @file
+/// The Network of a real process: HTTP client and peer link on the epoll loop.
 #pragma once
 
 #include "transport/frame_link.h"
@@ -6,6 +7,7 @@
 
 namespace fawnwheel::transport {
 
+/// Network of a real process; the loop must outlive it.
 class TcpNetwork final : public Network {
   public:
     TcpNetwork(Loop& loop, HttpClient client, const std::string& peerAddress,
--- a/tests/sim/world_cloud.cpp
+++ b/tests/sim/world_cloud.cpp
@@ -60,7 +60,7 @@
     // In name order, a page at a time.
     const auto query = queryOf(request.path);
     const auto since = query.contains(wire::querySince) ? query.at(wire::querySince) : "";
-    const auto most = std::stoul(query.at(wire::queryMost));
+    const auto most = std::stoul(query.at(wire::queryLimit));
     Json machines = Json::array();
     bool more = false;
     for (auto at = workers_.upper_bound(since); at != workers_.end(); ++at) {
--- a/tests/sim/world_state.cpp
+++ b/tests/sim/world_state.cpp
@@ -214,7 +214,7 @@
     if (path == wire::pathKeys) {
         Json items = Json::array();
         const auto prefix = text(wire::queryPrefix);
-        const auto most = std::stoul(text(wire::queryMost));
+        const auto most = std::stoul(text(wire::queryLimit));
         bool more = false;
         for (auto at = records_.upper_bound(std::max(text(wire::querySince), prefix));
              at != records_.end() && at->first.starts_with(prefix); ++at) {
--- a/tests/unit/coordination/migration/machine_transfers_test.cpp
+++ b/tests/unit/coordination/migration/machine_transfers_test.cpp
@@ -93,7 +93,7 @@
     void give(const std::string& id) {
         const auto plan = planFor(id);
         ASSERT_TRUE(std::holds_alternative<rebalancing::Handover>(plan))
-            << describe(std::get<rebalancing::Refusal>(plan));
+            << toString(std::get<rebalancing::Refusal>(plan));
         given.reset();
         EXPECT_FALSE(transfers.give(0, 2, std::get<rebalancing::Handover>(plan),
                                     [this](bool done) { given = done; }));
@@ -225,7 +225,7 @@
     EXPECT_EQ(refusedWith([&] { known.lastHeartbeat = context.now() - 11s; }), Refusal::silent);
     EXPECT_EQ(refusedWith([&] { known.expectedToken = known.acknowledgedToken + 1; }),
               Refusal::silent);
-    EXPECT_EQ(refusedWith([&] { known.known = context.now() - 29s; }), Refusal::heldTooShort);
+    EXPECT_EQ(refusedWith([&] { known.known = context.now() - 29s; }), Refusal::belowMinTenure);
     EXPECT_EQ(refusedWith([&] {
                   known.reservedFor = "run-1";  // of the giver's own partition
                   known.reservedUntil = context.now() + 5s;
--- a/tests/unit/protocol/peer_codec_test.cpp
+++ b/tests/unit/protocol/peer_codec_test.cpp
@@ -24,9 +24,9 @@
     EXPECT_FALSE(status.ready);
     EXPECT_EQ(status.incarnation, 9U);
     EXPECT_EQ(status.applied, 10U);
-    EXPECT_EQ(status.acknowledgedLife, 11U);
+    EXPECT_EQ(status.acknowledgedIncarnation, 11U);
     EXPECT_EQ(status.acknowledged, 12U);
-    EXPECT_TRUE(status.vouches);
+    EXPECT_TRUE(status.cancellationsCovered);
     EXPECT_FALSE(status.complete);
     EXPECT_EQ(status.position, 13U);
     EXPECT_EQ(status.next, 15U);
@@ -67,7 +67,7 @@
     EXPECT_EQ(demand.zone, "a");
     EXPECT_TRUE(demand.spot);
     EXPECT_EQ(demand.tasks, 12U);
-    EXPECT_TRUE(demand.whole);
+    EXPECT_TRUE(demand.indivisible);
     EXPECT_EQ(demand.urgency, 5U);
     EXPECT_EQ(demand.since, 99U);
     const auto leader = roundTrip(LeaderHeartbeat{status, {1, 3}, {70, 71}});
--- a/tests/unit/rebalancing/transfer_plan_test.cpp
+++ b/tests/unit/rebalancing/transfer_plan_test.cpp
@@ -146,22 +146,22 @@
     DemandAverage average({2, 10, 0.5});
     const std::vector<Demand> three{{shapeOf(1), 3, false, 1}};
     average.sample({{shapeOf(1), 3, false, 1}});
-    EXPECT_TRUE(average.asked().empty());  // 1.5
+    EXPECT_TRUE(average.requested().empty());  // 1.5
     average.sample(three);
-    ASSERT_EQ(average.asked().size(), 1U);  // 2.25: a little above low, but never half a task
-    EXPECT_EQ(average.asked().front().tasks, 1);
+    ASSERT_EQ(average.requested().size(), 1U);  // 2.25: a little above low, but never half a task
+    EXPECT_EQ(average.requested().front().tasks, 1);
     for (int i = 0; i < 12; ++i) average.sample({{shapeOf(1), 40, false, 1}});
-    EXPECT_EQ(average.asked().front().tasks, 40);
+    EXPECT_EQ(average.requested().front().tasks, 40);
     EXPECT_TRUE(average.isShortOf("large", "a", true, {1, 0, 1}));
     EXPECT_FALSE(average.isShortOf("large", "a", true, {0.5, 0, 1}));
     average.sample({});
-    EXPECT_TRUE(average.asked().empty());
+    EXPECT_TRUE(average.requested().empty());
 }
 
 TEST(DemandAverage, AGangAsksForAllOfItsMachines) {
     DemandAverage average({1, 100, 1});
     average.sample({{shapeOf(1), 12, true, 1}});
-    EXPECT_EQ(average.asked().front().tasks, 12);
+    EXPECT_EQ(average.requested().front().tasks, 12);
 }
 
 TEST(TransferRateLimiter, AllowsSoManyTransfersAndChanges) {
