--- a/src/storage/cluster_state.h
+++ b/src/storage/cluster_state.h
@@ -49,6 +49,7 @@
 class ClusterState {
   public:
     ClusterState() : dependencyGraph(jobs) {}
+    ~ClusterState() = default;
     ClusterState(const ClusterState&) = delete;
     ClusterState& operator=(const ClusterState&) = delete;
 
--- a/src/storage/job.cpp
+++ b/src/storage/job.cpp
@@ -12,16 +12,22 @@
 // only one that fits.
 constexpr std::chrono::seconds avoidanceDuration{60};
 
+// A pointer to the task's allocation, as const as the list; null: it has none.
+template <typename Allocations>
+auto* findAllocation(Allocations& allocations, std::uint32_t task) {
+    const auto found = std::find_if(allocations.begin(), allocations.end(),
+                                    [task](const Allocation& a) { return a.task == task; });
+    return found == allocations.end() ? nullptr : &*found;
+}
+
 }  // namespace
 
 const Allocation* Slice::allocationOf(std::uint32_t task) const {
-    const auto found = std::find_if(allocations.begin(), allocations.end(),
-                                    [task](const Allocation& c) { return c.task == task; });
-    return found == allocations.end() ? nullptr : &*found;
+    return findAllocation(allocations, task);
 }
 
 Allocation* Slice::allocationOf(std::uint32_t task) {
-    return const_cast<Allocation*>(std::as_const(*this).allocationOf(task));
+    return findAllocation(allocations, task);
 }
 
 bool Slice::unstarted(std::uint32_t task) const {
--- a/tests/unit/transport/http_test.cpp
+++ b/tests/unit/transport/http_test.cpp
@@ -1,4 +1,6 @@
+#include <arpa/inet.h>
 #include <gtest/gtest.h>
+#include <sys/socket.h>
 
 #include <deque>
 
@@ -10,15 +12,27 @@
 
 using namespace std::chrono_literals;
 
-const std::string crowdAddress = "127.0.0.1:38217";
-const std::string stateAddress = "127.0.0.1:38218";  // tests may run side by side
+// An address on loopback that nobody listens on: with a fixed port, two runs side by side failed.
+std::string freeAddress() {
+    const Socket probe(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
+    sockaddr_in where{};
+    where.sin_family = AF_INET;
+    where.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+    socklen_t size = sizeof where;
+    auto* const address = reinterpret_cast<sockaddr*>(&where);
+    if (::bind(probe.fd(), address, size) != 0 || ::getsockname(probe.fd(), address, &size) != 0)
+        throw std::system_error(errno, std::generic_category(), "free address");
+    return "127.0.0.1:" + std::to_string(ntohs(where.sin_port));
+}
+
 constexpr auto retryPause = 20ms;
 constexpr int callsEach = 3;
 
 // Workers that keep their connections as long as they are let, more of them than the server has.
 class Crowd {
   public:
-    Crowd(Loop& loop, std::size_t size) : loop_(loop), served_(size, 0) {
+    Crowd(Loop& loop, std::string address, std::size_t size)
+        : loop_(loop), address_(std::move(address)), served_(size, 0) {
         for (std::size_t i = 0; i < size; ++i)
             clients_.emplace_back(loop, 1, std::set<std::string>{});
         for (std::size_t i = 0; i < size; ++i) call(i);
@@ -29,7 +43,7 @@
 
   private:
     void call(std::size_t who) {
-        clients_[who].call(crowdAddress, {"GET", "/" + std::to_string(who), {}}, 1s,
+        clients_[who].call(address_, {"GET", "/" + std::to_string(who), {}}, 1s,
                            [this, who](const std::optional<HttpResponse>& response) {
                                if (response && response->status == 200) ++served_[who];
                                if (leastServed() >= callsEach) return loop_.stop();
@@ -38,23 +52,26 @@
     }
 
     Loop& loop_;
+    std::string address_;
     std::deque<HttpClient> clients_;
     std::vector<int> served_;
 };
 
 TEST(Http, NoClientOfACrowdIsAlwaysShutOut) {
     Loop loop;
-    const HttpServer server(loop, crowdAddress, 8, [](const HttpRequest&, const HttpReply& reply) {
+    const auto address = freeAddress();
+    const HttpServer server(loop, address, 8, [](const HttpRequest&, const HttpReply& reply) {
         reply({200, {}, 0});
     });
-    const Crowd crowd(loop, 40);
+    const Crowd crowd(loop, address, 40);
     loop.after(10s, [&loop] { loop.stop(); });
     loop.run();
     EXPECT_GE(crowd.leastServed(), callsEach);
 }
 
-TEST(Http, OrdersLeaveTheStateServiceItsConnection) {
+TEST(Http, CommandsLeaveTheStateServiceItsConnection) {
     Loop loop;
+    const auto stateAddress = freeAddress();
     const HttpServer server(loop, stateAddress, 8,
                             [](const HttpRequest& request, const HttpReply& reply) {
                                 if (request.path == "/state")
