--- a/src/main.cpp
+++ b/src/main.cpp
@@ -18,8 +18,8 @@
 using namespace fawnwheel;
 
 constexpr int exitSettings = 2;
-// Of the sockets, what users and workers may take, and what orders to workers may; the rest is for
-// peers, state and cloud.
+// Of the sockets, what users and workers may take, and what commands to workers may; the rest is
+// for peers, state and cloud.
 constexpr double frontFractionOfSockets = 0.8;
 constexpr double commandFractionOfSockets = 0.1;
 
--- a/src/protocol/cloud_client.cpp
+++ b/src/protocol/cloud_client.cpp
@@ -20,6 +20,17 @@
     return decodeCbor(response->body);
 }
 
+std::vector<std::string> machineIds(const Json& answer) {
+    std::vector<std::string> ids;
+    for (const auto& id : listOf(answer, wire::machines))
+        if (id.is_string()) ids.push_back(id.get<std::string>());
+    return ids;
+}
+
+bool isCapacityError(const Json& answer) {
+    return textOf(answer, "error") == "no capacity";
+}
+
 }  // namespace
 
 CloudClient::CloudClient(transport::Timers& timers, transport::Network& network,
@@ -83,17 +94,12 @@
                     {wire::spot, spot},
                     {wire::count, count}};
     enqueue({"POST", wire::pathMachines, encodeCbor(body)},
-            [done = std::move(done)](std::optional<transport::HttpResponse> response) {
+            [done = std::move(done)](const std::optional<transport::HttpResponse>& response) {
                 if (!response) return done(ProvisioningResult::unknown, {});
                 const auto answer = decodeCbor(response->body);
-                if (response->status == 200 && answer) {
-                    std::vector<std::string> names;
-                    for (const auto& name : listOf(*answer, wire::machines))
-                        if (name.is_string()) names.push_back(name.get<std::string>());
-                    return done(ProvisioningResult::provisioned, std::move(names));
-                }
-                const bool full =
-                    response->status == 503 && answer && textOf(*answer, "error") == "no capacity";
+                if (response->status == 200 && answer)
+                    return done(ProvisioningResult::provisioned, machineIds(*answer));
+                const bool full = response->status == 503 && answer && isCapacityError(*answer);
                 done(full ? ProvisioningResult::noCapacity : ProvisioningResult::failed, {});
             });
 }
--- a/src/protocol/state_client.cpp
+++ b/src/protocol/state_client.cpp
@@ -47,6 +47,91 @@
     return item;
 }
 
+using Response = std::optional<transport::HttpResponse>;
+
+std::optional<Json> bodyOf(const Response& response) {
+    return response ? decodeCbor(response->body) : std::nullopt;
+}
+
+CompareAndSwapResponse parseTransactionResponse(const Response& response) {
+    CompareAndSwapResponse answer;
+    answer.result = plainResult(response);
+    const auto map = bodyOf(response);
+    if (!map) return answer;
+    answer.revision = countOf(*map, wire::revision);
+    for (const auto& key : listOf(*map, wire::failed))
+        if (key.is_string()) answer.failed.push_back(key.get<std::string>());
+    return answer;
+}
+
+ReadResponse parseReadResponse(const Response& response) {
+    ReadResponse answer;
+    answer.result = plainResult(response);
+    const auto map = bodyOf(response);
+    if (answer.result == StateResult::ok) {
+        if (map)
+            answer.items.push_back(parseItem(*map));
+        else
+            answer.result = StateResult::unknown;
+    } else if (response && response->status == 404) {
+        answer.result = StateResult::ok;
+        if (map) answer.revision = countOf(*map, wire::revision);
+    }
+    return answer;
+}
+
+ReadResponse parseRangeResponse(const Response& response) {
+    ReadResponse answer;
+    answer.result = plainResult(response);
+    const auto map = bodyOf(response);
+    if (answer.result == StateResult::ok && !map) answer.result = StateResult::unknown;
+    if (answer.result != StateResult::ok) return answer;
+    for (const auto& entry : listOf(*map, wire::items)) answer.items.push_back(parseItem(entry));
+    answer.more = flagOf(*map, wire::more);
+    answer.revision = countOf(*map, wire::revision);
+    return answer;
+}
+
+Event parseEvent(const Json& entry) {
+    Event event;
+    event.version = countOf(entry, wire::version);
+    event.key = textOf(entry, wire::put);
+    if (event.key.empty())
+        event.key = textOf(entry, wire::drop);
+    else
+        event.value = entry.value(wire::value, Json());
+    return event;
+}
+
+WatchResponse parseWatchResponse(const Response& response) {
+    WatchResponse answer;
+    answer.result = plainResult(response);
+    answer.tooOld = response && response->status == 410;
+    const auto map = bodyOf(response);
+    if (answer.result == StateResult::ok && !map) answer.result = StateResult::unknown;
+    if (answer.result != StateResult::ok) return answer;
+    answer.revision = countOf(*map, wire::revision);
+    for (const auto& entry : listOf(*map, wire::events)) answer.events.push_back(parseEvent(entry));
+    return answer;
+}
+
+Json encodeTransaction(CompareAndSwap transaction) {
+    Json compares = Json::array();
+    for (const auto& compare : transaction.compares)
+        compares.push_back({{wire::key, compare.key}, {wire::version, compare.version}});
+    Json writes = Json::array();
+    for (auto& write : transaction.writes) {
+        if (!write.value) {
+            writes.push_back({{wire::drop, write.key}});
+            continue;
+        }
+        Json entry{{wire::put, write.key}, {wire::value, std::move(*write.value)}};
+        if (write.lease != 0) entry[wire::lease] = write.lease;
+        writes.push_back(std::move(entry));
+    }
+    return {{wire::compares, std::move(compares)}, {wire::writes, std::move(writes)}};
+}
+
 }  // namespace
 
 StateClient::StateClient(transport::Timers& timers, transport::Network& network,
@@ -149,38 +234,14 @@
 
 void StateClient::transact(CompareAndSwap transaction, RequestPriority priority,
                            std::function<void(CompareAndSwapResponse)> done) {
-    Json compares = Json::array();
-    for (const auto& compare : transaction.compares)
-        compares.push_back({{wire::key, compare.key}, {wire::version, compare.version}});
-    Json writes = Json::array();
-    for (auto& write : transaction.writes) {
-        if (!write.value) {
-            writes.push_back({{wire::drop, write.key}});
-            continue;
-        }
-        Json entry{{wire::put, write.key}, {wire::value, std::move(*write.value)}};
-        if (write.lease != 0) entry[wire::lease] = write.lease;
-        writes.push_back(std::move(entry));
-    }
     const auto writeCount = static_cast<double>(transaction.writes.size());
-    Json body{{wire::compares, std::move(compares)}, {wire::writes, std::move(writes)}};
+    const Json body = encodeTransaction(std::move(transaction));
     enqueue(priority, {{"POST", wire::pathTransaction, encodeCbor(body)},
                        requestTimeout,
                        writeCount,
                        {},
-                       [done = std::move(done)](std::optional<transport::HttpResponse> response) {
-                           CompareAndSwapResponse answer;
-                           answer.result = plainResult(response);
-                           if (response) {
-                               const auto map = decodeCbor(response->body);
-                               if (map) {
-                                   answer.revision = countOf(*map, wire::revision);
-                                   for (const auto& key : listOf(*map, wire::failed))
-                                       if (key.is_string())
-                                           answer.failed.push_back(key.get<std::string>());
-                               }
-                           }
-                           done(std::move(answer));
+                       [done = std::move(done)](const Response& response) {
+                           done(parseTransactionResponse(response));
                        }});
 }
 
@@ -190,20 +251,8 @@
                        requestTimeout,
                        0,
                        {},
-                       [done = std::move(done)](std::optional<transport::HttpResponse> response) {
-                           ReadResponse answer;
-                           answer.result = plainResult(response);
-                           const auto map = response ? decodeCbor(response->body) : std::nullopt;
-                           if (answer.result == StateResult::ok) {
-                               if (map)
-                                   answer.items.push_back(parseItem(*map));
-                               else
-                                   answer.result = StateResult::unknown;
-                           } else if (response && response->status == 404) {
-                               answer.result = StateResult::ok;
-                               if (map) answer.revision = countOf(*map, wire::revision);
-                           }
-                           done(std::move(answer));
+                       [done = std::move(done)](const Response& response) {
+                           done(parseReadResponse(response));
                        }});
 }
 
@@ -212,24 +261,13 @@
     std::string path = std::string(wire::pathKeys) + "?" + wire::queryPrefix + "=" + prefix + "&" +
                        wire::queryLimit + "=" + std::to_string(rangePage);
     if (!after.empty()) path += std::string("&") + wire::querySince + "=" + after;
-    enqueue(RequestPriority::read,
-            {{"GET", std::move(path), {}},
-             requestTimeout,
-             0,
-             {},
-             [done = std::move(done)](std::optional<transport::HttpResponse> response) {
-                 ReadResponse answer;
-                 answer.result = plainResult(response);
-                 const auto map = response ? decodeCbor(response->body) : std::nullopt;
-                 if (answer.result == StateResult::ok && !map) answer.result = StateResult::unknown;
-                 if (answer.result == StateResult::ok) {
-                     for (const auto& entry : listOf(*map, wire::items))
-                         answer.items.push_back(parseItem(entry));
-                     answer.more = flagOf(*map, wire::more);
-                     answer.revision = countOf(*map, wire::revision);
-                 }
-                 done(std::move(answer));
-             }});
+    enqueue(RequestPriority::read, {{"GET", std::move(path), {}},
+                                    requestTimeout,
+                                    0,
+                                    {},
+                                    [done = std::move(done)](const Response& response) {
+                                        done(parseRangeResponse(response));
+                                    }});
 }
 
 void StateClient::watch(const std::string& prefix, std::uint64_t since, transport::Duration wait,
@@ -238,32 +276,13 @@
     std::string path = std::string(wire::pathWatch) + "?" + wire::queryPrefix + "=" + prefix + "&" +
                        wire::querySince + "=" + std::to_string(since) + "&" + wire::queryWait +
                        "=" + std::to_string(millis.count());
-    enqueue(RequestPriority::read,
-            {{"GET", std::move(path), {}},
-             wait + requestTimeout,
-             0,
-             {},
-             [done = std::move(done)](std::optional<transport::HttpResponse> response) {
-                 WatchResponse answer;
-                 answer.result = plainResult(response);
-                 answer.tooOld = response && response->status == 410;
-                 const auto map = response ? decodeCbor(response->body) : std::nullopt;
-                 if (answer.result == StateResult::ok && !map) answer.result = StateResult::unknown;
-                 if (answer.result == StateResult::ok) {
-                     answer.revision = countOf(*map, wire::revision);
-                     for (const auto& entry : listOf(*map, wire::events)) {
-                         Event event;
-                         event.version = countOf(entry, wire::version);
-                         event.key = textOf(entry, wire::put);
-                         if (event.key.empty())
-                             event.key = textOf(entry, wire::drop);
-                         else
-                             event.value = entry.value(wire::value, Json());
-                         answer.events.push_back(std::move(event));
-                     }
-                 }
-                 done(std::move(answer));
-             }});
+    enqueue(RequestPriority::read, {{"GET", std::move(path), {}},
+                                    wait + requestTimeout,
+                                    0,
+                                    {},
+                                    [done = std::move(done)](const Response& response) {
+                                        done(parseWatchResponse(response));
+                                    }});
 }
 
 void StateClient::grantLease(transport::Duration ttl, std::function<void(std::uint64_t)> done) {
--- a/src/transport/http_client.cpp
+++ b/src/transport/http_client.cpp
@@ -131,7 +131,7 @@
         loop_.cancel(connection->timer);
         return connection;
     }
-    // Orders to the workers of a whole fleet must not take the sockets of all else.
+    // Commands to all workers must not use up the sockets that everything else needs.
     if (*open_ >= maxConnections_ && !unboundedAddresses_.contains(address) &&
         !evictIdleConnection())
         return nullptr;
