--- a/src/rebalancing/transfer_plan.h
+++ b/src/rebalancing/transfer_plan.h
@@ -66,17 +66,18 @@
 };
 
 /// Builds the transportation problem; makes no transfers.
-PlanModel makeModel(const PlanInput& input);
+[[nodiscard]] PlanModel makeModel(const PlanInput& input);
 
 /// In the order of urgency, the cheapest machines first.
-TransferPlan planGreedily(const PlanModel& model);
+[[nodiscard]] TransferPlan planGreedily(const PlanModel& model);
 /// The least cost by a minimum-cost flow; none: not found after examining `maxSteps` arcs.
-std::optional<TransferPlan> planByMinCostFlow(const PlanModel& model, std::size_t maxSteps);
+[[nodiscard]] std::optional<TransferPlan> planByMinCostFlow(const PlanModel& model,
+                                                            std::size_t maxSteps);
 /// By flow, and greedily where that takes too long.
-TransferPlan makePlan(const PlanInput& input, std::size_t maxSteps);
+[[nodiscard]] TransferPlan makePlan(const PlanInput& input, std::size_t maxSteps);
 
 /// Machines that each partition would have after the plan, by partition.
-std::map<std::uint32_t, std::int64_t> targets(const PlanInput& input, const TransferPlan& plan,
-                                              std::map<std::uint32_t, std::int64_t> held);
+[[nodiscard]] std::map<std::uint32_t, std::int64_t> targets(
+    const PlanInput& input, const TransferPlan& plan, std::map<std::uint32_t, std::int64_t> held);
 
 }  // namespace fawnwheel::rebalancing
--- a/src/transport/socket.h
+++ b/src/transport/socket.h
@@ -28,9 +28,12 @@
     int fd_;
 };
 
-Socket listenOn(const std::string& address);   ///< throws std::system_error
-Socket connectTo(const std::string& address);  ///< in progress; closed on failure
-Socket acceptFrom(const Socket& listener);     ///< closed when there is none
+/// Listening socket on the address. Throws std::system_error.
+[[nodiscard]] Socket listenOn(const std::string& address);
+/// Socket whose connection is in progress; closed on failure.
+[[nodiscard]] Socket connectTo(const std::string& address);
+/// The next waiting connection; a closed socket if there is none.
+[[nodiscard]] Socket acceptFrom(const Socket& listener);
 
 /// A connected stream with an output buffer. Owns its socket; calls back on input and on its end.
 class Stream : public std::enable_shared_from_this<Stream> {
