--- a/src/coordination/migration/rebalancer.cpp
+++ b/src/coordination/migration/rebalancer.cpp
@@ -14,6 +14,8 @@
 constexpr double freshPeriods = 3.5;
 constexpr std::size_t maxDemands = 16;  // of one partition, the most urgent
 constexpr double thousandth = 0.001;
+constexpr auto transferredFormat =
+    "rebalancer: machine_transferred machine={} machines={} tasks={} from={} to={} done={}";
 constexpr auto retryPause = 100ms;  // while records that go first are written
 constexpr auto logInterval = 60s;
 constexpr double silentHeartbeats = 2.5;  // no machine that has missed so many goes
@@ -358,12 +360,9 @@
         const auto& handover = std::get<rebalancing::Handover>(plan);
         const auto refusal = transfers_.give(
             transfer.from, transfer.to, handover,
-            [this, machine, transfer, tasks = handover.tasks(),
-             machines = handover.machines.size()](bool given) {
-                spdlog::info(
-                    "rebalancer: machine_transferred machine={} machines={} tasks={} from={} to={} "
-                    "done={}",
-                    machine, machines, tasks, transfer.from, transfer.to, given);
+            [this, machine, from = transfer.from, to = transfer.to, tasks = handover.tasks(),
+             machines = handover.machines.size()](bool done) {
+                spdlog::info(transferredFormat, machine, machines, tasks, from, to, done);
                 rounds_.scheduleRound();
             });
         if (refusal) {
--- a/src/rebalancing/handover.cpp
+++ b/src/rebalancing/handover.cpp
@@ -194,35 +194,35 @@
 std::string_view toString(Refusal refusal) {
     switch (refusal) {
         case Refusal::notOurs:
-            return "not this part's";
+            return "not this partition's";
         case Refusal::notRecorded:
             return "not recorded yet";
         case Refusal::leaving:
-            return "being drained or given back";
+            return "drained or decommissioned";
         case Refusal::transferring:
-            return "already changing hands";
+            return "already transferring";
         case Refusal::onLoan:
             return "on loan";
         case Refusal::reserved:
-            return "kept for other work";
+            return "reserved for other work";
         case Refusal::silent:
-            return "not heard of lately";
+            return "heartbeats missed";
         case Refusal::belowMinTenure:
-            return "here for too short a time";
+            return "below minimum tenure";
         case Refusal::recordPending:
-            return "a task's place is not recorded yet";
+            return "an allocation is not durable yet";
         case Refusal::taskStopping:
             return "a task is being stopped";
         case Refusal::gangStarting:
-            return "a gang on it has not started";
+            return "a gang is starting";
         case Refusal::jobEnding:
-            return "a job on it is ending";
+            return "a job is ending";
         case Refusal::jobLeaving:
-            return "a job on it is being pushed to a peer";
+            return "a job is migrating";
         case Refusal::limitMoving:
-            return "a share of the team's limit is changing hands";
+            return "quota is being transferred";
         case Refusal::tooLarge:
-            return "too much goes with it for one transaction";
+            return "too large for one transaction";
     }
     return "";
 }
