--- a/src/coordination/context.cpp
+++ b/src/coordination/context.cpp
@@ -25,12 +25,12 @@
 std::uint32_t Context::defaultPartition(const std::string& zone, const std::string& id) const {
     struct ZonedNode {
         std::string zone;
-        std::uint32_t partition = 0;
+        PartitionId partition = 0;
         auto operator<=>(const ZonedNode&) const = default;
     };
     std::vector<ZonedNode> order;
     std::set<std::string> zones;
-    for (std::uint32_t partition = 0; partition < nodes.size(); ++partition) {
+    for (PartitionId partition = 0; partition < nodes.size(); ++partition) {
         order.push_back({settings.zoneOf(nodes[partition]), partition});
         zones.insert(order.back().zone);
     }
--- a/src/coordination/context.h
+++ b/src/coordination/context.h
@@ -23,6 +23,7 @@
 using storage::ClusterState;
 using storage::Job;
 using storage::Machine;
+using storage::PartitionId;
 using storage::Slice;
 using transport::Duration;
 using transport::SteadyTime;
@@ -94,8 +95,8 @@
     }
     /// The partition that a machine belongs to while no record says otherwise; every node agrees on
     /// it. `zone` is the machine's, `id` ends with its number.
-    [[nodiscard]] std::uint32_t defaultPartition(const std::string& zone,
-                                                 const std::string& id) const;
+    [[nodiscard]] PartitionId defaultPartition(const std::string& zone,
+                                               const std::string& id) const;
     /// How old the cancellations known here may be when a worker's lease is renewed: a lease later
     /// its tasks are gone, and that has to be within `cancel_s`. Not above zero: no time is left.
     [[nodiscard]] Duration cancellationSlack() const {
@@ -111,8 +112,8 @@
     const config::OperatorSettings& tuning;
     transport::Timers& timers;
     transport::Network& network;
-    std::vector<std::string> nodes;        // by the number of the partition that each prefers
-    std::uint32_t preferredPartition = 0;  // that this node leads by preference
+    std::vector<std::string> nodes;      // by the number of the partition that each prefers
+    PartitionId preferredPartition = 0;  // that this node leads by preference
     protocol::StateClient state;
     protocol::CloudClient cloud;
     storage::Synchronized<ClusterState> clusterState;
--- a/src/coordination/controller.cpp
+++ b/src/coordination/controller.cpp
@@ -123,7 +123,7 @@
     }
 }
 
-void Controller::onPartitionAcquired(std::uint32_t partition) {
+void Controller::onPartitionAcquired(PartitionId partition) {
     heartbeats_.onPartitionAcquired(partition);
     reachability_.expectHeartbeats();
     scheduleRound();
@@ -134,7 +134,7 @@
     scheduleRound();
 }
 
-void Controller::onPartitionLost(std::uint32_t partition) {
+void Controller::onPartitionLost(PartitionId partition) {
     // Kept over a loss, an allocation that this leader had seen ended, and a successor had started
     // once more by its record, was written off when the partition came back: the task then ran
     // unknown to anybody, and once more elsewhere (scenario unrecorded_over_terms).
--- a/src/coordination/controller.h
+++ b/src/coordination/controller.h
@@ -59,8 +59,8 @@
     void scheduleRound() override;
     void onJobAccepted() override;
     void onJobCancelled(std::function<void()> respond) override;
-    void onPartitionAcquired(std::uint32_t partition) override;
-    void onPartitionLost(std::uint32_t partition) override;
+    void onPartitionAcquired(PartitionId partition) override;
+    void onPartitionLost(PartitionId partition) override;
     void onCancellationsLearned() override { stopCancelledJobs(); }
     void onReachabilityChanged() override;
     void onUnassignedHeartbeat(const protocol::Heartbeat& heartbeat) override {
--- a/src/coordination/membership/failover.cpp
+++ b/src/coordination/membership/failover.cpp
@@ -30,7 +30,7 @@
     if (replica_.synced()) leadership_.announceLosses();
     leadership_.announceAcquisitions();
     if (!replica_.synced() || !lease_.isValid()) return;
-    for (std::uint32_t partition = 0; partition < context_.partitionCount(); ++partition) {
+    for (PartitionId partition = 0; partition < context_.partitionCount(); ++partition) {
         if (leadership_.isCaughtUp(partition))
             reconcileLed(partition);
         else
@@ -38,7 +38,7 @@
     }
 }
 
-void Failover::reconcileLed(std::uint32_t partition) {
+void Failover::reconcileLed(PartitionId partition) {
     if (pipeline_.busy(partition)) return;
     if (reachability_.isUnreachable()) {
         // Its machines' leases would run out, with all that runs on them (incident inc-59fe).
@@ -52,7 +52,7 @@
         transferLeadership(partition, preferredLeader);
 }
 
-void Failover::reconcileUnled(std::uint32_t partition) {
+void Failover::reconcileUnled(PartitionId partition) {
     const auto now = context_.now();
     const auto record = context_.clusterState.lock()->partitions[partition];
     if (record.leader == context_.settings.name) {
@@ -70,7 +70,7 @@
     if (now - since >= failoverRank(partition) * delayPerRank) acquire(partition);
 }
 
-bool Failover::isLeaderless(std::uint32_t partition, const storage::Partition& record) const {
+bool Failover::isLeaderless(PartitionId partition, const storage::Partition& record) const {
     auto clusterState = context_.clusterState.lock();
     if (record.version != 0) return !clusterState->nodes.contains(record.leader);
     const auto& preferredLeader = context_.nodes[partition];
@@ -78,7 +78,7 @@
            !clusterState->nodes.contains(preferredLeader);
 }
 
-std::uint32_t Failover::failoverRank(std::uint32_t partition) const {
+std::uint32_t Failover::failoverRank(PartitionId partition) const {
     // Nodes are ranked from the partition's preferred leader on; a node that no worker reaches
     // comes after all others.
     const auto rank = (context_.preferredPartition + context_.partitionCount() - partition) %
@@ -86,7 +86,7 @@
     return reachability_.isUnreachable() ? rank + context_.partitionCount() : rank;
 }
 
-std::optional<std::string> Failover::successorFor(std::uint32_t partition) const {
+std::optional<std::string> Failover::successorFor(PartitionId partition) const {
     // Near the partition's machines, with as few other partitions as possible, by name last.
     struct Candidate {
         std::size_t machinesInZone = 0;
@@ -112,7 +112,7 @@
     return best->name;
 }
 
-bool Failover::mustDelayAcquisition(std::uint32_t partition) const {
+bool Failover::mustDelayAcquisition(PartitionId partition) const {
     // A refusal says that the records here are older than it: the next try waits until they are
     // not. Back from a cut, a node once tried its stale versions again and again, as urgent as its
     // lease, and so kept itself from reading what would have shown it better (stale_after_cut).
@@ -123,7 +123,7 @@
 }
 
 protocol::CompareAndSwap Failover::acquisitionTransaction(ClusterState& clusterState,
-                                                          std::uint32_t partition,
+                                                          PartitionId partition,
                                                           const storage::Partition& next) {
     protocol::CompareAndSwap transaction;
     const auto& record = clusterState.partitions[partition];
@@ -140,7 +140,7 @@
     return transaction;
 }
 
-void Failover::acquire(std::uint32_t partition) {
+void Failover::acquire(PartitionId partition) {
     if (mustDelayAcquisition(partition) || !changing_.insert(partition).second) return;
     protocol::CompareAndSwap transaction;
     storage::Partition next;
@@ -163,7 +163,7 @@
         });
 }
 
-void Failover::onAcquired(std::uint32_t partition, const storage::Partition& next,
+void Failover::onAcquired(PartitionId partition, const storage::Partition& next,
                           std::uint64_t revision) {
     spdlog::info("failover: partition_acquired partition={} term={}", partition, next.term);
     {
@@ -180,7 +180,7 @@
     reconcile();
 }
 
-void Failover::transferLeadership(std::uint32_t partition, const std::string& node) {
+void Failover::transferLeadership(PartitionId partition, const std::string& node) {
     if (!changing_.insert(partition).second) return;
     protocol::CompareAndSwap transaction;
     storage::Partition next;
--- a/src/coordination/membership/failover.h
+++ b/src/coordination/membership/failover.h
@@ -36,27 +36,25 @@
 
   private:
     void logUpgradeComplete();
-    void reconcileLed(std::uint32_t partition);
-    void reconcileUnled(std::uint32_t partition);
+    void reconcileLed(PartitionId partition);
+    void reconcileUnled(PartitionId partition);
     /// No live node is the partition's leader by its record, nor ought to be its first leader.
-    [[nodiscard]] bool isLeaderless(std::uint32_t partition,
-                                    const storage::Partition& record) const;
+    [[nodiscard]] bool isLeaderless(PartitionId partition, const storage::Partition& record) const;
     /// Position of this node among those that may acquire the partition; 0 acquires at once.
-    [[nodiscard]] std::uint32_t failoverRank(std::uint32_t partition) const;
-    void acquire(std::uint32_t partition);
+    [[nodiscard]] std::uint32_t failoverRank(PartitionId partition) const;
+    void acquire(PartitionId partition);
     /// A refused acquisition must wait until the records here are as new as the refusal.
-    [[nodiscard]] bool mustDelayAcquisition(std::uint32_t partition) const;
+    [[nodiscard]] bool mustDelayAcquisition(PartitionId partition) const;
     /// Makes `next` the partition's record, provided that its leader has lapsed and this node has
     /// not.
     [[nodiscard]] static protocol::CompareAndSwap acquisitionTransaction(
-        ClusterState& clusterState, std::uint32_t partition, const storage::Partition& next);
-    void onAcquired(std::uint32_t partition, const storage::Partition& next,
-                    std::uint64_t revision);
+        ClusterState& clusterState, PartitionId partition, const storage::Partition& next);
+    void onAcquired(PartitionId partition, const storage::Partition& next, std::uint64_t revision);
     /// Makes the other node the partition's leader, which acquires it with a higher term.
-    void transferLeadership(std::uint32_t partition, const std::string& node);
+    void transferLeadership(PartitionId partition, const std::string& node);
     /// The peer that serves a partition's workers best in place of this node; none if no peer
     /// could.
-    [[nodiscard]] std::optional<std::string> successorFor(std::uint32_t partition) const;
+    [[nodiscard]] std::optional<std::string> successorFor(PartitionId partition) const;
 
     struct FailedAcquisition {
         std::uint64_t revision = 0;  // that the service's records had reached when it refused
--- a/src/coordination/membership/membership.h
+++ b/src/coordination/membership/membership.h
@@ -40,22 +40,22 @@
     /// partitions led here.
     [[nodiscard]] bool isLeaseValid() const { return lease_.isValid(); }
     /// See `PartitionLeadership::canAnswerWorkers`.
-    [[nodiscard]] bool canAnswerWorkers(std::uint32_t partition) const {
+    [[nodiscard]] bool canAnswerWorkers(PartitionId partition) const {
         return leadership_.canAnswerWorkers(partition);
     }
     /// Acquired by this process, with a cluster state that holds all that preceded the acquisition.
-    [[nodiscard]] bool isLeader(std::uint32_t partition) const {
+    [[nodiscard]] bool isLeader(PartitionId partition) const {
         return leadership_.isLeader(partition);
     }
-    [[nodiscard]] std::vector<std::uint32_t> ledPartitions() const {
+    [[nodiscard]] std::vector<PartitionId> ledPartitions() const {
         return leadership_.ledPartitions();
     }
-    [[nodiscard]] std::uint64_t term(std::uint32_t partition) const {
+    [[nodiscard]] std::uint64_t term(PartitionId partition) const {
         return leadership_.term(partition);
     }
     /// The least fencing token for a partition's machines. Its low bits are free to grow within a
     /// term.
-    [[nodiscard]] std::uint64_t minFencingToken(std::uint32_t partition) const {
+    [[nodiscard]] std::uint64_t minFencingToken(PartitionId partition) const {
         return term(partition) << fencingTokenBits;
     }
     /// Whether users should be sent to this node.
--- a/src/coordination/membership/membership_observer.h
+++ b/src/coordination/membership/membership_observer.h
@@ -12,10 +12,10 @@
     virtual ~MembershipObserver() = default;
 
     /// This process now leads the partition and may act as its leader once this has returned.
-    virtual void onPartitionAcquired(std::uint32_t partition) = 0;
+    virtual void onPartitionAcquired(PartitionId partition) = 0;
     /// The partition was led here and is no longer, or was not for a while: what was concluded as
     /// its leader and is not recorded is void.
-    virtual void onPartitionLost(std::uint32_t partition) = 0;
+    virtual void onPartitionLost(PartitionId partition) = 0;
     /// Peers have told of cancellations that were unknown here.
     virtual void onCancellationsLearned() = 0;
 };
--- a/src/coordination/membership/node_lease.cpp
+++ b/src/coordination/membership/node_lease.cpp
@@ -78,7 +78,7 @@
 
 void NodeLease::onNodeRefused(const std::vector<std::string>& failedKeys) {
     for (const auto& key : failedKeys)
-        for (std::uint32_t partition = 0; partition < context_.partitionCount(); ++partition)
+        for (PartitionId partition = 0; partition < context_.partitionCount(); ++partition)
             if (key == storage::keys::partition(partition)) acquiredTerms_.forget(partition);
 }
 
--- a/src/coordination/membership/partition_leadership.cpp
+++ b/src/coordination/membership/partition_leadership.cpp
@@ -25,7 +25,7 @@
     return context_.now() <= replica_.currentAsOf() + maxAge || peers_.cancellationsKnown(maxAge);
 }
 
-bool PartitionLeadership::canAnswerWorkers(std::uint32_t partition) const {
+bool PartitionLeadership::canAnswerWorkers(PartitionId partition) const {
     if (!knowsCancellations()) return false;
     if (lease_.isValid()) return true;
     if (!lease_.joined() || context_.state.reachable()) return false;
@@ -38,20 +38,20 @@
     return peers_.outageConfirmedByAll(partition, acquiredTerms_.termOf(partition).value_or(0));
 }
 
-bool PartitionLeadership::isCaughtUp(std::uint32_t partition) const {
+bool PartitionLeadership::isCaughtUp(PartitionId partition) const {
     if (!acquiredTerms_.isRecordedLeader(partition) || !lease_.joined() || !replica_.synced())
         return false;
     auto clusterState = context_.clusterState.lock();
     return clusterState->applied >= clusterState->partitions[partition].version;
 }
 
-bool PartitionLeadership::isAnnounced(std::uint32_t partition) const {
+bool PartitionLeadership::isAnnounced(PartitionId partition) const {
     const auto announced = announcedTerms_.find(partition);
     return announced != announcedTerms_.end() &&
            announced->second == acquiredTerms_.termOf(partition);
 }
 
-bool PartitionLeadership::isLeader(std::uint32_t partition) const {
+bool PartitionLeadership::isLeader(PartitionId partition) const {
     // Only once `onPartitionAcquired` has put aside what was known of the partition's machines. A
     // failover right before an outage once acted on it earlier: leases seemed to have run out long
     // ago.
@@ -60,12 +60,12 @@
 
 std::vector<std::uint32_t> PartitionLeadership::ledPartitions() const {
     std::vector<std::uint32_t> partitions;
-    for (std::uint32_t partition = 0; partition < context_.partitionCount(); ++partition)
+    for (PartitionId partition = 0; partition < context_.partitionCount(); ++partition)
         if (isLeader(partition)) partitions.push_back(partition);
     return partitions;
 }
 
-std::uint64_t PartitionLeadership::term(std::uint32_t partition) const {
+std::uint64_t PartitionLeadership::term(PartitionId partition) const {
     return context_.clusterState.lock()->partitions[partition].term;
 }
 
@@ -80,7 +80,7 @@
 }
 
 void PartitionLeadership::announceAcquisitions() {
-    for (std::uint32_t partition = 0; partition < context_.partitionCount(); ++partition) {
+    for (PartitionId partition = 0; partition < context_.partitionCount(); ++partition) {
         if (!isCaughtUp(partition) || replica_.hasDeferredEvents() || isAnnounced(partition))
             continue;
         const auto term = *acquiredTerms_.termOf(partition);
--- a/src/coordination/membership/partition_leadership.h
+++ b/src/coordination/membership/partition_leadership.h
@@ -25,18 +25,18 @@
 
     /// Acquired by this process, with a cluster state that holds all that preceded the acquisition,
     /// and the observer has been told.
-    [[nodiscard]] bool isLeader(std::uint32_t partition) const;
+    [[nodiscard]] bool isLeader(PartitionId partition) const;
     /// As `isLeader`, but the observer may not have been told yet.
-    [[nodiscard]] bool isCaughtUp(std::uint32_t partition) const;
+    [[nodiscard]] bool isCaughtUp(PartitionId partition) const;
     /// The numbers of all partitions led here, in ascending order.
-    [[nodiscard]] std::vector<std::uint32_t> ledPartitions() const;
-    [[nodiscard]] std::uint64_t term(std::uint32_t partition) const;
+    [[nodiscard]] std::vector<PartitionId> ledPartitions() const;
+    [[nodiscard]] std::uint64_t term(PartitionId partition) const;
 
     /// The partition's workers may be answered: the node's lease is valid, or every peer has just
     /// said that it can't reach the state service either and that it has not acquired the partition
     /// before. Besides, no cancellation that a user was told of may be unknown here for so long
     /// that a worker's lease renewed now could outlast its `cancel_s`.
-    [[nodiscard]] bool canAnswerWorkers(std::uint32_t partition) const;
+    [[nodiscard]] bool canAnswerWorkers(PartitionId partition) const;
 
     /// Tells the observer of the partitions that are no longer led here.
     void announceLosses();
@@ -45,7 +45,7 @@
 
   private:
     [[nodiscard]] bool knowsCancellations() const;
-    [[nodiscard]] bool isAnnounced(std::uint32_t partition) const;
+    [[nodiscard]] bool isAnnounced(PartitionId partition) const;
 
     Context& context_;
     const AcquiredTerms& acquiredTerms_;
--- a/src/coordination/membership/peer_heartbeats.cpp
+++ b/src/coordination/membership/peer_heartbeats.cpp
@@ -64,7 +64,7 @@
         });
 }
 
-bool PeerHeartbeats::outageConfirmedByAll(std::uint32_t partition, std::uint64_t term) const {
+bool PeerHeartbeats::outageConfirmedByAll(PartitionId partition, std::uint64_t term) const {
     const auto now = context_.now();
     return std::all_of(
         context_.settings.peers.begin(), context_.settings.peers.end(), [&](const auto& peer) {
--- a/src/coordination/membership/peer_heartbeats.h
+++ b/src/coordination/membership/peer_heartbeats.h
@@ -54,7 +54,7 @@
     [[nodiscard]] bool cancellationsKnown(Duration maxAge) const;
     /// Every peer has just said that it cannot reach the state service, and none has said that it
     /// leads the partition in a later term than `term`.
-    [[nodiscard]] bool outageConfirmedByAll(std::uint32_t partition, std::uint64_t term) const;
+    [[nodiscard]] bool outageConfirmedByAll(PartitionId partition, std::uint64_t term) const;
 
   private:
     struct PeerState {
--- a/src/coordination/migration/machine_lending.cpp
+++ b/src/coordination/migration/machine_lending.cpp
@@ -17,7 +17,7 @@
 
 }  // namespace
 
-void MachineLending::requestLoans(std::uint32_t partition,
+void MachineLending::requestLoans(PartitionId partition,
                                   const std::vector<UnschedulableWork>& unschedulable) {
     auto clusterState = context_.clusterState.lock();
     for (const auto& entry : unschedulable) {
@@ -38,7 +38,7 @@
 }
 
 std::vector<MachineLending::Lender> MachineLending::findLenders(ClusterState& clusterState,
-                                                                std::uint32_t partition,
+                                                                PartitionId partition,
                                                                 const UnschedulableWork& entry,
                                                                 const Job& gang) const {
     std::vector<Lender> lenders;
@@ -186,7 +186,7 @@
     });
 }
 
-void MachineLending::returnIdleLoans(std::uint32_t partition) {
+void MachineLending::returnIdleLoans(PartitionId partition) {
     const auto now = context_.now();
     std::erase_if(restUntil_, [now](const auto& entry) { return entry.second <= now; });
     std::map<std::uint32_t, std::vector<std::string>> back;
--- a/src/coordination/migration/machine_lending.h
+++ b/src/coordination/migration/machine_lending.h
@@ -24,17 +24,17 @@
           transfers_(transfers) {}
 
     /// Asks peers, those with most idle machines first, for what the partition's gangs lack.
-    void requestLoans(std::uint32_t partition, const std::vector<UnschedulableWork>& unschedulable);
+    void requestLoans(PartitionId partition, const std::vector<UnschedulableWork>& unschedulable);
     /// Lends what is idle and reserves busy machines for the peer's gang, as far as no work here
     /// goes before it. There is no response: the change of the machines' records is one.
     void onLoanRequest(const std::string& peer, const protocol::LoanRequest& request);
     /// Gives back what is no longer needed.
-    void returnIdleLoans(std::uint32_t partition);
+    void returnIdleLoans(PartitionId partition);
 
   private:
     /// What a peer's partition has of use to a gang, in machines.
     struct Lender {
-        std::uint32_t partition = 0;
+        PartitionId partition = 0;
         std::uint32_t idle = 0;
         std::uint32_t busy = 0;  // of use once they are free
         std::uint32_t requested = 0;
@@ -45,8 +45,7 @@
         std::vector<Machine*> busy;  // may be reserved
     };
 
-    [[nodiscard]] std::vector<Lender> findLenders(ClusterState& clusterState,
-                                                  std::uint32_t partition,
+    [[nodiscard]] std::vector<Lender> findLenders(ClusterState& clusterState, PartitionId partition,
                                                   const UnschedulableWork& entry,
                                                   const Job& gang) const;
     /// Sets how many machines each of them is asked for, and puts them in the order of asking.
--- a/src/coordination/migration/machine_transfers.cpp
+++ b/src/coordination/migration/machine_transfers.cpp
@@ -61,7 +61,7 @@
     return transfer.batch.transaction.writes.size() <= writer_.maxWrites();
 }
 
-void MachineTransfers::lend(std::uint32_t from, std::uint32_t to,
+void MachineTransfers::lend(PartitionId from, PartitionId to,
                             const std::vector<std::string>& machines) {
     Transfer transfer;
     {
@@ -114,7 +114,7 @@
         quotas_.settle(clusterState, quota, CommitResult::conflict, 0);
 }
 
-std::optional<rebalancing::Refusal> MachineTransfers::give(std::uint32_t from, std::uint32_t to,
+std::optional<rebalancing::Refusal> MachineTransfers::give(PartitionId from, PartitionId to,
                                                            const rebalancing::Handover& handover,
                                                            std::function<void(bool given)> done) {
     Transfer transfer;
--- a/src/coordination/migration/machine_transfers.h
+++ b/src/coordination/migration/machine_transfers.h
@@ -36,9 +36,9 @@
           observer_(observer) {}
 
     /// Machines without tasks, until they are lent back.
-    void lend(std::uint32_t from, std::uint32_t to, const std::vector<std::string>& machines);
+    void lend(PartitionId from, PartitionId to, const std::vector<std::string>& machines);
     /// The reason why nothing was sent; none: it is under way, and `done` will be called.
-    [[nodiscard]] std::optional<rebalancing::Refusal> give(std::uint32_t from, std::uint32_t to,
+    [[nodiscard]] std::optional<rebalancing::Refusal> give(PartitionId from, PartitionId to,
                                                            const rebalancing::Handover& handover,
                                                            std::function<void(bool given)> done);
 
--- a/src/coordination/migration/rebalancer.cpp
+++ b/src/coordination/migration/rebalancer.cpp
@@ -71,7 +71,7 @@
            context_.machineTransfersEnabled(*context_.clusterState.lock());
 }
 
-void Rebalancer::recordUnschedulable(std::uint32_t partition,
+void Rebalancer::recordUnschedulable(PartitionId partition,
                                      const std::vector<UnschedulableWork>& unschedulable) {
     if (context_.tuning.rebalancing.enabled) unschedulable_[partition] = unschedulable;
 }
@@ -97,7 +97,7 @@
     return demands;
 }
 
-void Rebalancer::subtractCapacity(const ClusterState& clusterState, std::uint32_t partition,
+void Rebalancer::subtractCapacity(const ClusterState& clusterState, PartitionId partition,
                                   const std::function<bool(const Machine&)>& counts,
                                   std::vector<rebalancing::Demand>& demands) const {
     for (const auto* machine : clusterState.machinesOf(partition)) {
@@ -147,7 +147,7 @@
     if (!carryingOut_) carryOut();
 }
 
-void Rebalancer::announceDemand(std::uint32_t partition) {
+void Rebalancer::announceDemand(PartitionId partition) {
     const auto& tuning = context_.tuning.rebalancing;
     const rebalancing::DemandThresholds thresholds{tuning.low, tuning.high, tuning.weight};
     auto& average = averages_.try_emplace(partition, thresholds).first->second;
@@ -215,7 +215,7 @@
                        });
 }
 
-void Rebalancer::addSupplies(const ClusterState& clusterState, std::uint32_t partition,
+void Rebalancer::addSupplies(const ClusterState& clusterState, PartitionId partition,
                              rebalancing::PlanInput& input) const {
     const auto first = input.supplies.size();
     for (const auto* machine : clusterState.machinesOf(partition)) {
@@ -277,7 +277,7 @@
     std::map<std::uint32_t, std::int64_t> held;
     {
         auto clusterState = context_.clusterState.lock();
-        for (std::uint32_t partition = 0; partition < context_.partitionCount(); ++partition)
+        for (PartitionId partition = 0; partition < context_.partitionCount(); ++partition)
             held[partition] = static_cast<std::int64_t>(clusterState->machinesOf(partition).size());
     }
     for (const auto& [partition, target] : rebalancing::targets(input, plan, held))
--- a/src/coordination/migration/rebalancer.h
+++ b/src/coordination/migration/rebalancer.h
@@ -29,7 +29,7 @@
     /// Plans the first period, if enabled; to be called once.
     void start();
     /// What a partition of ours had no place for when it was last looked at.
-    void recordUnschedulable(std::uint32_t partition,
+    void recordUnschedulable(PartitionId partition,
                              const std::vector<UnschedulableWork>& unschedulable);
     /// A peer has announced what its partition lacks; ignored unless it leads the partition.
     void onDemand(const std::string& peer, const protocol::DemandUpdate& update);
@@ -52,7 +52,7 @@
 
     [[nodiscard]] bool usable() const;
     void round();
-    void announceDemand(std::uint32_t partition);
+    void announceDemand(PartitionId partition);
     [[nodiscard]] rebalancing::PlanInput collectInput() const;
     /// Whether some demand may take the machine by what is known of it here.
     [[nodiscard]] bool isWanted(const ClusterState& clusterState, const Machine& machine,
@@ -60,12 +60,12 @@
     /// Whether a task of some demand fits on such a machine.
     [[nodiscard]] static bool isUseful(const rebalancing::Supply& supply,
                                        const rebalancing::PlanInput& input);
-    void addSupplies(const ClusterState& clusterState, std::uint32_t partition,
+    void addSupplies(const ClusterState& clusterState, PartitionId partition,
                      rebalancing::PlanInput& input) const;
     [[nodiscard]] std::vector<rebalancing::Demand> demandsOf(
         const std::vector<UnschedulableWork>& unschedulable) const;
     /// Subtracts what such machines of the partition have capacity for.
-    void subtractCapacity(const ClusterState& clusterState, std::uint32_t partition,
+    void subtractCapacity(const ClusterState& clusterState, PartitionId partition,
                           const std::function<bool(const Machine&)>& counts,
                           std::vector<rebalancing::Demand>& demands) const;
     /// Whether the machine could serve the recipient by what is known of it here.
--- a/src/coordination/migration/work_migrator.cpp
+++ b/src/coordination/migration/work_migrator.cpp
@@ -28,7 +28,7 @@
     sampleAll();
 }
 
-QueueAverage::Tuning WorkMigrator::tuningFor(std::uint32_t partition) {
+QueueAverage::Tuning WorkMigrator::tuningFor(PartitionId partition) {
     double running = 0;
     {
         auto clusterState = context_.clusterState.lock();
@@ -43,7 +43,7 @@
     return tuning;
 }
 
-double WorkMigrator::stickinessFactor(const Job& job, std::uint32_t partition) {
+double WorkMigrator::stickinessFactor(const Job& job, PartitionId partition) {
     const double maxImageSize = job.spec.imageSize;
     if (maxImageSize <= 0) return 1;
     auto clusterState = context_.clusterState.lock();
@@ -62,7 +62,7 @@
     context_.timers.after(ticks(context_.tuning.samplePeriod), [this] { sampleAll(); });
 }
 
-void WorkMigrator::samplePartition(std::uint32_t partition) {
+void WorkMigrator::samplePartition(PartitionId partition) {
     auto& queue = queues_[partition];
     const auto tuning = tuningFor(partition);
     queue.sample(placement_.queueLength(partition), tuning);
@@ -90,7 +90,7 @@
 }
 
 std::optional<WorkMigrator::Pressure> WorkMigrator::pressureOn(const std::string& id,
-                                                               std::uint32_t partition,
+                                                               PartitionId partition,
                                                                bool longWaiting) {
     auto clusterState = context_.clusterState.lock();
     const Job* job = clusterState->job(id);
@@ -116,7 +116,7 @@
     return slice.lastUnstarted();
 }
 
-bool WorkMigrator::movable(const Job& job, std::uint32_t partition) {
+bool WorkMigrator::movable(const Job& job, PartitionId partition) {
     if (job.undivided())
         return std::any_of(job.slices.begin(), job.slices.end(), [partition](const Slice& slice) {
             return slice.partition == partition && slice.untouched() && !slice.migrating;
@@ -126,7 +126,7 @@
     });
 }
 
-void WorkMigrator::consider(std::uint32_t partition, const std::string& id, bool all) {
+void WorkMigrator::consider(PartitionId partition, const std::string& id, bool all) {
     auto clusterState = context_.clusterState.lock();
     Job* job = clusterState->job(id);
     if (job == nullptr) return;
@@ -145,7 +145,7 @@
     }
 }
 
-void WorkMigrator::beginMigration(std::uint32_t partition, Job& job, const Slice& slice,
+void WorkMigrator::beginMigration(PartitionId partition, Job& job, const Slice& slice,
                                   bool wholeJob) {
     if (pending_.size() >= maxPendingMigrations) return;
     Migration next;
@@ -166,7 +166,7 @@
 void WorkMigrator::choosePeers(Migration& migration, const Job& job) {
     struct Peer {
         double score = 0;  // capacity, more where the image is cached
-        std::uint32_t partition = 0;
+        PartitionId partition = 0;
         auto operator<=>(const Peer&) const = default;
     };
     std::vector<Peer> peers;
@@ -232,7 +232,7 @@
     });
 }
 
-std::uint32_t WorkMigrator::promised(std::uint32_t partition) {
+std::uint32_t WorkMigrator::promised(PartitionId partition) {
     const auto now = context_.now();
     std::erase_if(promises_, [now](const Promise& p) { return p.until < now; });
     std::uint32_t total = 0;
--- a/src/coordination/migration/work_migrator.h
+++ b/src/coordination/migration/work_migrator.h
@@ -43,7 +43,7 @@
   private:
     /// Work for which a peer is being found.
     struct Migration {
-        std::uint32_t partition = 0;  // ours
+        PartitionId partition = 0;  // ours
         std::string job;
         std::uint32_t slice = 0;
         bool wholeJob = false;
@@ -54,7 +54,7 @@
     };
     /// Work accepted from a peer that has not arrived yet.
     struct Promise {
-        std::uint32_t partition = 0;
+        PartitionId partition = 0;
         std::uint32_t tasks = 0;
         SteadyTime until{};
     };
@@ -66,17 +66,17 @@
     };
 
     void sampleAll();
-    void samplePartition(std::uint32_t partition);
+    void samplePartition(PartitionId partition);
     /// None: the job is gone. `longWaiting`: some of its tasks have found no place here for long.
-    [[nodiscard]] std::optional<Pressure> pressureOn(const std::string& id, std::uint32_t partition,
+    [[nodiscard]] std::optional<Pressure> pressureOn(const std::string& id, PartitionId partition,
                                                      bool longWaiting);
     /// Begins migrations of the job's slices; only of the first one unless `all`.
-    void consider(std::uint32_t partition, const std::string& id, bool all);
+    void consider(PartitionId partition, const std::string& id, bool all);
     // Whether some of the job's tasks here could be migrated.
-    [[nodiscard]] bool movable(const Job& job, std::uint32_t partition);
+    [[nodiscard]] bool movable(const Job& job, PartitionId partition);
     // The tasks of a slice that may be migrated together; none: an empty range.
     [[nodiscard]] storage::TaskRange movableRange(const Slice& slice);
-    void beginMigration(std::uint32_t partition, Job& job, const Slice& slice, bool wholeJob);
+    void beginMigration(PartitionId partition, Job& job, const Slice& slice, bool wholeJob);
     /// Fills in the peers to ask, the best first, and cuts the work to what one of them can take.
     void choosePeers(Migration& migration, const Job& job);
     void requestNextPeer(std::uint64_t requestId);
@@ -85,10 +85,10 @@
     void migrateTasks(std::uint64_t requestId, const Migration& migration, std::uint32_t target);
     void finishMigration(std::uint64_t requestId, std::uint32_t target, bool migrated);
     void setLeaving(const Migration& migration, bool leaving);
-    [[nodiscard]] QueueAverage::Tuning tuningFor(std::uint32_t partition);
+    [[nodiscard]] QueueAverage::Tuning tuningFor(PartitionId partition);
     [[nodiscard]] std::optional<std::uint32_t> partitionOfDependencies(const Job& job);
-    [[nodiscard]] double stickinessFactor(const Job& job, std::uint32_t partition);
-    [[nodiscard]] std::uint32_t promised(std::uint32_t partition);
+    [[nodiscard]] double stickinessFactor(const Job& job, PartitionId partition);
+    [[nodiscard]] std::uint32_t promised(PartitionId partition);
 
     Context& context_;
     Membership& membership_;
--- a/src/coordination/provisioning/autoscaler.cpp
+++ b/src/coordination/provisioning/autoscaler.cpp
@@ -58,7 +58,7 @@
 }
 
 std::vector<Autoscaler::IncomingMachine> Autoscaler::incomingMachines(
-    const ClusterState& clusterState, std::uint32_t partition) {
+    const ClusterState& clusterState, PartitionId partition) {
     std::vector<IncomingMachine> incoming;
     const auto now = context_.now();
     for (const auto* machine : clusterState.machinesOf(partition)) {
@@ -78,7 +78,7 @@
     return incoming;
 }
 
-void Autoscaler::scaleOutFor(std::uint32_t partition,
+void Autoscaler::scaleOutFor(PartitionId partition,
                              const std::vector<UnschedulableWork>& unschedulable) {
     // Calls are few: none is queued behind others, and each rests on the answers before it.
     if (unschedulable.empty() || !membership_.isLeaseValid() || context_.cloud.waiting() > 0)
@@ -143,7 +143,7 @@
     request.gangs.push_back({entry.job, machines});
 }
 
-void Autoscaler::scaleOut(std::uint32_t partition, const MachinePoolId& pool,
+void Autoscaler::scaleOut(PartitionId partition, const MachinePoolId& pool,
                           const ProvisioningRequest& request) {
     for (const auto& entry : request.gangs) provisioningFor_.insert(entry.gang);
     inProgress_[partition][pool] += request.count;
--- a/src/coordination/provisioning/autoscaler.h
+++ b/src/coordination/provisioning/autoscaler.h
@@ -22,7 +22,7 @@
           rounds_(rounds) {}
 
     /// Requests machines for what neither the partition's machines nor those on their way can run.
-    void scaleOutFor(std::uint32_t partition, const std::vector<UnschedulableWork>& unschedulable);
+    void scaleOutFor(PartitionId partition, const std::vector<UnschedulableWork>& unschedulable);
     [[nodiscard]] bool canProvision(const Job& job, const std::string& inZone) const override;
     /// A peer was refused machines of a pool.
     void onCapacityExhausted(const protocol::CapacityExhausted& message);
@@ -41,7 +41,7 @@
     // A request on its way to the cloud.
     struct PendingRequest {
         std::string name;  // the same for all tries
-        std::uint32_t partition = 0;
+        PartitionId partition = 0;
         MachinePoolId pool;
         ProvisioningRequest request;
     };
@@ -56,7 +56,7 @@
     };
 
     [[nodiscard]] std::vector<IncomingMachine> incomingMachines(const ClusterState& clusterState,
-                                                                std::uint32_t partition);
+                                                                PartitionId partition);
     void requestForArray(std::uint32_t tasks, const Job& job,
                          std::vector<IncomingMachine>& incoming,
                          ProvisioningRequests& requests) const;
@@ -66,7 +66,7 @@
     // cloud has refused all, or none suits.
     [[nodiscard]] std::optional<MachinePoolId> cheapest(const Job& job, std::uint32_t tasks,
                                                         const std::string& inZone) const;
-    void scaleOut(std::uint32_t partition, const MachinePoolId& pool,
+    void scaleOut(PartitionId partition, const MachinePoolId& pool,
                   const ProvisioningRequest& request);
     void send(const PendingRequest& pending, int tries);
     void onProvisioned(const PendingRequest& pending, const std::vector<std::string>& machines);
--- a/src/coordination/provisioning/decommissioner.cpp
+++ b/src/coordination/provisioning/decommissioner.cpp
@@ -70,7 +70,7 @@
     });
 }
 
-void Decommissioner::forget(std::uint32_t partition, const std::string& id) {
+void Decommissioner::forget(PartitionId partition, const std::string& id) {
     auto clusterState = context_.clusterState.lock();
     const Machine* machine = clusterState->machine(id);
     // While an allocation on it is being written, its end can't be recorded.
--- a/src/coordination/provisioning/decommissioner.h
+++ b/src/coordination/provisioning/decommissioner.h
@@ -31,7 +31,7 @@
     /// node.
     void releaseDecommissioned();
     /// Drops the record of a machine that is gone, once no allocation on it is left.
-    void forget(std::uint32_t partition, const std::string& id);
+    void forget(PartitionId partition, const std::string& id);
 
   private:
     Context& context_;
--- a/src/coordination/provisioning/machine_inventory.cpp
+++ b/src/coordination/provisioning/machine_inventory.cpp
@@ -101,7 +101,7 @@
                                         SteadyTime asked) {
     const auto lag = maxListLag();
     struct GoneMachine {
-        std::uint32_t partition = 0;
+        PartitionId partition = 0;
         std::string id;
     };
     std::vector<GoneMachine> gone;
@@ -144,7 +144,7 @@
     return context_.defaultPartition(zone, id);
 }
 
-void MachineInventory::repairRecords(ClusterState& clusterState, std::uint32_t partition) {
+void MachineInventory::repairRecords(ClusterState& clusterState, PartitionId partition) {
     for (const auto& [id, corrupt] : clusterState.corruptMachines) {
         const Machine* machine = clusterState.machine(id);
         const auto type = protocol::textOf(corrupt.value, "type");
@@ -165,7 +165,7 @@
 }
 
 Machine* MachineInventory::addMachine(const MachinePoolId& pool, const std::string& id,
-                                      std::uint32_t partition) {
+                                      PartitionId partition) {
     auto clusterState = context_.clusterState.lock();
     if (clusterState->machine(id) != nullptr || clusterState->goneMachines.contains(id))
         return nullptr;
--- a/src/coordination/provisioning/machine_inventory.h
+++ b/src/coordination/provisioning/machine_inventory.h
@@ -25,9 +25,9 @@
     /// ours.
     void onUnassignedHeartbeat(const protocol::Heartbeat& heartbeat);
     /// Adds a machine to a partition, not yet recorded. None: it is known already, or gone.
-    Machine* addMachine(const MachinePoolId& pool, const std::string& id, std::uint32_t partition);
+    Machine* addMachine(const MachinePoolId& pool, const std::string& id, PartitionId partition);
     /// Writes those of the partition's records anew that can't be read or are impossible.
-    void repairRecords(ClusterState& clusterState, std::uint32_t partition);
+    void repairRecords(ClusterState& clusterState, PartitionId partition);
 
   private:
     void listMachines();
--- a/src/coordination/provisioning/machine_reconciler.cpp
+++ b/src/coordination/provisioning/machine_reconciler.cpp
@@ -38,7 +38,7 @@
     });
 }
 
-void MachineReconciler::reconcileUnrecorded(std::uint32_t partition, Machine& machine,
+void MachineReconciler::reconcileUnrecorded(PartitionId partition, Machine& machine,
                                             const MachineType& type) {
     const auto now = context_.now();
     if (records_.isPending(Change::record, machine.id)) return;
@@ -55,7 +55,7 @@
     }
 }
 
-void MachineReconciler::logUtilization(const ClusterState& clusterState, std::uint32_t partition) {
+void MachineReconciler::logUtilization(const ClusterState& clusterState, PartitionId partition) {
     const auto now = context_.now();
     if (!spdlog::should_log(spdlog::level::debug) ||
         now - utilizationLogged_[partition] < utilizationLogInterval)
@@ -82,7 +82,7 @@
 }
 
 std::set<std::string> MachineReconciler::quietZones(const ClusterState& clusterState,
-                                                    std::uint32_t partition) const {
+                                                    PartitionId partition) const {
     // Many at once are behind a cut rather than dead, and cuts go by zones: a partition with
     // machines in two zones once gave back all of one. They are counted as soon as a heartbeat is
     // overdue: counted only when it was time to give them back, each in turn was the only silent
@@ -140,7 +140,7 @@
     return std::nullopt;
 }
 
-void MachineReconciler::reconcileMachines(std::uint32_t partition) {
+void MachineReconciler::reconcileMachines(PartitionId partition) {
     if (!membership_.isLeaseValid()) return;
     auto clusterState = context_.clusterState.lock();
     warmPool_.recordGuaranteed(*clusterState);
--- a/src/coordination/provisioning/machine_reconciler.h
+++ b/src/coordination/provisioning/machine_reconciler.h
@@ -23,10 +23,10 @@
           warmPool_(warmPool) {}
 
     /// Records new machines, and gives back those that are idle, faulty, silent, or never booted.
-    void reconcileMachines(std::uint32_t partition);
+    void reconcileMachines(PartitionId partition);
 
   private:
-    void reconcileUnrecorded(std::uint32_t partition, Machine& machine, const MachineType& type);
+    void reconcileUnrecorded(PartitionId partition, Machine& machine, const MachineType& type);
     // Why the machine should be given back, if it should.
     [[nodiscard]] std::optional<DecommissionReason> decommissionReason(
         const Machine& machine, const MachineType& type, const std::set<std::string>& quiet) const;
@@ -38,8 +38,8 @@
                                         const MachineType& type) const;
     // Where most of the partition's machines miss their heartbeats at the same time.
     [[nodiscard]] std::set<std::string> quietZones(const ClusterState& clusterState,
-                                                   std::uint32_t partition) const;
-    void logUtilization(const ClusterState& clusterState, std::uint32_t partition);
+                                                   PartitionId partition) const;
+    void logUtilization(const ClusterState& clusterState, PartitionId partition);
 
     Context& context_;
     Membership& membership_;
--- a/src/coordination/provisioning/machine_records.cpp
+++ b/src/coordination/provisioning/machine_records.cpp
@@ -10,14 +10,14 @@
     return batches_.contains(change) && batches_.at(change).pending.contains(machine);
 }
 
-void MachineRecords::write(Change change, std::uint32_t partition, const std::string& machine) {
+void MachineRecords::write(Change change, PartitionId partition, const std::string& machine) {
     auto& batches = batches_[change];
     if (!batches.pending.insert(machine).second) return;
     batches.queues[partition].push_back(machine);
     writeBatch(change, partition);
 }
 
-MachineRecords::Batch MachineRecords::nextBatch(Change change, std::uint32_t partition) {
+MachineRecords::Batch MachineRecords::nextBatch(Change change, PartitionId partition) {
     // Many in one transaction, and half of what it may hold, so that allocations don't wait for
     // long. With one write after the other a thousand machines took minutes to record, and idle
     // ones to be given back.
@@ -42,7 +42,7 @@
     return batch;
 }
 
-void MachineRecords::writeBatch(Change change, std::uint32_t partition) {
+void MachineRecords::writeBatch(Change change, PartitionId partition) {
     auto& batches = batches_[change];
     if (batches.queues[partition].empty() || !batches.inFlight.insert(partition).second) return;
     auto batch = nextBatch(change, partition);
@@ -57,7 +57,7 @@
                      });
 }
 
-void MachineRecords::onCommitted(Change change, std::uint32_t partition,
+void MachineRecords::onCommitted(Change change, PartitionId partition,
                                  const std::vector<std::string>& machines, CommitResult result,
                                  std::uint64_t revision) {
     auto& batches = batches_[change];
--- a/src/coordination/provisioning/machine_records.h
+++ b/src/coordination/provisioning/machine_records.h
@@ -29,7 +29,7 @@
 
     /// Queues the change of this machine's record. Recording is retried until it succeeds or the
     /// partition is lost.
-    void write(Change change, std::uint32_t partition, const std::string& machine);
+    void write(Change change, PartitionId partition, const std::string& machine);
     /// Whether the change of this machine's record is queued or in flight.
     [[nodiscard]] bool isPending(Change change, const std::string& machine) const;
 
@@ -44,12 +44,11 @@
         std::vector<std::string> machines;
     };
 
-    void writeBatch(Change change, std::uint32_t partition);
+    void writeBatch(Change change, PartitionId partition);
     // Takes what goes into the next transaction off the queue.
-    [[nodiscard]] Batch nextBatch(Change change, std::uint32_t partition);
-    void onCommitted(Change change, std::uint32_t partition,
-                     const std::vector<std::string>& machines, CommitResult result,
-                     std::uint64_t revision);
+    [[nodiscard]] Batch nextBatch(Change change, PartitionId partition);
+    void onCommitted(Change change, PartitionId partition, const std::vector<std::string>& machines,
+                     CommitResult result, std::uint64_t revision);
     // None: the record is to be deleted.
     [[nodiscard]] static std::optional<protocol::Json> valueOf(Change change,
                                                                const Machine& machine);
--- a/src/coordination/provisioning/warm_pool.cpp
+++ b/src/coordination/provisioning/warm_pool.cpp
@@ -79,7 +79,7 @@
     });
 }
 
-bool WarmPool::mayConsolidate(std::uint32_t partition) {
+bool WarmPool::mayConsolidate(PartitionId partition) {
     if (queueOrder_.queueLength(partition) > 0) return false;
     auto clusterState = context_.clusterState.lock();
     const auto& machines = clusterState->machinesOf(partition);
--- a/src/coordination/provisioning/warm_pool.h
+++ b/src/coordination/provisioning/warm_pool.h
@@ -21,7 +21,7 @@
     [[nodiscard]] Duration idleLimit(const Machine& machine, const MachineType& type) const;
     /// Whether it may be worth consolidating this partition's machines: nothing waits, and none of
     /// them would have to be kept up idle.
-    [[nodiscard]] bool mayConsolidate(std::uint32_t partition);
+    [[nodiscard]] bool mayConsolidate(PartitionId partition);
 
   private:
     struct ClassDemand {
--- a/src/coordination/replication/slice_writer.cpp
+++ b/src/coordination/replication/slice_writer.cpp
@@ -166,7 +166,7 @@
     for (const auto task : undone) clusterState.removeAllocation(job, slice, task);
 }
 
-void SliceWriter::onRejected(std::uint32_t partition, std::size_t writes) {
+void SliceWriter::onRejected(PartitionId partition, std::size_t writes) {
     if (writes > minWrites)
         maxWrites_ = std::max(minWrites, writes / 2);
     else
--- a/src/coordination/replication/slice_writer.h
+++ b/src/coordination/replication/slice_writer.h
@@ -17,7 +17,7 @@
 /// afterwards.
 struct MigratingTasks {
     std::vector<storage::TaskRange> ranges;
-    std::uint32_t target = 0;  // partition
+    PartitionId target = 0;  // partition
 
     [[nodiscard]] bool contains(const storage::TaskRange& range) const {
         return std::find(ranges.begin(), ranges.end(), range) != ranges.end();
@@ -64,7 +64,7 @@
                                                CommitResult result, std::uint64_t revision) const;
     /// The state service has rejected a transaction of so many writes: its limits are lower than
     /// announced. What was rejected is divided further when it is sent again.
-    void onRejected(std::uint32_t partition, std::size_t writes);
+    void onRejected(PartitionId partition, std::size_t writes);
     [[nodiscard]] bool full(const SliceBatch& batch) const;
     /// How many writes the state service is known to accept in one transaction.
     [[nodiscard]] std::size_t maxWrites() const { return maxWrites_; }
--- a/src/coordination/replication/state_writer.cpp
+++ b/src/coordination/replication/state_writer.cpp
@@ -46,7 +46,7 @@
 
 }  // namespace
 
-void StateWriter::migrate(std::uint32_t partition, SliceMigration migration) {
+void StateWriter::migrate(PartitionId partition, SliceMigration migration) {
     migrations_[partition].push_back(std::move(migration));
     flush(partition);
 }
@@ -76,7 +76,7 @@
 }
 
 void StateWriter::addCancellations(Batch& batch, ClusterState& clusterState,
-                                   std::uint32_t partition) const {
+                                   PartitionId partition) const {
     // Whichever node leads the partition finishes this: what is left to do shows in the records.
     for (const auto& [id, job] : clusterState.jobs) {
         if (writer_.full(batch)) return;
@@ -132,7 +132,7 @@
 }
 
 bool StateWriter::isMigrationPossible(const Batch& batch, ClusterState& clusterState,
-                                      std::uint32_t partition,
+                                      PartitionId partition,
                                       const SliceMigration& migration) const {
     const Job* job = clusterState.job(migration.job);
     return context_.now() < migration.until && job != nullptr &&
@@ -144,7 +144,7 @@
            !batch.jobs.contains(migration.job);
 }
 
-void StateWriter::addMigrations(Batch& batch, ClusterState& clusterState, std::uint32_t partition) {
+void StateWriter::addMigrations(Batch& batch, ClusterState& clusterState, PartitionId partition) {
     auto& queue = migrations_[partition];
     while (!queue.empty() && !writer_.full(batch)) {
         const auto& next = queue.front();
@@ -156,7 +156,7 @@
     }
 }
 
-void StateWriter::addTerminals(Batch& batch, ClusterState& clusterState, std::uint32_t partition,
+void StateWriter::addTerminals(Batch& batch, ClusterState& clusterState, PartitionId partition,
                                Tier tier, std::size_t maxWrites) const {
     const bool bestEffort = tier == Tier::bestEffort;
     for (auto& [id, job] : clusterState.jobs) {
@@ -169,7 +169,7 @@
 }
 
 std::vector<StateWriter::DirtySlice> StateWriter::dirtySlices(ClusterState& clusterState,
-                                                              std::uint32_t partition,
+                                                              PartitionId partition,
                                                               const Batch& batch) const {
     const auto now = context_.now();
     std::vector<DirtySlice> entitled;
@@ -214,7 +214,7 @@
     return all;
 }
 
-void StateWriter::addSlices(Batch& batch, ClusterState& clusterState, std::uint32_t partition) {
+void StateWriter::addSlices(Batch& batch, ClusterState& clusterState, PartitionId partition) {
     std::set<const Job*> divided;
     for (const auto& [due, job, slice] : dirtySlices(clusterState, partition, batch)) {
         if (writer_.full(batch)) return;
@@ -225,7 +225,7 @@
     }
 }
 
-void StateWriter::flush(std::uint32_t partition) {
+void StateWriter::flush(PartitionId partition) {
     if (pipeline_.busy(partition) || context_.now() < pausedUntil_[partition]) return;
     Batch batch;
     {
@@ -260,7 +260,7 @@
     }
 }
 
-void StateWriter::finish(std::uint32_t partition, const Batch& batch, CommitResult result,
+void StateWriter::finish(PartitionId partition, const Batch& batch, CommitResult result,
                          std::uint64_t revision) {
     std::set<std::string> machines;
     if (result == CommitResult::rejected) {
@@ -283,12 +283,12 @@
     if (result == CommitResult::done) flushNext(partition);
 }
 
-void StateWriter::flushNext(std::uint32_t partition) {
+void StateWriter::flushNext(PartitionId partition) {
     // Not before the events that the watch delivered for these keys meanwhile are applied.
     context_.timers.after(Duration::zero(), [this, partition] { flush(partition); });
 }
 
-void StateWriter::deleteOrphans(std::uint32_t partition) {
+void StateWriter::deleteOrphans(PartitionId partition) {
     protocol::CompareAndSwap transaction;
     std::set<std::string> jobs;
     {
--- a/src/coordination/replication/state_writer.h
+++ b/src/coordination/replication/state_writer.h
@@ -18,8 +18,8 @@
     std::string job;
     std::uint32_t slice = 0;
     storage::TaskRange range;
-    std::uint32_t target = 0;  // partition
-    SteadyTime until{};        // the target's consent expires
+    PartitionId target = 0;  // partition
+    SteadyTime until{};      // the target's consent expires
     /// Called once, with whether the migration was committed.
     std::function<void(bool migrated)> done;
 };
@@ -44,12 +44,12 @@
         : context_(context), pipeline_(pipeline), observer_(observer), writer_(context) {}
 
     /// Writes what has changed in this partition, unless a transaction of it is in flight.
-    void flush(std::uint32_t partition);
+    void flush(PartitionId partition);
     /// The slice writer, for modules that write slices in transactions of their own.
     [[nodiscard]] SliceWriter& writer() { return writer_; }
     /// Moves the tasks to the target partition with the next flush, in a slice of their own if they
     /// are not the whole slice. Fails if one of them has started by then.
-    void migrate(std::uint32_t partition, SliceMigration migration);
+    void migrate(PartitionId partition, SliceMigration migration);
 
   private:
     struct WrittenTerminal {
@@ -69,34 +69,34 @@
         const Slice* slice = nullptr;
     };
 
-    void addCancellations(Batch& batch, ClusterState& clusterState, std::uint32_t partition) const;
+    void addCancellations(Batch& batch, ClusterState& clusterState, PartitionId partition) const;
     /// False if there was no capacity left in the batch.
     [[nodiscard]] bool addMigration(Batch& batch, Job& job, const SliceMigration& migration);
-    void addMigrations(Batch& batch, ClusterState& clusterState, std::uint32_t partition);
+    void addMigrations(Batch& batch, ClusterState& clusterState, PartitionId partition);
     [[nodiscard]] bool isMigrationPossible(const Batch& batch, ClusterState& clusterState,
-                                           std::uint32_t partition,
+                                           PartitionId partition,
                                            const SliceMigration& migration) const;
     /// Adds the ends of jobs of this tier, while the batch has fewer writes than this.
-    void addTerminals(Batch& batch, ClusterState& clusterState, std::uint32_t partition, Tier tier,
+    void addTerminals(Batch& batch, ClusterState& clusterState, PartitionId partition, Tier tier,
                       std::size_t maxWrites) const;
     void addTerminal(Batch& batch, const ClusterState& clusterState, Job& job) const;
     /// The partition's dirty slices in the order in which they are to be written.
     [[nodiscard]] std::vector<DirtySlice> dirtySlices(ClusterState& clusterState,
-                                                      std::uint32_t partition,
+                                                      PartitionId partition,
                                                       const Batch& batch) const;
     [[nodiscard]] static std::vector<DirtySlice> interleave(
         const std::vector<DirtySlice>& entitled, const std::vector<DirtySlice>& bestEffort);
-    void addSlices(Batch& batch, ClusterState& clusterState, std::uint32_t partition);
+    void addSlices(Batch& batch, ClusterState& clusterState, PartitionId partition);
     /// Whether the job has ended and its active record may be deleted.
     [[nodiscard]] bool isTerminal(ClusterState& clusterState, const Job& job) const;
     [[nodiscard]] bool hasSliceInFlight(const Job& job) const;
-    void finish(std::uint32_t partition, const Batch& batch, CommitResult result,
+    void finish(PartitionId partition, const Batch& batch, CommitResult result,
                 std::uint64_t revision);
     void finishTerminals(ClusterState& clusterState, const Batch& batch, CommitResult result);
     /// Deletes slice records that have outlived their jobs, when there is nothing else to write.
-    void deleteOrphans(std::uint32_t partition);
+    void deleteOrphans(PartitionId partition);
     /// Flushes once more as soon as the events that were deferred by the transaction are applied.
-    void flushNext(std::uint32_t partition);
+    void flushNext(PartitionId partition);
 
     Context& context_;
     TransactionPipeline& pipeline_;
--- a/src/coordination/replication/transaction_pipeline.cpp
+++ b/src/coordination/replication/transaction_pipeline.cpp
@@ -18,7 +18,7 @@
 
 }  // namespace
 
-void TransactionPipeline::commit(std::uint32_t partition, protocol::CompareAndSwap transaction,
+void TransactionPipeline::commit(PartitionId partition, protocol::CompareAndSwap transaction,
                                  Done done) {
     for (const auto& write : transaction.writes) keys_.insert(write.key);
     auto& queue = queues_[partition];
@@ -28,12 +28,12 @@
     if (queue.size() == 1) send(partition);
 }
 
-bool TransactionPipeline::busy(std::uint32_t partition) const {
+bool TransactionPipeline::busy(PartitionId partition) const {
     const auto found = queues_.find(partition);
     return found != queues_.end() && !found->second.empty();
 }
 
-void TransactionPipeline::abandon(std::uint32_t partition) {
+void TransactionPipeline::abandon(PartitionId partition) {
     const auto abandoned = std::move(queues_[partition]);
     queues_.erase(partition);
     for (const auto& pending : abandoned) resolve(pending, CommitResult::partitionLost, 0);
@@ -50,7 +50,7 @@
     if (observer_ != nullptr) observer_->onKeysReleased(keys);
 }
 
-TransactionPipeline::PendingTransaction* TransactionPipeline::head(std::uint32_t partition,
+TransactionPipeline::PendingTransaction* TransactionPipeline::head(PartitionId partition,
                                                                    std::uint64_t id) {
     const auto queue = queues_.find(partition);
     if (queue == queues_.end() || queue->second.empty() || queue->second.front().id != id)
@@ -58,7 +58,7 @@
     return &queue->second.front();
 }
 
-void TransactionPipeline::send(std::uint32_t partition) {
+void TransactionPipeline::send(PartitionId partition) {
     const auto found = queues_.find(partition);
     if (found == queues_.end() || found->second.empty()) return;
     PendingTransaction& pending = found->second.front();
@@ -79,7 +79,7 @@
         });
 }
 
-void TransactionPipeline::onResponse(std::uint32_t partition, std::uint64_t id,
+void TransactionPipeline::onResponse(PartitionId partition, std::uint64_t id,
                                      const protocol::CompareAndSwapResponse& answer) {
     PendingTransaction* pending = head(partition, id);
     if (pending == nullptr) return;
@@ -106,7 +106,7 @@
     }
 }
 
-void TransactionPipeline::complete(std::uint32_t partition, CommitResult result,
+void TransactionPipeline::complete(PartitionId partition, CommitResult result,
                                    std::uint64_t revision) {
     auto& queue = queues_[partition];
     const PendingTransaction pending = std::move(queue.front());
@@ -120,7 +120,7 @@
     send(partition);
 }
 
-void TransactionPipeline::readRecords(std::uint32_t partition) {
+void TransactionPipeline::readRecords(PartitionId partition) {
     const PendingTransaction& pending = queues_[partition].front();
     const auto id = pending.id;
     std::set<std::string> keys{storage::keys::partition(partition)};
@@ -178,7 +178,7 @@
         storage::applyEvent(*clusterState, {key, std::nullopt, asOf}, context_.now());
 }
 
-void TransactionPipeline::onRecordsRead(std::uint32_t partition, const RecordReads& reads) {
+void TransactionPipeline::onRecordsRead(PartitionId partition, const RecordReads& reads) {
     const PendingTransaction& pending = queues_[partition].front();
     bool partitionLost = reads.absent.contains(storage::keys::partition(partition));
     for (const auto& item : reads.items)
--- a/src/coordination/replication/transaction_pipeline.h
+++ b/src/coordination/replication/transaction_pipeline.h
@@ -47,13 +47,13 @@
     /// Queues a transaction; `done` is called exactly once, with its revision if it was committed.
     /// The version of the partition's record as known now is added to the compares: what was
     /// decided in one term is never committed in a later one.
-    void commit(std::uint32_t partition, protocol::CompareAndSwap transaction, Done done);
+    void commit(PartitionId partition, protocol::CompareAndSwap transaction, Done done);
     /// Whether a transaction of the partition waits for its outcome.
-    [[nodiscard]] bool busy(std::uint32_t partition) const;
+    [[nodiscard]] bool busy(PartitionId partition) const;
     /// Whether a queued transaction writes this key.
     [[nodiscard]] bool inFlight(const std::string& key) const { return keys_.contains(key); }
     /// This node no longer leads the partition: its queued transactions end as `partitionLost`.
-    void abandon(std::uint32_t partition);
+    void abandon(PartitionId partition);
 
   private:
     struct PendingTransaction {
@@ -74,17 +74,17 @@
     };
 
     /// The transaction at the head of the partition's queue, if it is still this one.
-    [[nodiscard]] PendingTransaction* head(std::uint32_t partition, std::uint64_t id);
-    void send(std::uint32_t partition);
-    void onResponse(std::uint32_t partition, std::uint64_t id,
+    [[nodiscard]] PendingTransaction* head(PartitionId partition, std::uint64_t id);
+    void send(PartitionId partition);
+    void onResponse(PartitionId partition, std::uint64_t id,
                     const protocol::CompareAndSwapResponse& answer);
     /// Removes the head of the queue with its outcome, and sends the next one.
-    void complete(std::uint32_t partition, CommitResult result, std::uint64_t revision);
+    void complete(PartitionId partition, CommitResult result, std::uint64_t revision);
     /// Releases the keys of a transaction and tells its caller of the outcome.
     void resolve(const PendingTransaction& pending, CommitResult result, std::uint64_t revision);
     /// Reads all records that the head of the queue names, to learn whether it was committed.
-    void readRecords(std::uint32_t partition);
-    void onRecordsRead(std::uint32_t partition, const RecordReads& reads);
+    void readRecords(PartitionId partition);
+    void onRecordsRead(PartitionId partition, const RecordReads& reads);
     /// The revision at which all writes were committed (0: there were only deletions), or none.
     [[nodiscard]] static std::optional<std::uint64_t> committedRevision(
         const protocol::CompareAndSwap& transaction, const RecordReads& reads);
--- a/src/coordination/scheduling/capacity_estimator.cpp
+++ b/src/coordination/scheduling/capacity_estimator.cpp
@@ -10,7 +10,7 @@
 
 }  // namespace
 
-std::uint32_t CapacityEstimator::capacityFor(const Job& job, std::uint32_t partition,
+std::uint32_t CapacityEstimator::capacityFor(const Job& job, PartitionId partition,
                                              std::uint32_t limit) {
     auto clusterState = context_.clusterState.lock();
     if (job.spec.kind == JobKind::gang) return gangCapacity(*clusterState, partition, job);
@@ -38,7 +38,7 @@
 }
 
 std::uint32_t CapacityEstimator::gangCapacity(const ClusterState& clusterState,
-                                              std::uint32_t partition, const Job& job) const {
+                                              PartitionId partition, const Job& job) const {
     // All of it or nothing: a partition with capacity for some of its tasks is of no use to it.
     const bool own = membership_.isLeader(partition);
     std::map<std::string, std::uint32_t> zones;  // tasks that fit
@@ -60,7 +60,7 @@
     return fits ? job.spec.tasks : 0;
 }
 
-bool CapacityEstimator::isFeasible(const Job& job, std::uint32_t partition) {
+bool CapacityEstimator::isFeasible(const Job& job, PartitionId partition) {
     auto clusterState = context_.clusterState.lock();
     const auto& machines = clusterState->machinesOf(partition);
     return std::any_of(machines.begin(), machines.end(), [&](const Machine* machine) {
--- a/src/coordination/scheduling/capacity_estimator.h
+++ b/src/coordination/scheduling/capacity_estimator.h
@@ -16,14 +16,14 @@
 
     /// How many more tasks like the job's could start there right now, up to `limit`. For a gang
     /// all of its tasks or none.
-    [[nodiscard]] std::uint32_t capacityFor(const Job& job, std::uint32_t partition,
+    [[nodiscard]] std::uint32_t capacityFor(const Job& job, PartitionId partition,
                                             std::uint32_t limit);
     /// Whether any machine of the partition, were it empty, could run one task of the job.
-    [[nodiscard]] bool isFeasible(const Job& job, std::uint32_t partition);
+    [[nodiscard]] bool isFeasible(const Job& job, PartitionId partition);
 
   private:
     [[nodiscard]] std::uint32_t gangCapacity(const ClusterState& clusterState,
-                                             std::uint32_t partition, const Job& job) const;
+                                             PartitionId partition, const Job& job) const;
 
     Context& context_;
     Membership& membership_;
--- a/src/coordination/scheduling/capacity_index.cpp
+++ b/src/coordination/scheduling/capacity_index.cpp
@@ -38,7 +38,7 @@
 }
 
 CapacityIndex::CapacityIndex(const Context& context, const ClusterState& clusterState,
-                             std::uint32_t partition)
+                             PartitionId partition)
     : context_(context) {
     const auto now = context_.now();
     for (auto* machine : clusterState.machinesOf(partition)) {
--- a/src/coordination/scheduling/capacity_index.h
+++ b/src/coordination/scheduling/capacity_index.h
@@ -36,8 +36,7 @@
 /// partition. Refers to machines of the cluster state, which stays locked meanwhile.
 class CapacityIndex {
   public:
-    CapacityIndex(const Context& context, const ClusterState& clusterState,
-                  std::uint32_t partition);
+    CapacityIndex(const Context& context, const ClusterState& clusterState, PartitionId partition);
 
     [[nodiscard]] std::vector<MachinePool>& pools() { return pools_; }
     [[nodiscard]] const std::vector<MachinePool>& pools() const { return pools_; }
--- a/src/coordination/scheduling/consolidation.cpp
+++ b/src/coordination/scheduling/consolidation.cpp
@@ -52,7 +52,7 @@
     return longestLeft > minSecondsLeftToMove;
 }
 
-std::optional<std::string> Consolidation::consolidateOne(std::uint32_t partition) {
+std::optional<std::string> Consolidation::consolidateOne(PartitionId partition) {
     auto clusterState = context_.clusterState.lock();
     Machine* best = nullptr;
     std::vector<Allocation*> bestAllocations;
--- a/src/coordination/scheduling/fragmentation_guard.cpp
+++ b/src/coordination/scheduling/fragmentation_guard.cpp
@@ -20,7 +20,7 @@
 
 std::uint32_t FragmentationGuard::slotsNeeded(const std::string& jobClass,
                                               const ClusterState& clusterState,
-                                              std::uint32_t partition) {
+                                              PartitionId partition) {
     std::uint32_t needed = 0;
     std::uint32_t largest = 0;
     for (const auto& [id, job] : clusterState.jobs) {
@@ -34,8 +34,7 @@
 }
 
 void FragmentationGuard::countSpareSlots(const CapacityIndex& capacityIndex,
-                                         const ClusterState& clusterState,
-                                         std::uint32_t partition) {
+                                         const ClusterState& clusterState, PartitionId partition) {
     for (auto& largerTask : largestOfClasses_) {
         const auto& spec = largerTask.job->spec;
         const auto needed = slotsNeeded(spec.jobClass, clusterState, partition);
--- a/src/coordination/scheduling/fragmentation_guard.h
+++ b/src/coordination/scheduling/fragmentation_guard.h
@@ -33,7 +33,7 @@
     [[nodiscard]] LostSlots slotsLost(const CandidateSlot& slot, const Job& job) const;
     /// Counts the slots beyond what waits and what may come next. Until then none is spare.
     void countSpareSlots(const CapacityIndex& capacityIndex, const ClusterState& clusterState,
-                         std::uint32_t partition);
+                         PartitionId partition);
     /// A task of the job is placed on the machine: subtracts what it uses from the spare slots.
     void useSpareSlots(const MachineType& type, const MachineCapacity& machineCapacity,
                        const Job& job);
@@ -51,7 +51,7 @@
     // Slots that tasks of the class need on the partition, now and soon.
     [[nodiscard]] static std::uint32_t slotsNeeded(const std::string& jobClass,
                                                    const ClusterState& clusterState,
-                                                   std::uint32_t partition);
+                                                   PartitionId partition);
 
     std::vector<LargerTask> largestOfClasses_;
 };
--- a/src/coordination/scheduling/gang_assembler.cpp
+++ b/src/coordination/scheduling/gang_assembler.cpp
@@ -17,7 +17,7 @@
 
 }  // namespace
 
-void GangAssembler::expireReservations(ClusterState& clusterState, std::uint32_t partition) const {
+void GangAssembler::expireReservations(ClusterState& clusterState, PartitionId partition) const {
     const auto now = context_.now();
     for (auto* machine : clusterState.machinesOf(partition)) {
         if (now >= machine->reservedUntil) continue;
@@ -35,7 +35,7 @@
 }
 
 std::map<std::string, GangAssembler::ZoneMachines> GangAssembler::countMachinesByZone(
-    const ClusterState& clusterState, std::uint32_t partition, const Job& job) const {
+    const ClusterState& clusterState, PartitionId partition, const Job& job) const {
     const auto now = context_.now();
     std::map<std::string, ZoneMachines> zones;
     for (const auto* machine : clusterState.machinesOf(partition)) {
@@ -55,7 +55,7 @@
     return zones;
 }
 
-void GangAssembler::chooseZone(const ClusterState& clusterState, std::uint32_t partition,
+void GangAssembler::chooseZone(const ClusterState& clusterState, PartitionId partition,
                                Job& job) const {
     const auto now = context_.now();
     if (!job.spec.oneZone ||
@@ -86,8 +86,8 @@
     machineCapacity.unreserved -= machineCapacity.machine->reservedCapacity;
 }
 
-std::uint32_t GangAssembler::reservedTasks(const ClusterState& clusterState,
-                                           std::uint32_t partition, const Job& job) const {
+std::uint32_t GangAssembler::reservedTasks(const ClusterState& clusterState, PartitionId partition,
+                                           const Job& job) const {
     // On machines that were provisioned for it and boot, or where others are being stopped.
     const auto now = context_.now();
     std::uint32_t reserved = 0;
@@ -98,7 +98,7 @@
     return reserved;
 }
 
-AssemblyProgress GangAssembler::assemble(const ClusterState& clusterState, std::uint32_t partition,
+AssemblyProgress GangAssembler::assemble(const ClusterState& clusterState, PartitionId partition,
                                          const Job& job, CapacityIndex& capacityIndex,
                                          std::set<std::string>& blockedZones) const {
     // A gang would wait for ever behind small work that takes each machine as it comes free. In
--- a/src/coordination/scheduling/gang_assembler.h
+++ b/src/coordination/scheduling/gang_assembler.h
@@ -20,15 +20,15 @@
         : context_(context), cloud_(cloud) {}
 
     /// Ends reservations whose job is gone, and those for gangs, which each run makes anew.
-    void expireReservations(ClusterState& clusterState, std::uint32_t partition) const;
+    void expireReservations(ClusterState& clusterState, PartitionId partition) const;
     /// Chooses the zone for a gang that must stay in one, unless a recent choice still holds.
-    void chooseZone(const ClusterState& clusterState, std::uint32_t partition, Job& job) const;
+    void chooseZone(const ClusterState& clusterState, PartitionId partition, Job& job) const;
     /// For how many of the gang's tasks machines are reserved in its zone.
     [[nodiscard]] std::uint32_t reservedTasks(const ClusterState& clusterState,
-                                              std::uint32_t partition, const Job& job) const;
+                                              PartitionId partition, const Job& job) const;
     /// Reserves free capacity in the gang's zone, and busy machines if the cloud has none. A gang
     /// that lacks machines adds its zone to `blockedZones`.
-    AssemblyProgress assemble(const ClusterState& clusterState, std::uint32_t partition,
+    AssemblyProgress assemble(const ClusterState& clusterState, PartitionId partition,
                               const Job& job, CapacityIndex& capacityIndex,
                               std::set<std::string>& blockedZones) const;
 
@@ -39,7 +39,7 @@
     };
     // The partition's machines that suit the job; zones where the cloud offers such are included.
     [[nodiscard]] std::map<std::string, ZoneMachines> countMachinesByZone(
-        const ClusterState& clusterState, std::uint32_t partition, const Job& job) const;
+        const ClusterState& clusterState, PartitionId partition, const Job& job) const;
     // Reserves free capacity for up to so many tasks; for how many it did.
     std::uint32_t reserveFreeMachines(CapacityIndex& capacityIndex, const Job& job,
                                       std::uint32_t tasks) const;
--- a/src/coordination/scheduling/machine_selector.cpp
+++ b/src/coordination/scheduling/machine_selector.cpp
@@ -86,7 +86,7 @@
     return best;
 }
 
-std::uint32_t MachineSelector::bestEffortAllowance(const Job& job, std::uint32_t partition) const {
+std::uint32_t MachineSelector::bestEffortAllowance(const Job& job, PartitionId partition) const {
     if (context_.timers.wallNow() - job.readySince < bestEffortPatience) return 0;
     std::size_t allocated = 0;
     for (const auto& slice : job.slices)
--- a/src/coordination/scheduling/machine_selector.h
+++ b/src/coordination/scheduling/machine_selector.h
@@ -26,7 +26,7 @@
                                           EntitledSlots entitledSlots) const;
     /// How many more tasks of a best-effort job that has waited for long may take slots of
     /// entitled jobs.
-    [[nodiscard]] std::uint32_t bestEffortAllowance(const Job& job, std::uint32_t partition) const;
+    [[nodiscard]] std::uint32_t bestEffortAllowance(const Job& job, PartitionId partition) const;
 
   private:
     // In seconds.
--- a/src/coordination/scheduling/placement.cpp
+++ b/src/coordination/scheduling/placement.cpp
@@ -20,7 +20,7 @@
 
 }  // namespace
 
-std::vector<UnschedulableWork> Placement::run(std::uint32_t partition) {
+std::vector<UnschedulableWork> Placement::run(PartitionId partition) {
     auto clusterState = context_.clusterState.lock();
     gangs_.expireReservations(*clusterState, partition);
     PlacementRun run(context_, quotas_, *clusterState, partition);
@@ -261,7 +261,7 @@
     machineCapacity.consume(job.spec.each);
 }
 
-std::uint64_t Placement::nextAttempt(std::uint32_t partition) {
+std::uint64_t Placement::nextAttempt(PartitionId partition) {
     // Terms grow over all leaders, so attempts do too, without a record of their own.
     return (membership_.term(partition) << taskBits) | (++sequence_ & ((1U << taskBits) - 1));
 }
--- a/src/coordination/scheduling/placement.h
+++ b/src/coordination/scheduling/placement.h
@@ -26,11 +26,11 @@
 
     /// Allocates machines to what can start; what finds none is returned, in the queue's order. The
     /// allocations become durable before anything is sent.
-    [[nodiscard]] std::vector<UnschedulableWork> run(std::uint32_t partition);
+    [[nodiscard]] std::vector<UnschedulableWork> run(PartitionId partition);
 
     /// @name Questions of other modules; see the classes that answer them.
     /// @{
-    [[nodiscard]] std::uint32_t queueLength(std::uint32_t partition) {
+    [[nodiscard]] std::uint32_t queueLength(PartitionId partition) {
         return queueOrder_.queueLength(partition);
     }
     [[nodiscard]] std::vector<std::uint32_t> queueLengths() { return queueOrder_.queueLengths(); }
@@ -41,11 +41,11 @@
         return queueOrder_.fetchTime(job.spec);
     }
     [[nodiscard]] bool isSloAtRisk(const Job& job) const { return queueOrder_.isSloAtRisk(job); }
-    [[nodiscard]] std::uint32_t capacityFor(const Job& job, std::uint32_t partition,
+    [[nodiscard]] std::uint32_t capacityFor(const Job& job, PartitionId partition,
                                             std::uint32_t limit) {
         return capacity_.capacityFor(job, partition, limit);
     }
-    [[nodiscard]] bool isFeasible(const Job& job, std::uint32_t partition) {
+    [[nodiscard]] bool isFeasible(const Job& job, PartitionId partition) {
         return capacity_.isFeasible(job, partition);
     }
     [[nodiscard]] bool withinGuarantee(const ClusterState& clusterState, const Job& job) const {
@@ -111,7 +111,7 @@
 
     void allocate(PlacementRun& run, Job& job, Slice& slice, std::uint32_t task,
                   std::uint64_t attempt, MachineCapacity& machineCapacity) const;
-    std::uint64_t nextAttempt(std::uint32_t partition);
+    std::uint64_t nextAttempt(PartitionId partition);
 
     Context& context_;
     Membership& membership_;
--- a/src/coordination/scheduling/placement_run.h
+++ b/src/coordination/scheduling/placement_run.h
@@ -33,7 +33,7 @@
             guard.countSpareSlots(capacityIndex, clusterState, partition);
     }
 
-    const std::uint32_t partition;
+    const PartitionId partition;
     ClusterState& clusterState;
     CapacityIndex capacityIndex;
     FragmentationGuard guard;
--- a/src/coordination/scheduling/preemption.cpp
+++ b/src/coordination/scheduling/preemption.cpp
@@ -82,7 +82,7 @@
 }
 
 protocol::Priority Preemption::lowestRunning(const ClusterState& clusterState,
-                                             std::uint32_t partition) {
+                                             PartitionId partition) {
     auto lowest = protocol::Priority::production;
     for (const auto& [id, job] : clusterState.jobs)
         if (job.priority > lowest && job.spec.kind != JobKind::gang &&
@@ -93,7 +93,7 @@
     return lowest;
 }
 
-std::set<std::string> Preemption::preemptFor(std::uint32_t partition,
+std::set<std::string> Preemption::preemptFor(PartitionId partition,
                                              const std::vector<UnschedulableWork>& unschedulable) {
     std::set<std::string> machines;
     auto clusterState = context_.clusterState.lock();
--- a/src/coordination/scheduling/preemption.h
+++ b/src/coordination/scheduling/preemption.h
@@ -19,7 +19,7 @@
     /// Marks tasks to be stopped for what a placement run left waiting; the machines concerned,
     /// whose workers have yet to be told.
     [[nodiscard]] std::set<std::string> preemptFor(
-        std::uint32_t partition, const std::vector<UnschedulableWork>& unschedulable);
+        PartitionId partition, const std::vector<UnschedulableWork>& unschedulable);
 
   private:
     struct Victim {
@@ -35,7 +35,7 @@
     };
     // The lowest priority among what runs on the partition and could be stopped for others.
     [[nodiscard]] static protocol::Priority lowestRunning(const ClusterState& clusterState,
-                                                          std::uint32_t partition);
+                                                          PartitionId partition);
     // Frees capacity for one task of the job, if possible.
     bool preemptForTask(ClusterState& clusterState, const CapacityIndex& capacityIndex,
                         const Job& job, std::set<std::string>& machines) const;
--- a/src/coordination/scheduling/queue_order.cpp
+++ b/src/coordination/scheduling/queue_order.cpp
@@ -88,7 +88,7 @@
         }
 }
 
-std::vector<ReadyJob> QueueOrder::readyJobs(ClusterState& clusterState, std::uint32_t partition) {
+std::vector<ReadyJob> QueueOrder::readyJobs(ClusterState& clusterState, PartitionId partition) {
     std::vector<ReadyJob> ready;
     const auto now = context_.now();
     recordLargestGangs(clusterState);
@@ -114,7 +114,7 @@
     return ready;
 }
 
-bool QueueOrder::mayProbe(const Job& job, std::uint32_t partition) {
+bool QueueOrder::mayProbe(const Job& job, PartitionId partition) {
     // One task at a time for the whole job, wherever its slices lie: by the first that waits.
     if (job.anyAllocation()) return false;
     const auto first = std::find_if(job.slices.begin(), job.slices.end(),
@@ -150,8 +150,7 @@
     }
 }
 
-bool QueueOrder::areRecordsLagging(const ClusterState& clusterState,
-                                   std::uint32_t partition) const {
+bool QueueOrder::areRecordsLagging(const ClusterState& clusterState, PartitionId partition) const {
     // Beyond what the state service writes, the allocations of a best-effort job's thousands of
     // short tasks once waited for 150 s for their records and held their machines, and those of the
     // entitled jobs behind them (day fresh-5728 of vatback).
@@ -182,7 +181,7 @@
     return lengths;
 }
 
-std::uint32_t QueueOrder::queueLength(std::uint32_t partition) {
+std::uint32_t QueueOrder::queueLength(PartitionId partition) {
     return queueLengths()[partition];
 }
 
--- a/src/coordination/scheduling/queue_order.h
+++ b/src/coordination/scheduling/queue_order.h
@@ -22,7 +22,7 @@
     /// The jobs with tasks that the partition may place, first to be served first. Stops what is
     /// left of a gang that has lost a task. The jobs belong to the cluster state.
     [[nodiscard]] std::vector<ReadyJob> readyJobs(ClusterState& clusterState,
-                                                  std::uint32_t partition);
+                                                  PartitionId partition);
     /// Whether the job goes before the other.
     [[nodiscard]] bool before(const Job& one, const Job& other) const;
     /// When the job should have started at the latest to meet its next objective.
@@ -38,10 +38,10 @@
     /// Whether allocations have waited for their records for long: more of them would only hold
     /// machines.
     [[nodiscard]] bool areRecordsLagging(const ClusterState& clusterState,
-                                         std::uint32_t partition) const;
+                                         PartitionId partition) const;
 
     /// Tasks of the partition that could start and have no allocation (the paper's readyQ).
-    [[nodiscard]] std::uint32_t queueLength(std::uint32_t partition);
+    [[nodiscard]] std::uint32_t queueLength(PartitionId partition);
     /// The same for every partition, by its number.
     [[nodiscard]] std::vector<std::uint32_t> queueLengths();
 
@@ -50,7 +50,7 @@
     [[nodiscard]] bool isLargestGangOfClass(const Job& job) const;
     void recordLargestGangs(const ClusterState& clusterState);
     // Whether a crash-looping job may be tried once more, by this partition.
-    [[nodiscard]] static bool mayProbe(const Job& job, std::uint32_t partition);
+    [[nodiscard]] static bool mayProbe(const Job& job, PartitionId partition);
     static void stopIncompleteGang(Job& job);
 
     Context& context_;
--- a/src/coordination/scheduling/quota_exchange.cpp
+++ b/src/coordination/scheduling/quota_exchange.cpp
@@ -8,7 +8,7 @@
 
 namespace fawnwheel::coordination {
 
-void QuotaExchange::requestQuota(std::uint32_t partition,
+void QuotaExchange::requestQuota(PartitionId partition,
                                  const std::vector<UnschedulableWork>& unschedulable) {
     auto clusterState = context_.clusterState.lock();
     for (const auto& entry : unschedulable) {
@@ -97,7 +97,7 @@
                                                                  storage::QuotaShare moved) {
     if (clusterState.outgoingQuotas.contains(team.name)) return std::nullopt;
     std::map<std::uint32_t, storage::QuotaShare> next;
-    for (std::uint32_t partition = 0; partition < context_.partitionCount(); ++partition)
+    for (PartitionId partition = 0; partition < context_.partitionCount(); ++partition)
         next[partition] = quotas_.quotaShareOf(clusterState, team, partition);
     next[from].cpus -= moved.cpus;
     next[from].gpus -= moved.gpus;
--- a/src/coordination/scheduling/quota_exchange.h
+++ b/src/coordination/scheduling/quota_exchange.h
@@ -25,7 +25,7 @@
 
     /// Asks the other partitions' leaders for what the first job lacks that only the partition's
     /// quota share keeps waiting.
-    void requestQuota(std::uint32_t partition, const std::vector<UnschedulableWork>& unschedulable);
+    void requestQuota(PartitionId partition, const std::vector<UnschedulableWork>& unschedulable);
     /// Gives what the job lacks and the lending partition doesn't need for work that goes before
     /// it. Ignores requests of nodes that don't lead the borrowing partition.
     void onQuotaRequest(const std::string& peer, const protocol::QuotaRequest& request);
--- a/src/coordination/scheduling/team_quotas.cpp
+++ b/src/coordination/scheduling/team_quotas.cpp
@@ -14,7 +14,7 @@
 
 storage::QuotaShare TeamQuotas::quotaShareOf(const ClusterState& clusterState,
                                              const config::Team& team,
-                                             std::uint32_t partition) const {
+                                             PartitionId partition) const {
     const auto partitions = static_cast<double>(context_.partitionCount());
     storage::QuotaShare quota{team.cpusMax / partitions, team.gpusMax / partitions};
     const auto known = clusterState.quotas.find(team.name);
@@ -35,7 +35,7 @@
 }
 
 Resources TeamQuotas::remainingQuota(ClusterState& clusterState, const std::string& name,
-                                     std::uint32_t partition) const {
+                                     PartitionId partition) const {
     Resources left{unlimited, unlimited, unlimited};
     const auto* team = context_.team(name);
     if (team == nullptr) return left;
@@ -55,7 +55,7 @@
     const auto* team = context_.team(job.spec.team);
     if (team == nullptr || (team->cpus <= 0 && team->gpus <= 0)) return false;
     Resources used = job.spec.each;
-    for (std::uint32_t partition = 0; partition < context_.partitionCount(); ++partition)
+    for (PartitionId partition = 0; partition < context_.partitionCount(); ++partition)
         used += clusterState.usedBy(job.spec.team, partition);
     return (team->cpus <= 0 || used.cpus <= team->cpus) &&
            (team->gpus <= 0 || used.gpus <= team->gpus);
--- a/src/coordination/scheduling/team_quotas.h
+++ b/src/coordination/scheduling/team_quotas.h
@@ -13,11 +13,11 @@
 
     /// What the partition may still use of the team's limit. Without a limit: practically endless.
     [[nodiscard]] Resources remainingQuota(ClusterState& clusterState, const std::string& team,
-                                           std::uint32_t partition) const;
+                                           PartitionId partition) const;
     /// The partition's share of the team's limit. As long as none is recorded, an equal one.
     [[nodiscard]] storage::QuotaShare quotaShareOf(const ClusterState& clusterState,
                                                    const config::Team& team,
-                                                   std::uint32_t partition) const;
+                                                   PartitionId partition) const;
     /// Whether what the job's team uses, with one more task of it, lies within its guarantee.
     [[nodiscard]] bool withinGuarantee(const ClusterState& clusterState, const Job& job) const;
 
--- a/src/coordination/workers/fault_attribution.cpp
+++ b/src/coordination/workers/fault_attribution.cpp
@@ -44,7 +44,7 @@
     ++job.failures.probes;
 }
 
-void FaultAttribution::blameJob(ClusterState& clusterState, Job& job, std::uint32_t partition) {
+void FaultAttribution::blameJob(ClusterState& clusterState, Job& job, PartitionId partition) {
     // Attributed to the machines, the failures of one such job after the other had dozens of them
     // replaced, with all that ran there (incident inc-59fe).
     spdlog::info("fault_attribution: job_crash_looping job={}", job.spec.id);
--- a/src/coordination/workers/fault_attribution.h
+++ b/src/coordination/workers/fault_attribution.h
@@ -28,7 +28,7 @@
   private:
     /// Postpones the next probe of a job that is known to be crash-looping.
     void backOff(Job& job);
-    void blameJob(ClusterState& clusterState, Job& job, std::uint32_t partition);
+    void blameJob(ClusterState& clusterState, Job& job, PartitionId partition);
     void blameMachine(Machine& machine, const Job& job);
     void quarantine(Machine& machine);
 
--- a/src/coordination/workers/heartbeat_handler.h
+++ b/src/coordination/workers/heartbeat_handler.h
@@ -26,9 +26,9 @@
     [[nodiscard]] HeartbeatResponse handleHeartbeat(const protocol::Heartbeat& heartbeat);
 
     /// This process now leads the partition: what was known of its machines must be proved anew.
-    void onPartitionAcquired(std::uint32_t partition) { expiry_.resetPartition(partition); }
+    void onPartitionAcquired(PartitionId partition) { expiry_.resetPartition(partition); }
     /// See `WorkerExpiry`.
-    void expireSilent(std::uint32_t partition) { expiry_.expireSilent(partition); }
+    void expireSilent(PartitionId partition) { expiry_.expireSilent(partition); }
     void releaseAllocations(Machine& machine, std::string_view reason) {
         expiry_.releaseAllocations(machine, reason);
     }
--- a/src/coordination/workers/worker_expiry.cpp
+++ b/src/coordination/workers/worker_expiry.cpp
@@ -7,7 +7,7 @@
 
 namespace fawnwheel::coordination {
 
-void WorkerExpiry::resetPartition(std::uint32_t partition) {
+void WorkerExpiry::resetPartition(PartitionId partition) {
     const auto now = context_.now();
     auto clusterState = context_.clusterState.lock();
     for (auto* machine : clusterState->machinesOf(partition)) {
@@ -48,7 +48,7 @@
            membership_.appliedBy(machine.transferredBy) >= machine.version;
 }
 
-void WorkerExpiry::expireSilent(std::uint32_t partition) {
+void WorkerExpiry::expireSilent(PartitionId partition) {
     const auto now = context_.now();
     const auto maxLease = maxWorkerLease(context_);
     auto clusterState = context_.clusterState.lock();
@@ -63,7 +63,7 @@
     releaseWithoutMachine(*clusterState, partition);
 }
 
-void WorkerExpiry::releaseWithoutMachine(ClusterState& clusterState, std::uint32_t partition) {
+void WorkerExpiry::releaseWithoutMachine(ClusterState& clusterState, PartitionId partition) {
     // A machine's record is deleted only after proof that the machine is gone; a leader that ended
     // between that and recording the end of its allocations leaves them without a machine.
     for (auto& [id, job] : clusterState.jobs) {
--- a/src/coordination/workers/worker_expiry.h
+++ b/src/coordination/workers/worker_expiry.h
@@ -15,10 +15,10 @@
 
     /// Discards what was known of the partition's machines: each has to prove it anew by a
     /// heartbeat to this process, whose leases are counted from now on.
-    void resetPartition(std::uint32_t partition);
+    void resetPartition(PartitionId partition);
     /// Releases the allocations of the partition's machines that have been silent for longer than
     /// their leases, and those of machines without a record.
-    void expireSilent(std::uint32_t partition);
+    void expireSilent(PartitionId partition);
     /// Releases all allocations of a machine that is surely gone; `reason` is for the log.
     void releaseAllocations(Machine& machine, std::string_view reason);
 
@@ -27,7 +27,7 @@
     /// and no longer renews the worker's lease.
     [[nodiscard]] bool isTransferConfirmed(const ClusterState& clusterState,
                                            const Machine& machine) const;
-    static void releaseWithoutMachine(ClusterState& clusterState, std::uint32_t partition);
+    static void releaseWithoutMachine(ClusterState& clusterState, PartitionId partition);
 
     Context& context_;
     const Membership& membership_;
--- a/src/storage/cluster_state.cpp
+++ b/src/storage/cluster_state.cpp
@@ -44,13 +44,13 @@
     return found == machines.end() ? nullptr : &found->second;
 }
 
-const std::vector<Machine*>& ClusterState::machinesOf(std::uint32_t partition) const {
+const std::vector<Machine*>& ClusterState::machinesOf(PartitionId partition) const {
     static const std::vector<Machine*> none;
     const auto found = byPartition_.find(partition);
     return found == byPartition_.end() ? none : found->second;
 }
 
-Machine& ClusterState::addMachine(const std::string& id, std::uint32_t partition) {
+Machine& ClusterState::addMachine(const std::string& id, PartitionId partition) {
     const auto [entry, fresh] = machines.try_emplace(id);
     Machine& added = entry->second;
     if (!fresh) {
@@ -64,7 +64,7 @@
     return added;
 }
 
-void ClusterState::assignPartition(Machine& machine, std::uint32_t partition) {
+void ClusterState::assignPartition(Machine& machine, PartitionId partition) {
     if (machine.partition == partition) return;
     std::erase(byPartition_[machine.partition], &machine);
     machine.partition = partition;
@@ -239,7 +239,7 @@
     slice.recorded = {};
 }
 
-bool ClusterState::hasUnrecorded(std::uint32_t partition) const {
+bool ClusterState::hasUnrecorded(PartitionId partition) const {
     return std::any_of(jobs.begin(), jobs.end(), [partition](const auto& entry) {
         const auto& slices = entry.second.slices;
         return std::any_of(slices.begin(), slices.end(), [partition](const Slice& slice) {
@@ -248,7 +248,7 @@
     });
 }
 
-void ClusterState::discardUnrecorded(std::uint32_t partition) {
+void ClusterState::discardUnrecorded(PartitionId partition) {
     for (auto& [id, found] : jobs)
         for (auto& slice : found.slices)
             if (slice.partition == partition && slice.dirty) {
@@ -277,7 +277,7 @@
     dependencyGraph.prune();
 }
 
-double ClusterState::cachedFraction(const JobSpec& spec, std::uint32_t partition) const {
+double ClusterState::cachedFraction(const JobSpec& spec, PartitionId partition) const {
     const auto image = imageUse_.find(spec.image);
     if (image == imageUse_.end()) return 0;
     const auto uses = image->second.find(partition);
@@ -285,7 +285,7 @@
     return std::min(1.0, static_cast<double>(uses->second) / std::max(1U, spec.tasks));
 }
 
-Resources ClusterState::usedBy(const std::string& team, std::uint32_t partition) const {
+Resources ClusterState::usedBy(const std::string& team, PartitionId partition) const {
     Resources total;
     for (const auto& [id, activeJob] : jobs) {
         if (activeJob.spec.team != team) continue;
--- a/src/storage/cluster_state.h
+++ b/src/storage/cluster_state.h
@@ -32,7 +32,7 @@
 /// A slice's record that has outlived its job's.
 struct OrphanedRecord {
     std::string job;
-    std::uint32_t partition = 0;
+    PartitionId partition = 0;
 };
 
 /// A machine's record that can't be read, or that names a partition that does not exist.
@@ -70,7 +70,7 @@
     std::uint64_t catalogVersion = 0;
 
     // Partitions and nodes.
-    std::map<std::uint32_t, Partition> partitions;
+    std::map<PartitionId, Partition> partitions;
     std::uint32_t partitionCount = std::numeric_limits<std::uint32_t>::max();
     std::uint64_t lastTerm = 0;  ///< the latest term of any partition
     std::uint64_t termVersion = 0;
@@ -82,7 +82,7 @@
     std::set<std::string> nodesWithMachineTransfers;
 
     // Quotas, by team.
-    std::map<std::string, std::map<std::uint32_t, QuotaShare>> quotas;  ///< then by partition
+    std::map<std::string, std::map<PartitionId, QuotaShare>> quotas;  ///< then by partition
     std::map<std::string, std::uint64_t> quotaVersions;
     std::map<std::string, OutgoingQuota> outgoingQuotas;  ///< not durable
 
@@ -117,11 +117,11 @@
     }
 
     /// In the order in which they came to the partition.
-    [[nodiscard]] const std::vector<Machine*>& machinesOf(std::uint32_t partition) const;
+    [[nodiscard]] const std::vector<Machine*>& machinesOf(PartitionId partition) const;
     /// Adds the machine, or moves it to the partition if it is known.
-    Machine& addMachine(const std::string& id, std::uint32_t partition);
+    Machine& addMachine(const std::string& id, PartitionId partition);
     void dropMachine(const std::string& id);
-    void assignPartition(Machine& machine, std::uint32_t partition);
+    void assignPartition(Machine& machine, PartitionId partition);
     /// The partition whose slices have allocations on the machine, or none.
     [[nodiscard]] std::optional<std::uint32_t> partitionOfAllocationsOn(
         const std::string& machine) const;
@@ -143,10 +143,10 @@
     /// Replaces a slice by its pieces; each gets the place of its index.
     void divideSlice(Job& job, std::uint32_t index, const std::vector<Slice>& pieces);
     /// Whether a slice of the partition has changes that are not recorded.
-    [[nodiscard]] bool hasUnrecorded(std::uint32_t partition) const;
+    [[nodiscard]] bool hasUnrecorded(PartitionId partition) const;
     /// Returns the partition's slices to what their records hold. What this process has concluded
     /// as the partition's leader without recording it is void once another node may have led it.
-    void discardUnrecorded(std::uint32_t partition);
+    void discardUnrecorded(PartitionId partition);
 
     /// Drops all that replicates records, before they are read again.
     void clearRecords();
@@ -155,9 +155,9 @@
 
     /// How much of an image's demand a partition can serve from its machines' caches, 0 to 1: by
     /// the tasks with this image that had an allocation there.
-    [[nodiscard]] double cachedFraction(const JobSpec& spec, std::uint32_t partition) const;
+    [[nodiscard]] double cachedFraction(const JobSpec& spec, PartitionId partition) const;
     /// Resources of all allocations of a team in a partition.
-    [[nodiscard]] Resources usedBy(const std::string& team, std::uint32_t partition) const;
+    [[nodiscard]] Resources usedBy(const std::string& team, PartitionId partition) const;
 
   private:
     /// Adds the allocation to its machine's index.
@@ -171,7 +171,7 @@
                                                  TaskRange range);
     void detach(const Job& job, const Allocation& allocation);
 
-    std::map<std::uint32_t, std::vector<Machine*>> byPartition_;
+    std::map<PartitionId, std::vector<Machine*>> byPartition_;
     std::map<std::string, std::map<std::uint32_t, std::uint32_t>> imageUse_;  // by partition
 };
 
--- a/src/storage/job.cpp
+++ b/src/storage/job.cpp
@@ -139,8 +139,7 @@
     return spec.kind == protocol::JobKind::gang || spec.oneZone || spec.spread;
 }
 
-std::deque<Slice> makeSlices(const JobSpec& spec, std::uint32_t sliceSize,
-                             std::uint32_t partition) {
+std::deque<Slice> makeSlices(const JobSpec& spec, std::uint32_t sliceSize, PartitionId partition) {
     std::deque<Slice> slices;
     for (std::uint32_t first = 0; first < spec.tasks; first += sliceSize) {
         Slice slice;
--- a/src/storage/job.h
+++ b/src/storage/job.h
@@ -10,6 +10,7 @@
 #include <vector>
 
 #include "protocol/messages.h"
+#include "storage/partition.h"
 #include "transport/interfaces.h"
 
 namespace fawnwheel::storage {
@@ -59,7 +60,7 @@
 
 /// What a slice's record holds.
 struct SliceContent {
-    std::uint32_t partition = 0;
+    PartitionId partition = 0;
     TaskRange range;
     bool divided = false;  ///< the range is not the one its index gives
     std::vector<bool> done;
@@ -72,7 +73,7 @@
     // Durable.
     std::uint32_t index = 0;
     std::uint32_t first = 0;  ///< task
-    std::uint32_t partition = 0;
+    PartitionId partition = 0;
     std::vector<bool> done;  ///< by task, from `first` on
     std::uint32_t doneCount = 0;
     std::vector<Allocation> allocations;
@@ -121,7 +122,7 @@
 struct Job {
     // Durable.
     JobSpec spec;
-    std::uint32_t partition = 0;  ///< whose leader sees the job through to its end
+    PartitionId partition = 0;  ///< whose leader sees the job through to its end
     bool cancelled = false;
     WallTime submitted;
     std::uint32_t sliceSize = 1;
@@ -170,7 +171,7 @@
 
 /// The slices of a job before any division, without records.
 [[nodiscard]] std::deque<Slice> makeSlices(const JobSpec& spec, std::uint32_t sliceSize,
-                                           std::uint32_t partition);
+                                           PartitionId partition);
 
 /// The slice cut before each of these tasks (ascending, within it). The first piece keeps the
 /// index, the others get indexes from `nextIndex` on and no version.
--- a/src/storage/machine.h
+++ b/src/storage/machine.h
@@ -12,6 +12,7 @@
 
 #include "protocol/messages.h"
 #include "storage/job.h"
+#include "storage/partition.h"
 
 namespace fawnwheel::storage {
 
@@ -35,7 +36,7 @@
     std::string type;
     std::string zone;
     bool spot = false;
-    std::uint32_t partition = 0;
+    PartitionId partition = 0;
     std::optional<std::uint32_t> lender;  ///< partition that has lent it to `partition`
     std::uint64_t minFencingToken = 0;    ///< its worker may have seen this token from a lender
     std::string transferredBy;    ///< node that last gave it to another partition with its tasks
--- a/src/storage/partition.h
+++ b/src/storage/partition.h
@@ -7,6 +7,9 @@
 
 namespace fawnwheel::storage {
 
+/// A partition's number: the index of the node that leads it by preference, in the order of names.
+using PartitionId = std::uint32_t;
+
 /// A partition's record.
 struct Partition {
     std::string leader;  ///< name of a node
@@ -22,7 +25,7 @@
 
 /// Quota that a partition is giving away; the transaction has no outcome yet.
 struct OutgoingQuota {
-    std::uint32_t partition = 0;
+    PartitionId partition = 0;
     QuotaShare quota;
 };
 
--- a/src/storage/record_codec.cpp
+++ b/src/storage/record_codec.cpp
@@ -180,15 +180,15 @@
     return countOf(value, "term");
 }
 
-Json quotaValue(const std::map<std::uint32_t, QuotaShare>& quotas) {
+Json quotaValue(const std::map<PartitionId, QuotaShare>& quotas) {
     Json list = Json::array();
     for (const auto& [partition, quota] : quotas) list.push_back({quota.cpus, quota.gpus});
     return {{"shares", std::move(list)}};
 }
 
-std::map<std::uint32_t, QuotaShare> readQuota(const Json& value) {
-    std::map<std::uint32_t, QuotaShare> quotas;
-    std::uint32_t partition = 0;
+std::map<PartitionId, QuotaShare> readQuota(const Json& value) {
+    std::map<PartitionId, QuotaShare> quotas;
+    PartitionId partition = 0;
     for (const auto& entry : listOf(value, "shares")) {
         if (entry.is_array() && entry.size() == 2)
             quotas[partition] = {entry[0].get<double>(), entry[1].get<double>()};
--- a/src/storage/record_codec.h
+++ b/src/storage/record_codec.h
@@ -22,7 +22,7 @@
 /// What a job's active record holds.
 struct JobRecord {
     JobSpec spec;
-    std::uint32_t partition = 0;
+    PartitionId partition = 0;
     bool cancelled = false;
     std::uint32_t sliceSize = 1;
     WallTime submitted;
@@ -55,8 +55,8 @@
 [[nodiscard]] std::uint64_t readTerm(const Json& value);
 
 /// A team's quota shares, by partition.
-[[nodiscard]] Json quotaValue(const std::map<std::uint32_t, QuotaShare>& quotas);
-[[nodiscard]] std::map<std::uint32_t, QuotaShare> readQuota(const Json& value);
+[[nodiscard]] Json quotaValue(const std::map<PartitionId, QuotaShare>& quotas);
+[[nodiscard]] std::map<PartitionId, QuotaShare> readQuota(const Json& value);
 
 [[nodiscard]] Json featureGateValue();
 [[nodiscard]] Json catalogValue(const std::vector<protocol::MachineType>& types);
--- a/src/storage/record_keys.cpp
+++ b/src/storage/record_keys.cpp
@@ -45,7 +45,7 @@
 std::string machine(const std::string& id) {
     return machinePrefix + id;
 }
-std::string partition(std::uint32_t partition) {
+std::string partition(PartitionId partition) {
     return partitionPrefix + std::to_string(partition);
 }
 std::string node(const std::string& name) {
--- a/src/storage/record_keys.h
+++ b/src/storage/record_keys.h
@@ -10,6 +10,8 @@
 #include <string>
 #include <string_view>
 
+#include "storage/partition.h"
+
 namespace fawnwheel::storage {
 
 namespace keys {
@@ -19,7 +21,7 @@
 [[nodiscard]] std::string job(const std::string& id);
 [[nodiscard]] std::string slice(const std::string& id, std::uint32_t index);
 [[nodiscard]] std::string machine(const std::string& id);
-[[nodiscard]] std::string partition(std::uint32_t partition);
+[[nodiscard]] std::string partition(PartitionId partition);
 [[nodiscard]] std::string node(const std::string& name);
 [[nodiscard]] std::string quota(const std::string& team);
 /// Its record says, for ever, that a node has run a version that knows the formats added since the
