--- a/src/coordination/context.cpp
+++ b/src/coordination/context.cpp
@@ -26,7 +26,9 @@
     struct ZonedNode {
         std::string zone;
         PartitionId partition = 0;
-        auto operator<=>(const ZonedNode&) const = default;
+        bool operator<(const ZonedNode& other) const {
+            return std::tie(zone, partition) < std::tie(other.zone, other.partition);
+        }
     };
     std::vector<ZonedNode> order;
     std::set<std::string> zones;
--- a/src/coordination/migration/work_migrator.cpp
+++ b/src/coordination/migration/work_migrator.cpp
@@ -167,7 +167,9 @@
     struct Peer {
         double score = 0;  // capacity, more where the image is cached
         PartitionId partition = 0;
-        auto operator<=>(const Peer&) const = default;
+        bool operator<(const Peer& other) const {
+            return std::tie(score, partition) < std::tie(other.score, other.partition);
+        }
     };
     std::vector<Peer> peers;
     std::uint32_t maxCapacity = 0;
--- a/src/coordination/provisioning/autoscaler.cpp
+++ b/src/coordination/provisioning/autoscaler.cpp
@@ -28,29 +28,33 @@
 
 }  // namespace
 
+std::optional<double> Autoscaler::pricePerTask(const Job& job, std::uint32_t tasks,
+                                               const MachineType& type,
+                                               const MachinePoolId& pool) const {
+    if (pool.spot && !context_.tuning.useSpot) return std::nullopt;
+    if (!typeAllowed(job.spec, type, pool.zone, pool.spot)) return std::nullopt;
+    const auto refused = refused_.find(pool);
+    if (refused != refused_.end() && context_.now() < refused->second.until) return std::nullopt;
+    const double fit = countThatFit(job, type.capacity, tasks);
+    double price = (pool.spot ? type.spotPrice : type.price) / std::max(1.0, fit);
+    // Near the partition's own node, so that a cut between zones separates fewer of them.
+    if (pool.zone != context_.settings.zone) price *= otherZonePenalty;
+    return price;
+}
+
 std::optional<MachinePoolId> Autoscaler::cheapest(const Job& job, std::uint32_t tasks,
                                                   const std::string& inZone) const {
     std::optional<MachinePoolId> best;
     double bestPrice = 0;
-    const auto now = context_.now();
     for (const auto& type : context_.catalog) {
         for (const auto& zone : type.zones) {
             if (!inZone.empty() && zone != inZone) continue;
             for (const bool spot : {true, false}) {
-                if (spot && !context_.tuning.useSpot) continue;
-                if (!typeAllowed(job.spec, type, zone, spot)) continue;
                 const MachinePoolId pool{type.name, zone, spot};
-                const auto refused = refused_.find(pool);
-                if (refused != refused_.end() && now < refused->second.until) continue;
-                const double fit = countThatFit(job, type.capacity, tasks);
-                double price = (spot ? type.spotPrice : type.price) / std::max(1.0, fit);
-                // Near the partition's own node, so that a cut between zones separates fewer of
-                // them.
-                if (zone != context_.settings.zone) price *= otherZonePenalty;
-                if (!best || price < bestPrice) {
-                    best = pool;
-                    bestPrice = price;
-                }
+                const auto price = pricePerTask(job, tasks, type, pool);
+                if (!price || (best && *price >= bestPrice)) continue;
+                best = pool;
+                bestPrice = *price;
             }
         }
     }
--- a/src/coordination/provisioning/autoscaler.h
+++ b/src/coordination/provisioning/autoscaler.h
@@ -62,6 +62,11 @@
                          ProvisioningRequests& requests) const;
     void requestForGang(const UnschedulableWork& entry, const Job& job,
                         ProvisioningRequests& requests) const;
+    /// What a task of the job would cost an hour on a machine of the pool with `tasks` of them at
+    /// most; none: the job may not use the pool, or the cloud has lately refused it.
+    [[nodiscard]] std::optional<double> pricePerTask(const Job& job, std::uint32_t tasks,
+                                                     const MachineType& type,
+                                                     const MachinePoolId& pool) const;
     // The cheapest pool for so many tasks of the job, of all zones if none is named. None: the
     // cloud has refused all, or none suits.
     [[nodiscard]] std::optional<MachinePoolId> cheapest(const Job& job, std::uint32_t tasks,
