--- a/src/coordination/controller.cpp
+++ b/src/coordination/controller.cpp
@@ -125,7 +125,7 @@
 
 void Controller::onPartitionAcquired(PartitionId partition) {
     heartbeats_.onPartitionAcquired(partition);
-    reachability_.expectHeartbeats();
+    reachability_.restartSilenceTimeout();
     scheduleRound();
 }
 
--- a/src/coordination/membership/membership.h
+++ b/src/coordination/membership/membership.h
@@ -61,8 +61,8 @@
     /// Whether users should be sent to this node.
     [[nodiscard]] bool healthy() const;
     /// The revision up to which the peer has told that it has the records; 0 if unknown.
-    [[nodiscard]] std::uint64_t appliedBy(const std::string& peer) const {
-        return peers_.appliedBy(peer);
+    [[nodiscard]] std::uint64_t appliedRevisionOf(const std::string& peer) const {
+        return peers_.appliedRevisionOf(peer);
     }
     /// No worker reaches this process: its partitions are better off with a peer.
     [[nodiscard]] bool workersUnreachable() const { return reachability_.isUnreachable(); }
--- a/src/coordination/membership/peer_heartbeats.cpp
+++ b/src/coordination/membership/peer_heartbeats.cpp
@@ -27,7 +27,7 @@
 
 }  // namespace
 
-std::uint64_t PeerHeartbeats::appliedBy(const std::string& peer) const {
+std::uint64_t PeerHeartbeats::appliedRevisionOf(const std::string& peer) const {
     const auto found = peers_.find(peer);
     return found == peers_.end() ? 0 : found->second.applied;
 }
--- a/src/coordination/membership/peer_heartbeats.h
+++ b/src/coordination/membership/peer_heartbeats.h
@@ -49,7 +49,7 @@
     /// Some peer is alive, reaches the state service and serves users.
     [[nodiscard]] bool anyPeerServing() const;
     /// The revision up to which the peer has told that it has the records; 0 if unknown.
-    [[nodiscard]] std::uint64_t appliedBy(const std::string& peer) const;
+    [[nodiscard]] std::uint64_t appliedRevisionOf(const std::string& peer) const;
     /// Of every peer, all cancellations that it told users of are known here as of `maxAge` ago.
     [[nodiscard]] bool cancellationsKnown(Duration maxAge) const;
     /// Every peer has just said that it cannot reach the state service, and none has said that it
--- a/src/coordination/membership/worker_reachability.h
+++ b/src/coordination/membership/worker_reachability.h
@@ -33,7 +33,7 @@
     /// A heartbeat has arrived, from any worker.
     void onHeartbeat() { recordContact(); }
     /// This process has acquired partitions: their workers need time to find it.
-    void expectHeartbeats() { lastContact_ = std::max(lastContact_, context_.now()); }
+    void restartSilenceTimeout() { lastContact_ = std::max(lastContact_, context_.now()); }
     /// To be called periodically, with the partitions that this process leads.
     void checkReachability(const std::vector<std::uint32_t>& partitions);
 
--- a/src/coordination/workers/worker_expiry.cpp
+++ b/src/coordination/workers/worker_expiry.cpp
@@ -45,7 +45,7 @@
     // when the change was seen here, the lease once would have seemed to end in such an outage.
     return machine.transferredBy.empty() || machine.transferredBy == context_.settings.name ||
            !clusterState.nodes.contains(machine.transferredBy) ||
-           membership_.appliedBy(machine.transferredBy) >= machine.version;
+           membership_.appliedRevisionOf(machine.transferredBy) >= machine.version;
 }
 
 void WorkerExpiry::expireSilent(PartitionId partition) {
--- a/tests/unit/coordination/membership/membership_fixture.h
+++ b/tests/unit/coordination/membership/membership_fixture.h
@@ -37,7 +37,7 @@
 };
 
 /// A node with its membership, beside the records and their writers.
-class MembershipBench : public RecordBench {
+class MembershipFixture : public RecordBench {
   protected:
     FakeReplicaStatus replicaStatus;
     RecordingObserver observer;
--- a/tests/unit/coordination/membership/membership_test.cpp
+++ b/tests/unit/coordination/membership/membership_test.cpp
@@ -11,7 +11,7 @@
 
 using namespace std::chrono_literals;
 
-class MembershipTest : public MembershipBench {
+class MembershipTest : public MembershipFixture {
   protected:
     MembershipTest() { replicaStatus.isSynced = true; }
 
--- a/tests/unit/coordination/migration/machine_transfers_test.cpp
+++ b/tests/unit/coordination/migration/machine_transfers_test.cpp
@@ -16,7 +16,7 @@
 using storage::keys::slice;
 
 // Partition 0 of node 0 has machines m-1 and m-2, and its peer node 2 owns partition 2.
-class TransferBench : public MembershipBench, private MachineTransferObserver {
+class TransferBench : public MembershipFixture, private MachineTransferObserver {
   protected:
     TransferBench()
         : teamQuotas(context),
