--- a/src/coordination/membership/acquired_terms.h
+++ b/src/coordination/membership/acquired_terms.h
@@ -9,20 +9,22 @@
 
 namespace fawnwheel::coordination {
 
-/// Terms of acquisition by partition. Known to this process only; the records may have moved on.
+/// Maps each partition that this process has acquired to its term of acquisition. The map is not
+/// recorded; a partition's record may meanwhile name another leader or a later term.
 class AcquiredTerms {
   public:
     explicit AcquiredTerms(Context& context) : context_(context) {}
 
     void record(PartitionId partition, std::uint64_t term) { terms_[partition] = term; }
-    void forget(PartitionId partition) { terms_.erase(partition); }
-    /// Forgets the partitions of the highest numbers until no more than `count` are left.
+    void erase(PartitionId partition) { terms_.erase(partition); }
+    /// Erases the partitions with the highest numbers until at most `count` are left.
     void truncate(std::size_t count);
 
-    /// The term in which this process acquired the partition; none if it has not.
+    /// The term in which this process acquired the partition; none if this process has not acquired
+    /// it.
     [[nodiscard]] std::optional<std::uint64_t> termOf(PartitionId partition) const;
-    /// The records name this node as the partition's leader, in the term of its acquisition by this
-    /// process.
+    /// Whether the partition's record names this node as leader, in the term in which this process
+    /// acquired the partition.
     [[nodiscard]] bool isRecordedLeader(PartitionId partition) const;
     [[nodiscard]] const std::map<std::uint32_t, std::uint64_t>& all() const { return terms_; }
 
--- a/src/coordination/membership/failover.cpp
+++ b/src/coordination/membership/failover.cpp
@@ -10,9 +10,9 @@
 
 using namespace std::chrono_literals;
 
-constexpr auto retryDelay = 300ms;       // after a refusal
-constexpr auto delayPerRank = 1s;        // between nodes that may acquire a leaderless partition
-constexpr auto minPreferredUptime = 2s;  // of a preferred leader that gets its partition back
+constexpr auto retryDelay = 300ms;       // after a failed acquisition
+constexpr auto delayPerRank = 1s;        // between the attempts of nodes of adjacent ranks
+constexpr auto minPreferredUptime = 2s;  // of a preferred leader before it gets its partition back
 
 }  // namespace
 
@@ -26,22 +26,23 @@
 
 void Failover::reconcile() {
     logUpgradeComplete();
-    // While the records are read anew the partitions' records are missing for a moment.
+    // During a resync the partitions' records are missing for a moment, which is not a loss.
     if (replica_.synced()) leadership_.announceLosses();
     leadership_.announceAcquisitions();
     if (!replica_.synced() || !lease_.isValid()) return;
     for (PartitionId partition = 0; partition < context_.partitionCount(); ++partition) {
         if (leadership_.isCaughtUp(partition))
-            reconcileLed(partition);
+            reconcileLedPartition(partition);
         else
-            reconcileUnled(partition);
+            reconcileOtherPartition(partition);
     }
 }
 
-void Failover::reconcileLed(PartitionId partition) {
+void Failover::reconcileLedPartition(PartitionId partition) {
     if (pipeline_.busy(partition)) return;
     if (reachability_.isUnreachable()) {
-        // Its machines' leases would run out, with all that runs on them (incident inc-59fe).
+        // If this node kept the partition, its workers could not renew their leases, and everything
+        // that runs on its machines would be lost (incident inc-59fe).
         if (const auto successor = successorFor(partition))
             transferLeadership(partition, *successor);
         return;
@@ -52,16 +53,17 @@
         transferLeadership(partition, preferredLeader);
 }
 
-void Failover::reconcileUnled(PartitionId partition) {
+void Failover::reconcileOtherPartition(PartitionId partition) {
     const auto now = context_.now();
     const auto record = context_.clusterState.lock()->partitions[partition];
     if (record.leader == context_.settings.name) {
-        // Acquired by an earlier process of this node, transferred to it, or the term must rise. In
-        // each case no other process acts as its leader.
+        // An earlier process of this node acquired the partition, a peer transferred it to this
+        // node, or this process has to acquire it anew with a higher term. In each case no other
+        // process acts as the partition's leader.
         if (acquiredTerms_.termOf(partition) != record.term) acquire(partition);
         return;
     }
-    acquiredTerms_.forget(partition);
+    acquiredTerms_.erase(partition);
     if (!isLeaderless(partition, record)) {
         leaderlessSince_.erase(partition);
         return;
@@ -79,15 +81,16 @@
 }
 
 std::uint32_t Failover::failoverRank(PartitionId partition) const {
-    // Nodes are ranked from the partition's preferred leader on; a node that no worker reaches
-    // comes after all others.
+    // Ranks are counted from the partition's preferred leader onwards. A node that no worker can
+    // reach ranks after all others.
     const auto rank = (context_.preferredPartition + context_.partitionCount() - partition) %
                       context_.partitionCount();
     return reachability_.isUnreachable() ? rank + context_.partitionCount() : rank;
 }
 
 std::optional<std::string> Failover::successorFor(PartitionId partition) const {
-    // Near the partition's machines, with as few other partitions as possible, by name last.
+    // Prefers the peer with most of the partition's machines in its zone, then the one that leads
+    // the fewest partitions, then the first by name.
     struct Candidate {
         std::size_t machinesInZone = 0;
         std::size_t partitions = 0;
@@ -113,9 +116,10 @@
 }
 
 bool Failover::mustDelayAcquisition(PartitionId partition) const {
-    // A refusal says that the records here are older than it: the next try waits until they are
-    // not. Back from a cut, a node once tried its stale versions again and again, as urgent as its
-    // lease, and so kept itself from reading what would have shown it better (stale_after_cut).
+    // A refusal shows that the cluster state here is outdated, so the next attempt waits until the
+    // cluster state has reached the revision of the refusal. Otherwise a node that was cut off from
+    // the network retries with stale versions, and these requests, sent with the priority of
+    // leases, starve the reads that would update its records (scenario stale_after_cut).
     const auto failed = failedAcquisitions_.find(partition);
     return failed != failedAcquisitions_.end() &&
            (context_.now() < failed->second.retryAt ||
@@ -124,93 +128,96 @@
 
 protocol::CompareAndSwap Failover::acquisitionTransaction(ClusterState& clusterState,
                                                           PartitionId partition,
-                                                          const storage::Partition& next) {
+                                                          const storage::Partition& newRecord) {
     protocol::CompareAndSwap transaction;
     const auto& record = clusterState.partitions[partition];
     transaction.compares = {{storage::keys::partition(partition), record.version},
                             {storage::keys::term, clusterState.termVersion}};
-    if (!record.leader.empty() && record.leader != next.leader)
+    if (!record.leader.empty() && record.leader != newRecord.leader)
         transaction.compares.push_back({storage::keys::node(record.leader), 0});
-    // This process's own node record is a condition too: a late acquisition by a process that has
-    // ended fails.
+    // The compare of this process's own node record makes a delayed acquisition fail if the process
+    // has ended.
     transaction.compares.push_back(
-        {storage::keys::node(next.leader), clusterState.nodes[next.leader]});
-    transaction.writes = {{storage::keys::partition(partition), storage::partitionValue(next), 0},
-                          {storage::keys::term, protocol::Json{{"term", next.term}}, 0}};
+        {storage::keys::node(newRecord.leader), clusterState.nodes[newRecord.leader]});
+    transaction.writes = {
+        {storage::keys::partition(partition), storage::partitionValue(newRecord), 0},
+        {storage::keys::term, protocol::Json{{"term", newRecord.term}}, 0}};
     return transaction;
 }
 
 void Failover::acquire(PartitionId partition) {
-    if (mustDelayAcquisition(partition) || !changing_.insert(partition).second) return;
+    if (mustDelayAcquisition(partition) || !pendingPartitions_.insert(partition).second) return;
     protocol::CompareAndSwap transaction;
-    storage::Partition next;
+    storage::Partition newRecord;
     {
         auto clusterState = context_.clusterState.lock();
-        next.leader = context_.settings.name;
-        next.term = clusterState->lastTerm + 1;
-        transaction = acquisitionTransaction(*clusterState, partition, next);
+        newRecord.leader = context_.settings.name;
+        newRecord.term = clusterState->lastTerm + 1;
+        transaction = acquisitionTransaction(*clusterState, partition, newRecord);
     }
     context_.state.transact(
         std::move(transaction), protocol::RequestPriority::lease,
-        [this, partition, next](const protocol::CompareAndSwapResponse& answer) {
-            changing_.erase(partition);
-            if (answer.result == protocol::StateResult::ok)
-                return onAcquired(partition, next, answer.revision);
-            // The replica shows what became of it; then the partition is looked at again.
-            const auto pause = context_.jittered(retryDelay);
-            failedAcquisitions_[partition] = {answer.revision, context_.now() + pause};
-            context_.timers.after(pause, [this] { reconcile(); });
+        [this, partition, newRecord](const protocol::CompareAndSwapResponse& response) {
+            pendingPartitions_.erase(partition);
+            if (response.result == protocol::StateResult::ok)
+                return onAcquired(partition, newRecord, response.revision);
+            // The replica receives the outcome from the state service; after the delay the
+            // partition is reconciled again.
+            const auto delay = context_.jittered(retryDelay);
+            failedAcquisitions_[partition] = {response.revision, context_.now() + delay};
+            context_.timers.after(delay, [this] { reconcile(); });
         });
 }
 
-void Failover::onAcquired(PartitionId partition, const storage::Partition& next,
+void Failover::onAcquired(PartitionId partition, const storage::Partition& newRecord,
                           std::uint64_t revision) {
-    spdlog::info("failover: partition_acquired partition={} term={}", partition, next.term);
+    spdlog::info("failover: partition_acquired partition={} term={}", partition, newRecord.term);
     {
         auto clusterState = context_.clusterState.lock();
         auto& record = clusterState->partitions[partition];
-        record = next;
+        record = newRecord;
         record.version = revision;
-        clusterState->lastTerm = next.term;
+        clusterState->lastTerm = newRecord.term;
         clusterState->termVersion = revision;
     }
-    acquiredTerms_.record(partition, next.term);
+    acquiredTerms_.record(partition, newRecord.term);
     failedAcquisitions_.erase(partition);
     leaderlessSince_.erase(partition);
     reconcile();
 }
 
 void Failover::transferLeadership(PartitionId partition, const std::string& node) {
-    if (!changing_.insert(partition).second) return;
+    if (!pendingPartitions_.insert(partition).second) return;
     protocol::CompareAndSwap transaction;
-    storage::Partition next;
+    storage::Partition newRecord;
     {
         auto clusterState = context_.clusterState.lock();
         const auto& record = clusterState->partitions[partition];
-        next = record;
-        next.leader = node;
+        newRecord = record;
+        newRecord.leader = node;
         transaction.compares = {
             {storage::keys::partition(partition), record.version},
-            {storage::keys::node(next.leader), clusterState->nodes[next.leader]}};
+            {storage::keys::node(newRecord.leader), clusterState->nodes[newRecord.leader]}};
         transaction.writes = {
-            {storage::keys::partition(partition), storage::partitionValue(next), 0}};
+            {storage::keys::partition(partition), storage::partitionValue(newRecord), 0}};
     }
-    // Nobody is answered for the partition from now on: the new leader may start at any moment.
-    acquiredTerms_.forget(partition);
+    // This process must stop acting as the partition's leader before it sends the transaction,
+    // because the new leader may start at any moment.
+    acquiredTerms_.erase(partition);
     leadership_.announceLosses();
     context_.state.transact(
         std::move(transaction), protocol::RequestPriority::lease,
-        [this, partition, next](const protocol::CompareAndSwapResponse& answer) {
-            changing_.erase(partition);
-            // Without success the record still names this node, which acquires the partition anew
-            // with a higher term.
-            if (answer.result != protocol::StateResult::ok) return;
+        [this, partition, newRecord](const protocol::CompareAndSwapResponse& response) {
+            pendingPartitions_.erase(partition);
+            // After a failed transfer the record still names this node, which then acquires the
+            // partition anew with a higher term.
+            if (response.result != protocol::StateResult::ok) return;
             spdlog::info("failover: leadership_transferred partition={} to={}", partition,
-                         next.leader);
+                         newRecord.leader);
             auto clusterState = context_.clusterState.lock();
             auto& record = clusterState->partitions[partition];
-            record = next;
-            record.version = answer.revision;
+            record = newRecord;
+            record.version = response.revision;
         });
 }
 
--- a/src/coordination/membership/failover.h
+++ b/src/coordination/membership/failover.h
@@ -1,5 +1,6 @@
 /// @file
-/// Failover: acquires partitions without a leader and transfers partitions to better leaders.
+/// Failover: acquires partitions that have no leader, and transfers partitions to nodes that are
+/// better placed to lead them.
 #pragma once
 
 #include <map>
@@ -12,9 +13,9 @@
 
 /// Moves the leadership of partitions between nodes, each move by one transaction.
 ///
-/// A partition whose leader has no node record any more is acquired by a peer with a higher term. A
-/// partition goes back to its preferred leader when that has returned, and away from a node that no
-/// worker reaches.
+/// Once the node record of a partition's leader no longer exists, a peer acquires the partition
+/// with a higher term. A leader transfers a partition back to its preferred leader when that node
+/// has returned, and transfers its partitions to peers while no worker can reach it.
 class Failover {
   public:
     Failover(Context& context, AcquiredTerms& acquiredTerms, const NodeLease& lease,
@@ -30,34 +31,37 @@
           reachability_(reachability),
           pipeline_(pipeline) {}
 
-    /// Squares the leadership known here with the records: announces losses and acquisitions, and
-    /// acquires or transfers partitions where that is due.
+    /// Compares the leadership known to this process with the records, reports losses and
+    /// acquisitions to the observer, and acquires or transfers partitions as needed.
     void reconcile();
 
   private:
     void logUpgradeComplete();
-    void reconcileLed(PartitionId partition);
-    void reconcileUnled(PartitionId partition);
-    /// No live node is the partition's leader by its record, nor ought to be its first leader.
+    void reconcileLedPartition(PartitionId partition);
+    void reconcileOtherPartition(PartitionId partition);
+    /// Whether the partition's recorded leader has no node record. If the partition has no record:
+    /// whether this node is the preferred leader, or the preferred leader has no node record.
     [[nodiscard]] bool isLeaderless(PartitionId partition, const storage::Partition& record) const;
-    /// Position of this node among those that may acquire the partition; 0 acquires at once.
+    /// This node's rank among the nodes that may acquire the partition; rank 0 acquires it at once.
     [[nodiscard]] std::uint32_t failoverRank(PartitionId partition) const;
     void acquire(PartitionId partition);
-    /// A refused acquisition must wait until the records here are as new as the refusal.
+    /// After a refused acquisition: whether the retry delay is still running, or the cluster state
+    /// is older than the refusal.
     [[nodiscard]] bool mustDelayAcquisition(PartitionId partition) const;
-    /// Makes `next` the partition's record, provided that its leader has lapsed and this node has
-    /// not.
+    /// The transaction that writes `newRecord` as the partition's record. It succeeds only if the
+    /// node record of the former leader no longer exists and this node's own record still does.
     [[nodiscard]] static protocol::CompareAndSwap acquisitionTransaction(
-        ClusterState& clusterState, PartitionId partition, const storage::Partition& next);
-    void onAcquired(PartitionId partition, const storage::Partition& next, std::uint64_t revision);
-    /// Makes the other node the partition's leader, which acquires it with a higher term.
+        ClusterState& clusterState, PartitionId partition, const storage::Partition& newRecord);
+    void onAcquired(PartitionId partition, const storage::Partition& newRecord,
+                    std::uint64_t revision);
+    /// Records the other node as the partition's leader; that node then acquires the partition with
+    /// a higher term.
     void transferLeadership(PartitionId partition, const std::string& node);
-    /// The peer that serves a partition's workers best in place of this node; none if no peer
-    /// could.
+    /// The peer best placed to lead the partition in place of this node; none if no peer can lead.
     [[nodiscard]] std::optional<std::string> successorFor(PartitionId partition) const;
 
     struct FailedAcquisition {
-        std::uint64_t revision = 0;  // that the service's records had reached when it refused
+        std::uint64_t revision = 0;  // of the state service when it refused the acquisition
         SteadyTime retryAt{};
     };
 
@@ -70,7 +74,7 @@
     const WorkerReachability& reachability_;
     const TransactionPipeline& pipeline_;
     std::map<std::uint32_t, SteadyTime> leaderlessSince_;  // by partition
-    std::set<std::uint32_t> changing_;  // partitions with a transaction of this class under way
+    std::set<std::uint32_t> pendingPartitions_;  // with an acquisition or transfer in flight
     std::map<std::uint32_t, FailedAcquisition> failedAcquisitions_;  // by partition
     bool upgradeLogged_ = false;
 };
--- a/src/coordination/membership/membership.cpp
+++ b/src/coordination/membership/membership.cpp
@@ -35,7 +35,8 @@
 }
 
 void Membership::onReachabilityChanged() {
-    // A peer that acquires a partition from this node must not transfer it back at once.
+    // The peers must receive this node's readiness before any transfer: otherwise a peer that
+    // acquires a partition from this node would transfer it back at once.
     peers_.broadcast();
     reconcile();
 }
@@ -43,8 +44,8 @@
 bool Membership::healthy() const {
     if (!replica_.synced() || context_.catalog.empty()) return false;
     if (isLeaseValid() || context_.state.reachable()) return true;
-    // In an outage for all, leaving the balancer would only delay the return. Refused alone, this
-    // node sends users to those that are served.
+    // If the state service is down for all nodes, leaving the load balancer would only delay the
+    // recovery. If it refuses only this node, users should go to the peers that it serves.
     return !peers_.anyPeerServing();
 }
 
--- a/src/coordination/membership/membership.h
+++ b/src/coordination/membership/membership.h
@@ -2,9 +2,10 @@
 /// Membership of the cluster: which nodes are alive, which of them leads which partition, and
 /// whether this process may still act as a leader.
 ///
-/// A node's record hangs on a lease with the state service. A partition's record names its leader
-/// and term; the fencing tokens that its machines see begin with the term. A partition whose leader
-/// has lapsed goes to a peer with a higher term, and back when its preferred leader has returned.
+/// A node's record is attached to a lease with the state service. A partition's record names its
+/// leader and term; the term forms the high bits of the fencing tokens that the partition's
+/// machines see. When the leader's lease expires, a peer acquires the partition with a higher term;
+/// the partition is transferred back when its preferred leader has returned.
 #pragma once
 
 #include "coordination/membership/failover.h"
@@ -12,7 +13,8 @@
 
 namespace fawnwheel::coordination {
 
-/// Facade of the module: owns its parts, connects them, and answers what other modules ask.
+/// Facade of the membership module: owns and connects its parts, and answers queries of other
+/// modules.
 class Membership final : private NodeLeaseObserver {
   public:
     Membership(Context& context, const ReplicaStatus& replica,
@@ -27,23 +29,23 @@
         peers_.onLeaderHeartbeat(peer, message);
     }
     /// See `PeerHeartbeats::broadcastCancellations`.
-    void broadcastCancellations(std::function<void()> then) {
-        peers_.broadcastCancellations(std::move(then));
+    void broadcastCancellations(std::function<void()> onBroadcast) {
+        peers_.broadcastCancellations(std::move(onBroadcast));
     }
-    /// To be called when the replica has changed or been read. See `Failover::reconcile`.
+    /// Must be called when the replica has changed or has been read. See `Failover::reconcile`.
     void reconcile() { failover_.reconcile(); }
-    /// To be called when `workersUnreachable` has changed: peers hear of it before a partition
-    /// changes its leader.
+    /// Must be called when `workersUnreachable` has changed. Sends heartbeats with this node's new
+    /// readiness to the peers before any partition changes its leader.
     void onReachabilityChanged();
 
-    /// The node's lease with the state service is surely valid: nobody can have acquired the
-    /// partitions led here.
+    /// Whether the node's lease with the state service is certainly valid, so that no peer can have
+    /// acquired the partitions that this node leads.
     [[nodiscard]] bool isLeaseValid() const { return lease_.isValid(); }
     /// See `PartitionLeadership::canAnswerWorkers`.
     [[nodiscard]] bool canAnswerWorkers(PartitionId partition) const {
         return leadership_.canAnswerWorkers(partition);
     }
-    /// Acquired by this process, with a cluster state that holds all that preceded the acquisition.
+    /// Whether this process leads the partition. See `PartitionLeadership::isLeader`.
     [[nodiscard]] bool isLeader(PartitionId partition) const {
         return leadership_.isLeader(partition);
     }
@@ -53,18 +55,18 @@
     [[nodiscard]] std::uint64_t term(PartitionId partition) const {
         return leadership_.term(partition);
     }
-    /// The least fencing token for a partition's machines. Its low bits are free to grow within a
-    /// term.
+    /// The lowest fencing token for the partition's machines in the present term. The low bits are
+    /// zero and leave room for higher tokens within the term.
     [[nodiscard]] std::uint64_t minFencingToken(PartitionId partition) const {
         return term(partition) << fencingTokenBits;
     }
-    /// Whether users should be sent to this node.
+    /// Whether the load balancer should send users to this node.
     [[nodiscard]] bool healthy() const;
-    /// The revision up to which the peer has told that it has the records; 0 if unknown.
+    /// The revision up to which the peer has reported that it has the records; 0 if unknown.
     [[nodiscard]] std::uint64_t appliedRevisionOf(const std::string& peer) const {
         return peers_.appliedRevisionOf(peer);
     }
-    /// No worker reaches this process: its partitions are better off with a peer.
+    /// Whether no worker can reach this process, so that peers should lead its partitions.
     [[nodiscard]] bool workersUnreachable() const { return reachability_.isUnreachable(); }
 
   private:
--- a/src/coordination/membership/membership_observer.h
+++ b/src/coordination/membership/membership_observer.h
@@ -1,22 +1,24 @@
 /// @file
-/// The interface through which membership reports changes of leadership and new cancellations.
+/// The interface through which the membership module reports changes of leadership and new
+/// cancellations.
 #pragma once
 
 #include <cstdint>
 
 namespace fawnwheel::coordination {
 
-/// Told by `Membership` of what the rest of the controller has to react to.
+/// Receives the events of `Membership` that the rest of the controller has to react to.
 class MembershipObserver {
   public:
     virtual ~MembershipObserver() = default;
 
-    /// This process now leads the partition and may act as its leader once this has returned.
+    /// This process has acquired the partition and may act as its leader once this call has
+    /// returned.
     virtual void onPartitionAcquired(PartitionId partition) = 0;
-    /// The partition was led here and is no longer, or was not for a while: what was concluded as
-    /// its leader and is not recorded is void.
+    /// This process no longer leads the partition, or temporarily did not lead it. What this
+    /// process concluded as leader and has not recorded is void.
     virtual void onPartitionLost(PartitionId partition) = 0;
-    /// Peers have told of cancellations that were unknown here.
+    /// A peer has sent cancellations that were unknown to this node.
     virtual void onCancellationsLearned() = 0;
 };
 
--- a/src/coordination/membership/node_lease.cpp
+++ b/src/coordination/membership/node_lease.cpp
@@ -17,41 +17,43 @@
 
 }  // namespace
 
-void NodeLease::retryGrantLater() {
-    context_.timers.after(context_.jittered(retryDelay), [this] { grant(); });
+void NodeLease::scheduleLeaseRequest() {
+    context_.timers.after(context_.jittered(retryDelay), [this] { requestLease(); });
 }
 
-SteadyTime NodeLease::earliestExpiry(SteadyTime sent) const {
-    return sent + ticks(context_.tuning.nodeLease * clockDriftFactor) - timerResolution;
+SteadyTime NodeLease::earliestExpiry(SteadyTime sentAt) const {
+    return sentAt + ticks(context_.tuning.nodeLease * clockDriftFactor) - timerResolution;
 }
 
-void NodeLease::grant() {
-    if (!replica_.synced()) return retryGrantLater();
-    const auto sent = context_.now();
-    context_.state.grantLease(ticks(context_.tuning.nodeLease), [this, sent](std::uint64_t lease) {
-        if (lease == 0) return retryGrantLater();
-        writeNode(lease, sent);
-    });
+void NodeLease::requestLease() {
+    if (!replica_.synced()) return scheduleLeaseRequest();
+    const auto sentAt = context_.now();
+    context_.state.grantLease(ticks(context_.tuning.nodeLease),
+                              [this, sentAt](std::uint64_t leaseId) {
+                                  if (leaseId == 0) return scheduleLeaseRequest();
+                                  writeNodeRecord(leaseId, sentAt);
+                              });
 }
 
-protocol::CompareAndSwap NodeLease::nodeTransaction(std::uint64_t lease) {
+protocol::CompareAndSwap NodeLease::nodeRecordTransaction(std::uint64_t leaseId) {
     protocol::CompareAndSwap transaction;
     auto clusterState = context_.clusterState.lock();
     const auto& name = context_.settings.name;
-    const auto known = clusterState->nodes.find(name);
-    // The version guards against a late write by an earlier process of this node, which would hang
-    // the record on a lease that nobody renews.
+    const auto existing = clusterState->nodes.find(name);
+    // Comparing the version makes a delayed write by an earlier process of this node fail. Such a
+    // write would attach the record to a lease that nobody renews.
     transaction.compares.push_back(
-        {storage::keys::node(name), known == clusterState->nodes.end() ? 0 : known->second});
-    // These guard against partitions that a peer has acquired while this node had no lease:
-    // answering their workers once more would prolong leases that the new leader counts down.
+        {storage::keys::node(name), existing == clusterState->nodes.end() ? 0 : existing->second});
+    // These compares fail if a peer has acquired one of the partitions while this node had no
+    // lease. Answering that partition's workers once more would extend leases that the new leader
+    // expects to expire.
     for (const auto& [partition, term] : acquiredTerms_.all())
         transaction.compares.push_back(
             {storage::keys::partition(partition), clusterState->partitions[partition].version});
     transaction.writes.push_back(
-        {storage::keys::node(name), protocol::Json{{"term", clusterState->lastTerm}}, lease});
-    // Feature gates hang on no lease and are never lowered: however late this write is carried out,
-    // it says the truth.
+        {storage::keys::node(name), protocol::Json{{"term", clusterState->lastTerm}}, leaseId});
+    // Feature gates are attached to no lease and never withdrawn, so this write is correct however
+    // late it is applied.
     if (!clusterState->nodesWithJobDependencies.contains(name))
         transaction.writes.push_back(
             {storage::keys::jobDependenciesGate(name), storage::featureGateValue(), 0});
@@ -61,72 +63,76 @@
     return transaction;
 }
 
-void NodeLease::writeNode(std::uint64_t lease, SteadyTime sent) {
-    // Of very many partitions those that don't fit into the transaction are acquired anew.
+void NodeLease::writeNodeRecord(std::uint64_t leaseId, SteadyTime sentAt) {
+    // With more partitions than the transaction has compares for, this process erases the excess
+    // ones and acquires them anew.
     const auto maxCompares = std::max<std::size_t>(1, context_.settings.transactionConditions());
     acquiredTerms_.truncate(maxCompares - 1);
-    const auto onAnswer = [this, lease, sent](const protocol::CompareAndSwapResponse& answer) {
-        if (answer.result == protocol::StateResult::conflict) {
-            onNodeRefused(answer.failed);
-            return refreshNodeVersion(lease, sent);
+    const auto onResponse = [this, leaseId,
+                             sentAt](const protocol::CompareAndSwapResponse& response) {
+        if (response.result == protocol::StateResult::conflict) {
+            onNodeRecordRefused(response.failed);
+            return refreshNodeVersion(leaseId, sentAt);
         }
-        if (answer.result != protocol::StateResult::ok) return retryGrantLater();
-        onNodeWritten(lease, sent, answer.revision);
+        if (response.result != protocol::StateResult::ok) return scheduleLeaseRequest();
+        onNodeRecordWritten(leaseId, sentAt, response.revision);
     };
-    context_.state.transact(nodeTransaction(lease), protocol::RequestPriority::lease, onAnswer);
+    context_.state.transact(nodeRecordTransaction(leaseId), protocol::RequestPriority::lease,
+                            onResponse);
 }
 
-void NodeLease::onNodeRefused(const std::vector<std::string>& failedKeys) {
+void NodeLease::onNodeRecordRefused(const std::vector<std::string>& failedKeys) {
     for (const auto& key : failedKeys)
         for (PartitionId partition = 0; partition < context_.partitionCount(); ++partition)
-            if (key == storage::keys::partition(partition)) acquiredTerms_.forget(partition);
+            if (key == storage::keys::partition(partition)) acquiredTerms_.erase(partition);
 }
 
-void NodeLease::onNodeWritten(std::uint64_t lease, SteadyTime sent, std::uint64_t revision) {
+void NodeLease::onNodeRecordWritten(std::uint64_t leaseId, SteadyTime sentAt,
+                                    std::uint64_t revision) {
     context_.clusterState.lock()->nodes[context_.settings.name] = revision;
-    id_ = lease;
+    leaseId_ = leaseId;
     joined_ = true;
-    validUntil_ = earliestExpiry(sent);
-    spdlog::info("node_lease: joined lease={}", id_);
+    validUntil_ = earliestExpiry(sentAt);
+    spdlog::info("node_lease: joined lease={}", leaseId_);
     context_.timers.after(ticks(context_.tuning.nodeLease / renewalsPerLease), [this] { renew(); });
     observer_.onJoined();
 }
 
-void NodeLease::refreshNodeVersion(std::uint64_t lease, SteadyTime sent) {
+void NodeLease::refreshNodeVersion(std::uint64_t leaseId, SteadyTime sentAt) {
     const auto key = storage::keys::node(context_.settings.name);
-    context_.state.read(key, [this, lease, sent](const protocol::ReadResponse& answer) {
-        if (answer.result != protocol::StateResult::ok) return retryGrantLater();
+    context_.state.read(key, [this, leaseId, sentAt](const protocol::ReadResponse& response) {
+        if (response.result != protocol::StateResult::ok) return scheduleLeaseRequest();
         {
             auto clusterState = context_.clusterState.lock();
-            if (answer.items.empty())
+            if (response.items.empty())
                 clusterState->nodes.erase(context_.settings.name);
             else
-                clusterState->nodes[context_.settings.name] = answer.items.front().version;
+                clusterState->nodes[context_.settings.name] = response.items.front().version;
         }
-        // Unless too little of the lease would be left.
-        if (context_.now() - sent < ticks(context_.tuning.nodeLease / 2))
-            writeNode(lease, sent);
+        // Once half of the lease has passed, too little would be left of it: request a new one.
+        if (context_.now() - sentAt < ticks(context_.tuning.nodeLease / 2))
+            writeNodeRecord(leaseId, sentAt);
         else
-            retryGrantLater();
+            scheduleLeaseRequest();
     });
 }
 
 void NodeLease::renew() {
-    const auto sent = context_.now();
-    context_.state.renewLease(id_, [this, sent](protocol::StateResult result) {
+    const auto sentAt = context_.now();
+    context_.state.renewLease(leaseId_, [this, sentAt](protocol::StateResult result) {
         if (result == protocol::StateResult::conflict) {
-            spdlog::info("node_lease: lease_lost lease={}", id_);
+            spdlog::info("node_lease: lease_lost lease={}", leaseId_);
             joined_ = false;
-            // Peers may have acquired this node's partitions; the transaction that writes the
-            // node's record again finds out.
-            return grant();
+            // Peers may have acquired this node's partitions. The compares of the next transaction
+            // that writes the node's record detect this.
+            return requestLease();
         }
         if (result == protocol::StateResult::ok)
-            validUntil_ = std::max(validUntil_, earliestExpiry(sent));
-        const auto pause = result == protocol::StateResult::ok
+            validUntil_ = std::max(validUntil_, earliestExpiry(sentAt));
+        const auto delay = result == protocol::StateResult::ok
                                ? ticks(context_.tuning.nodeLease / renewalsPerLease)
                                : context_.jittered(retryDelay);
-        context_.timers.after(pause, [this] { renew(); });
+        context_.timers.after(delay, [this] { renew(); });
     });
 }
 
--- a/src/coordination/membership/partition_leadership.cpp
+++ b/src/coordination/membership/partition_leadership.cpp
@@ -8,33 +8,36 @@
 
 using namespace std::chrono_literals;
 
-// While the lease is valid, the state service is there, and the watch catches up within this.
+// While the lease is valid the state service is reachable, and the watch catches up within this
+// time.
 constexpr auto maxWatchLag = 8s;
 
 }  // namespace
 
-bool PartitionLeadership::knowsCancellations() const {
-    // A worker that is answered now is gone a lease later. A cancellation confirmed after the
-    // moment up to which all of them are known here leaves its tasks `cancel_s`. Refused alone
-    // before an outage for all, a leader once renewed leases for as long as that lasted, and tasks
-    // ran on whose cancellation a peer had confirmed (cancellation_gap).
-    // The slack is never exceeded, also not by a leader whose lease is valid while its watch lags.
-    // Only where `cancel_s` leaves no slack beside a lease no leader could keep it by waiting.
+bool PartitionLeadership::areCancellationsCurrent() const {
+    // A worker that is answered now may run its tasks for one more lease. The tasks of a cancelled
+    // job must end within `cancel_s` of the confirmation, and a cancellation that a peer has
+    // confirmed recently may be unknown here. Without this check, a leader that the state service
+    // refuses just before an outage for all nodes renews leases for the whole outage, and tasks
+    // keep running although a peer has confirmed their cancellation (scenario cancellation_gap).
+    // The slack also limits a leader whose lease is valid while its watch lags. If `cancel_s`
+    // leaves no slack beyond a lease, no leader could meet the limit by waiting; `maxWatchLag` then
+    // applies instead while the node's lease is valid.
     auto maxAge = context_.cancellationSlack();
     if (maxAge <= Duration::zero() && lease_.isValid()) maxAge = maxWatchLag;
     return context_.now() <= replica_.currentAsOf() + maxAge || peers_.cancellationsKnown(maxAge);
 }
 
 bool PartitionLeadership::canAnswerWorkers(PartitionId partition) const {
-    if (!knowsCancellations()) return false;
+    if (!areCancellationsCurrent()) return false;
     if (lease_.isValid()) return true;
     if (!lease_.joined() || context_.state.reachable()) return false;
-    // Every peer must have said so within `outageConfirmationValidity`: one that reaches the state
-    // service again stops saying it before it can acquire anything, so a new leader has to wait
-    // this much longer for the leases of this node's workers and no more. A peer may also have
-    // acquired the partition before the outage, while this node was cut off: back among its peers
-    // in the outage, a node once renewed leases that the new leader had counted down
-    // (back_in_outage).
+    // Every peer must have confirmed the outage within `outageConfirmationValidity`. A peer that
+    // reaches the state service again stops confirming the outage before it can acquire a
+    // partition, so a new leader has to wait only this much longer for the leases of this node's
+    // workers to expire. A peer may also have acquired the partition before the outage, while this
+    // node was cut off. Without the comparison of terms, this node would return to its peers during
+    // the outage and renew leases that the new leader considers expired (scenario back_in_outage).
     return peers_.outageConfirmedByAll(partition, acquiredTerms_.termOf(partition).value_or(0));
 }
 
@@ -52,9 +55,9 @@
 }
 
 bool PartitionLeadership::isLeader(PartitionId partition) const {
-    // Only once `onPartitionAcquired` has put aside what was known of the partition's machines. A
-    // failover right before an outage once acted on it earlier: leases seemed to have run out long
-    // ago.
+    // `onPartitionAcquired` must first have reset what this process knew about the partition's
+    // machines. Otherwise, after a failover right before an outage, this process would act on
+    // outdated contact times, by which workers' leases seem to have expired long ago.
     return isCaughtUp(partition) && isAnnounced(partition);
 }
 
--- a/src/coordination/membership/partition_leadership.h
+++ b/src/coordination/membership/partition_leadership.h
@@ -9,8 +9,8 @@
 
 namespace fawnwheel::coordination {
 
-/// Decides for which partitions this process acts as the leader, and tells the observer of
-/// partitions that it has begun or ceased to lead.
+/// Decides for which partitions this process acts as the leader, and notifies the observer when
+/// this process starts or stops leading a partition.
 class PartitionLeadership {
   public:
     PartitionLeadership(Context& context, const AcquiredTerms& acquiredTerms,
@@ -23,28 +23,29 @@
           replica_(replica),
           observer_(observer) {}
 
-    /// Acquired by this process, with a cluster state that holds all that preceded the acquisition,
-    /// and the observer has been told.
+    /// Whether this process has acquired the partition, its cluster state contains every change
+    /// that preceded the acquisition, and the observer has been notified.
     [[nodiscard]] bool isLeader(PartitionId partition) const;
-    /// As `isLeader`, but the observer may not have been told yet.
+    /// As `isLeader`, but the observer may not have been notified yet.
     [[nodiscard]] bool isCaughtUp(PartitionId partition) const;
-    /// The numbers of all partitions led here, in ascending order.
+    /// The numbers of all partitions that this process leads, in ascending order.
     [[nodiscard]] std::vector<PartitionId> ledPartitions() const;
     [[nodiscard]] std::uint64_t term(PartitionId partition) const;
 
-    /// The partition's workers may be answered: the node's lease is valid, or every peer has just
-    /// said that it can't reach the state service either and that it has not acquired the partition
-    /// before. Besides, no cancellation that a user was told of may be unknown here for so long
-    /// that a worker's lease renewed now could outlast its `cancel_s`.
+    /// Whether this process may answer the partition's workers, which renews their leases. Either
+    /// the node's lease is valid, or every peer has just reported that it cannot reach the state
+    /// service either and that it had not acquired the partition before. In addition, no
+    /// cancellation that was confirmed to a user may have been unknown here for so long that a
+    /// worker's lease renewed now could outlast the `cancel_s` of that cancellation.
     [[nodiscard]] bool canAnswerWorkers(PartitionId partition) const;
 
-    /// Tells the observer of the partitions that are no longer led here.
+    /// Notifies the observer of the partitions that this process no longer leads.
     void announceLosses();
-    /// Tells the observer of the partitions that are now led here.
+    /// Notifies the observer of the partitions that this process has started to lead.
     void announceAcquisitions();
 
   private:
-    [[nodiscard]] bool knowsCancellations() const;
+    [[nodiscard]] bool areCancellationsCurrent() const;
     [[nodiscard]] bool isAnnounced(PartitionId partition) const;
 
     Context& context_;
--- a/src/coordination/membership/peer_heartbeats.cpp
+++ b/src/coordination/membership/peer_heartbeats.cpp
@@ -13,15 +13,15 @@
 using namespace std::chrono_literals;
 
 constexpr auto peerTimeout = 2500ms;
-constexpr auto broadcastDelay = 10ms;  // gathers cancellations of the same moment
+constexpr auto broadcastDelay = 10ms;  // batches cancellations that arrive together
 constexpr std::size_t maxCancellationsPerMessage = 256;
 
-std::uint64_t micros(SteadyTime t) {
+std::uint64_t toMicroseconds(SteadyTime time) {
     return static_cast<std::uint64_t>(
-        std::chrono::duration_cast<std::chrono::microseconds>(t.time_since_epoch()).count());
+        std::chrono::duration_cast<std::chrono::microseconds>(time.time_since_epoch()).count());
 }
 
-SteadyTime fromMicros(std::uint64_t value) {
+SteadyTime fromMicroseconds(std::uint64_t value) {
     return SteadyTime(std::chrono::microseconds(value));
 }
 
@@ -29,12 +29,12 @@
 
 std::uint64_t PeerHeartbeats::appliedRevisionOf(const std::string& peer) const {
     const auto found = peers_.find(peer);
-    return found == peers_.end() ? 0 : found->second.applied;
+    return found == peers_.end() ? 0 : found->second.appliedRevision;
 }
 
 bool PeerHeartbeats::isAlive(const std::string& peer) const {
     const auto found = peers_.find(peer);
-    return found != peers_.end() && context_.now() - found->second.lastHeard < peerTimeout;
+    return found != peers_.end() && context_.now() - found->second.lastHeartbeat < peerTimeout;
 }
 
 std::optional<Duration> PeerHeartbeats::aliveFor(const std::string& peer) const {
@@ -71,36 +71,40 @@
             const auto found = peers_.find(peer.name);
             if (found == peers_.end()) return false;
             const auto& state = found->second;
-            const auto leads = state.leadsInTerm.find(partition);
-            return now - state.lostStateServiceAt < outageConfirmationValidity - timerResolution &&
-                   (leads == state.leadsInTerm.end() || leads->second <= term);
+            const auto leaderTerm = state.leaderTerms.find(partition);
+            return now - state.stateUnreachableAsOf <
+                       outageConfirmationValidity - timerResolution &&
+                   (leaderTerm == state.leaderTerms.end() || leaderTerm->second <= term);
         });
 }
 
 void PeerHeartbeats::onPeerHeartbeat(const std::string& peer,
                                      const protocol::PeerHeartbeat& status) {
-    const bool known = std::any_of(context_.settings.peers.begin(), context_.settings.peers.end(),
-                                   [&](const auto& p) { return p.name == peer; });
-    if (!known) return;
+    const bool isPeer =
+        std::any_of(context_.settings.peers.begin(), context_.settings.peers.end(),
+                    [&](const auto& configured) { return configured.name == peer; });
+    if (!isPeer) return;
     PeerState& state = peers_[peer];
     const auto now = context_.now();
-    if (now - state.lastHeard > peerTimeout) state.aliveSince = now;
-    state.lastHeard = now;
+    if (now - state.lastHeartbeat > peerTimeout) state.aliveSince = now;
+    state.lastHeartbeat = now;
     state.sentAt = status.sentAt;
     state.stateReachable = status.stateReachable;
     state.ready = status.ready;
-    // An echo from the future was sent by an earlier process of this node.
-    if (!status.stateReachable && status.echo != 0 && fromMicros(status.echo) <= now)
-        state.lostStateServiceAt = std::max(state.lostStateServiceAt, fromMicros(status.echo));
+    // An echo that is later than this node's clock refers to a heartbeat of an earlier process of
+    // this node.
+    if (!status.stateReachable && status.echo != 0 && fromMicroseconds(status.echo) <= now)
+        state.stateUnreachableAsOf =
+            std::max(state.stateUnreachableAsOf, fromMicroseconds(status.echo));
     applyCancellations(state, status);
 }
 
 void PeerHeartbeats::onLeaderHeartbeat(const std::string& peer,
                                        const protocol::LeaderHeartbeat& message) {
-    auto& leadsInTerm = peers_[peer].leadsInTerm;
-    leadsInTerm.clear();
+    auto& leaderTerms = peers_[peer].leaderTerms;
+    leaderTerms.clear();
     for (std::size_t i = 0; i < std::min(message.partitions.size(), message.terms.size()); ++i)
-        leadsInTerm[message.partitions[i]] = message.terms[i];
+        leaderTerms[message.partitions[i]] = message.terms[i];
     onPeerHeartbeat(peer, message.status);
 }
 
@@ -109,26 +113,28 @@
         peer.incarnation = status.incarnation;
         peer.cancellationsReceived = 0;
     }
-    peer.applied = status.applied;
-    peer.acknowledged = status.acknowledgedIncarnation == incarnation_ ? status.acknowledged : 0;
-    bool learned = false;
+    peer.appliedRevision = status.applied;
+    peer.cancellationsAcknowledged =
+        status.acknowledgedIncarnation == incarnation_ ? status.acknowledged : 0;
+    bool anyNew = false;
     {
         auto clusterState = context_.clusterState.lock();
         for (const auto& job : status.cancelled)
-            learned |=
+            anyNew |=
                 clusterState->recordCancellation(job, storage::CancellationLog::unknownRevision);
     }
-    // A list that begins after what has been received leaves a gap, and the peer sends it again.
+    // A list that begins after the received position leaves a gap. The position then stays, and the
+    // peer sends the missing cancellations again.
     const bool contiguous = status.position <= peer.cancellationsReceived;
     if (contiguous) peer.cancellationsReceived = std::max(peer.cancellationsReceived, status.next);
-    // Dated by this node's clock: the statement was made after the heartbeat that it echoes was
-    // sent. An echo to an earlier process of this node holds as well, since the records have been
-    // read since.
+    // The time is taken from this node's clock: the peer made its statement after this node had
+    // sent the echoed heartbeat. An echo of an earlier process's heartbeat is valid as well,
+    // because this process has read the records since.
     if (contiguous && status.cancellationsCovered && status.complete && status.echo != 0 &&
-        replica_.everSynced() && fromMicros(status.echo) <= context_.now())
+        replica_.everSynced() && fromMicroseconds(status.echo) <= context_.now())
         peer.cancellationsKnownAsOf =
-            std::max(peer.cancellationsKnownAsOf, fromMicros(status.echo));
-    if (learned) observer_.onCancellationsLearned();
+            std::max(peer.cancellationsKnownAsOf, fromMicroseconds(status.echo));
+    if (anyNew) observer_.onCancellationsLearned();
 }
 
 bool PeerHeartbeats::isReady() const {
@@ -137,7 +143,7 @@
 
 protocol::PeerHeartbeat PeerHeartbeats::makeHeartbeat(const PeerState& peer) {
     protocol::PeerHeartbeat status;
-    status.sentAt = micros(context_.now());
+    status.sentAt = toMicroseconds(context_.now());
     status.echo = peer.sentAt;
     status.stateReachable = context_.state.reachable();
     status.ready = isReady();
@@ -147,10 +153,11 @@
     auto clusterState = context_.clusterState.lock();
     const auto& log = clusterState->cancellations;
     status.applied = replica_.everSynced() ? clusterState->applied : 0;
-    // An earlier process of this node may have told users what only the records hold.
+    // An earlier process of this node may have confirmed cancellations to users that only the
+    // records contain, so the records must have been read.
     status.cancellationsCovered =
-        replica_.everSynced() && log.covers(peer.acknowledged, peer.applied);
-    status.next = peer.acknowledged;
+        replica_.everSynced() && log.covers(peer.cancellationsAcknowledged, peer.appliedRevision);
+    status.next = peer.cancellationsAcknowledged;
     return status;
 }
 
@@ -158,21 +165,23 @@
     const bool withPartitions = context_.machineTransfersEnabled(*context_.clusterState.lock());
     for (const auto& peer : context_.settings.peers) {
         const PeerState& state = peers_[peer.name];
-        sendAllCancellations(peer.name, state.applied, makeHeartbeat(state), withPartitions);
+        sendAllCancellations(peer.name, state.appliedRevision, makeHeartbeat(state),
+                             withPartitions);
     }
     broadcastPosition_ = context_.clusterState.lock()->cancellations.end();
 }
 
-void PeerHeartbeats::sendAllCancellations(const std::string& peer, std::uint64_t applied,
+void PeerHeartbeats::sendAllCancellations(const std::string& peer, std::uint64_t appliedRevision,
                                           protocol::PeerHeartbeat status, bool withPartitions) {
-    // In as many messages as it takes: users were once answered after the first one.
+    // Sends as many messages as the list needs: users must not be answered after only the first
+    // one.
     do {
-        auto extract = context_.clusterState.lock()->cancellations.since(
-            status.next, applied, maxCancellationsPerMessage);
+        auto batch = context_.clusterState.lock()->cancellations.since(status.next, appliedRevision,
+                                                                       maxCancellationsPerMessage);
         status.position = status.next;
-        status.next = extract.next;
-        status.complete = extract.complete;
-        status.cancelled = std::move(extract.jobs);
+        status.next = batch.next;
+        status.complete = batch.complete;
+        status.cancelled = std::move(batch.jobs);
         send(peer, status, withPartitions);
     } while (!status.complete);
 }
@@ -192,13 +201,14 @@
     context_.network.sendFrame(peer, protocol::encodePeer({context_.settings.name, message}));
 }
 
-void PeerHeartbeats::broadcastCancellations(std::function<void()> then) {
-    if (context_.clusterState.lock()->cancellations.end() == broadcastPosition_) return then();
-    awaitingBroadcast_.push_back(std::move(then));
-    if (awaitingBroadcast_.size() > 1) return;
+void PeerHeartbeats::broadcastCancellations(std::function<void()> onBroadcast) {
+    if (context_.clusterState.lock()->cancellations.end() == broadcastPosition_)
+        return onBroadcast();
+    broadcastCallbacks_.push_back(std::move(onBroadcast));
+    if (broadcastCallbacks_.size() > 1) return;
     context_.timers.after(broadcastDelay, [this] {
         broadcast();
-        for (const auto& next : std::exchange(awaitingBroadcast_, {})) next();
+        for (const auto& callback : std::exchange(broadcastCallbacks_, {})) callback();
     });
 }
 
--- a/src/coordination/membership/peer_heartbeats.h
+++ b/src/coordination/membership/peer_heartbeats.h
@@ -1,5 +1,5 @@
 /// @file
-/// Heartbeats between the nodes: which peers are alive, and the spreading of cancellations.
+/// Heartbeats between the nodes: they show which peers are alive and distribute cancellations.
 #pragma once
 
 #include <functional>
@@ -13,10 +13,10 @@
 
 namespace fawnwheel::coordination {
 
-/// Sends this node's heartbeats and keeps what the peers' heartbeats have said.
+/// Sends this node's heartbeats and stores the state that peers report in theirs.
 ///
-/// Each heartbeat also carries the cancellations that its receiver has not acknowledged. With it
-/// the sender confirms that the receiver knows of all that the sender has told any user.
+/// Each heartbeat also carries the cancellations that its receiver has not acknowledged, and states
+/// whether the receiver then knows every cancellation that the sender has confirmed to a user.
 class PeerHeartbeats {
   public:
     PeerHeartbeats(Context& context, const AcquiredTerms& acquiredTerms,
@@ -30,54 +30,55 @@
           incarnation_(std::max<std::uint64_t>(1, context.rng())) {}
 
     void onPeerHeartbeat(const std::string& peer, const protocol::PeerHeartbeat& status);
-    /// A heartbeat with the partitions that the peer leads.
+    /// Handles a heartbeat that also lists the partitions that the peer leads.
     void onLeaderHeartbeat(const std::string& peer, const protocol::LeaderHeartbeat& message);
 
-    /// Sends a heartbeat to every peer, with all cancellations that the peer may not know.
+    /// Sends a heartbeat to every peer, with all cancellations that may be unknown to the peer.
     void broadcast();
-    /// Sends new cancellations to the peers before the next periodic heartbeat, then calls `then`,
-    /// which may answer the user. From then on whoever is asked about the job knows better than an
-    /// answer of the state service that was given before.
-    void broadcastCancellations(std::function<void()> then);
+    /// Sends new cancellations to the peers before the next periodic heartbeat, then calls
+    /// `onBroadcast`, which may answer the user. A node that is asked about the job after that
+    /// knows of the cancellation, even if it has read the job's records before the cancellation.
+    void broadcastCancellations(std::function<void()> onBroadcast);
 
     [[nodiscard]] bool isAlive(const std::string& peer) const;
-    /// How long the peer's heartbeats have arrived without a gap; none from a peer never heard.
+    /// How long the peer's heartbeats have arrived without a gap; none if the peer is unknown.
     [[nodiscard]] std::optional<Duration> aliveFor(const std::string& peer) const;
-    /// The peer could lead partitions, as far as it has told: it is alive and ready and reaches the
-    /// state service, where its record stands.
+    /// Whether the peer can lead partitions: by its heartbeats it is alive, ready and reaches the
+    /// state service, and its node record exists.
     [[nodiscard]] bool canLead(const std::string& peer) const;
-    /// Some peer is alive, reaches the state service and serves users.
+    /// Whether any peer is alive, reaches the state service and is ready to serve users.
     [[nodiscard]] bool anyPeerServing() const;
-    /// The revision up to which the peer has told that it has the records; 0 if unknown.
+    /// The revision up to which the peer has reported that it has the records; 0 if unknown.
     [[nodiscard]] std::uint64_t appliedRevisionOf(const std::string& peer) const;
-    /// Of every peer, all cancellations that it told users of are known here as of `maxAge` ago.
+    /// Whether this node knows every cancellation that any peer had confirmed to a user up to
+    /// `maxAge` ago.
     [[nodiscard]] bool cancellationsKnown(Duration maxAge) const;
-    /// Every peer has just said that it cannot reach the state service, and none has said that it
-    /// leads the partition in a later term than `term`.
+    /// Whether every peer has just reported that it cannot reach the state service, and none has
+    /// reported that it leads the partition in a later term than `term`.
     [[nodiscard]] bool outageConfirmedByAll(PartitionId partition, std::uint64_t term) const;
 
   private:
     struct PeerState {
-        SteadyTime lastHeard{};
-        SteadyTime aliveSince{};          // without a gap until `lastHeard`
-        std::uint64_t sentAt = 0;         // by the peer's clock, to echo
-        SteadyTime lostStateServiceAt{};  // it could not reach the state service after this
+        SteadyTime lastHeartbeat{};
+        SteadyTime aliveSince{};   // heartbeats have arrived without a gap since
+        std::uint64_t sentAt = 0;  // of the last heartbeat by the peer's clock, to be echoed
+        SteadyTime stateUnreachableAsOf{};  // the last report of an outage was sent after this
         bool stateReachable = true;
         bool ready = false;
-        std::uint64_t incarnation = 0;            // of the peer
-        std::uint64_t applied = 0;                // revision up to which it has the records
-        std::uint64_t cancellationsReceived = 0;  // position in its incarnation's log
-        std::uint64_t acknowledged = 0;           // position in this node's log, confirmed by it
-        std::map<std::uint32_t, std::uint64_t> leadsInTerm;  // by partition, as it says
-        SteadyTime cancellationsKnownAsOf{};  // all that it told users before this is known here
+        std::uint64_t incarnation = 0;            // of the peer's process
+        std::uint64_t appliedRevision = 0;        // the peer has the records up to this revision
+        std::uint64_t cancellationsReceived = 0;  // position in the log of that incarnation
+        std::uint64_t cancellationsAcknowledged = 0;         // position in this node's log
+        std::map<std::uint32_t, std::uint64_t> leaderTerms;  // by partition, as reported
+        SteadyTime cancellationsKnownAsOf{};  // this node knows what the peer confirmed before
     };
 
     void applyCancellations(PeerState& peer, const protocol::PeerHeartbeat& status);
     [[nodiscard]] protocol::PeerHeartbeat makeHeartbeat(const PeerState& peer);
-    void sendAllCancellations(const std::string& peer, std::uint64_t applied,
+    void sendAllCancellations(const std::string& peer, std::uint64_t appliedRevision,
                               protocol::PeerHeartbeat status, bool withPartitions);
     void send(const std::string& peer, const protocol::PeerHeartbeat& status, bool withPartitions);
-    /// This node could lead partitions.
+    /// Whether this node can lead partitions.
     [[nodiscard]] bool isReady() const;
 
     Context& context_;
@@ -85,9 +86,9 @@
     const ReplicaStatus& replica_;
     const WorkerReachability& reachability_;
     MembershipObserver& observer_;
-    std::uint64_t incarnation_;                             // of this process
-    std::vector<std::function<void()>> awaitingBroadcast_;  // called after the next broadcast
-    std::uint64_t broadcastPosition_ = 0;                   // in the log of cancellations
+    std::uint64_t incarnation_;                              // of this process
+    std::vector<std::function<void()>> broadcastCallbacks_;  // called after the next broadcast
+    std::uint64_t broadcastPosition_ = 0;  // end of the cancellation log at the last broadcast
     std::map<std::string, PeerState> peers_;
 };
 
--- a/src/coordination/membership/timing.h
+++ b/src/coordination/membership/timing.h
@@ -1,16 +1,16 @@
 /// @file
-/// Durations that several classes of the membership module agree on.
+/// Durations shared by several classes.
 #pragma once
 
 #include <chrono>
 
 namespace fawnwheel::coordination {
 
-/// Timers fire in steps of at most this.
+/// Upper bound on the granularity with which timers fire.
 constexpr std::chrono::milliseconds timerResolution{50};
 
-/// How long a peer's statement that it cannot reach the state service counts. After an acquisition
-/// the former leader may still have renewed a worker's lease for this long.
+/// How long a peer's report that it cannot reach the state service remains valid. For this long
+/// after an acquisition the former leader may still have renewed a worker's lease.
 constexpr std::chrono::milliseconds outageConfirmationValidity{2000};
 
 }  // namespace fawnwheel::coordination
--- a/src/coordination/membership/worker_reachability.cpp
+++ b/src/coordination/membership/worker_reachability.cpp
@@ -12,24 +12,25 @@
 
 using namespace std::chrono_literals;
 
-constexpr std::size_t maxInspections = 3;
-constexpr int silentRoundsToLose = 2;
+constexpr std::size_t maxInspectionsPerRound = 3;
+constexpr int silentRoundsUntilUnreachable = 2;
 constexpr auto inspectTimeout = 1s;
-// Heartbeats of many workers come at random moments: a gap of so many mean intervals is no
+// The heartbeats of many workers arrive at random times, so a gap of this many mean intervals is no
 // coincidence.
-constexpr double maxMeanIntervals = 20;
-constexpr double minHeartbeatIntervals = 0.5;
-constexpr double maxHeartbeatIntervals = 2.5;
+constexpr double maxSilenceInMeanIntervals = 20;
+constexpr double minSilenceInHeartbeatIntervals = 0.5;
+constexpr double maxSilenceInHeartbeatIntervals = 2.5;
 constexpr Duration minSilence = 3s;
-constexpr auto stableAfter = 4s;
-// The inspected workers may be gone rather than cut off: after this the others are presumed to
-// reach this node again.
+constexpr auto stabilizationPeriod = 4s;
+// The inspected workers may have terminated rather than been cut off, so after this time this node
+// presumes that the other workers can reach it again.
 constexpr auto presumedReachableAfter = 60s;
 
 }  // namespace
 
 bool WorkerReachability::isStable() const {
-    return !unreachable_ && (!reachableSince_ || context_.now() - *reachableSince_ >= stableAfter);
+    return !unreachable_ &&
+           (!reachableSince_ || context_.now() - *reachableSince_ >= stabilizationPeriod);
 }
 
 void WorkerReachability::recordContact() {
@@ -60,13 +61,15 @@
                 ++machines;
     if (machines == 0) return std::nullopt;
     const auto interval = context_.settings.heartbeatInterval;
-    const Seconds improbable = interval * maxMeanIntervals / static_cast<double>(machines);
-    const auto silence = std::clamp<Seconds>(improbable, interval * minHeartbeatIntervals,
-                                             interval * maxHeartbeatIntervals);
+    const Seconds improbableSilence =
+        interval * maxSilenceInMeanIntervals / static_cast<double>(machines);
+    const auto silence =
+        std::clamp<Seconds>(improbableSilence, interval * minSilenceInHeartbeatIntervals,
+                            interval * maxSilenceInHeartbeatIntervals);
     return std::max(minSilence, ticks(silence));
 }
 
-std::vector<std::string> WorkerReachability::addressesOf(
+std::vector<std::string> WorkerReachability::machineAddresses(
     const std::vector<std::uint32_t>& partitions) {
     std::vector<std::string> addresses;
     auto clusterState = context_.clusterState.lock();
@@ -83,34 +86,35 @@
     if (!unreachable_) {
         const auto silence = maxSilence(partitions);
         if (!silence || context_.now() - lastContact_ <= *silence) return;
-        return inspect(addressesOf(partitions));
+        return inspect(machineAddresses(partitions));
     }
     if (context_.now() - unreachableSince_ > presumedReachableAfter) return recordContact();
-    auto addresses = addressesOf(partitions);
-    // Its partitions are with peers now: the machines of the partition whose preferred leader it is
-    // serve as well.
-    if (addresses.empty()) addresses = addressesOf({context_.preferredPartition});
+    auto addresses = machineAddresses(partitions);
+    // Peers lead this node's partitions by now. The machines of the partition that this node leads
+    // by preference can be inspected instead.
+    if (addresses.empty()) addresses = machineAddresses({context_.preferredPartition});
     inspect(addresses);
 }
 
 void WorkerReachability::inspect(const std::vector<std::string>& addresses) {
-    // A single machine may just be dead. Transferring its partition to a peer does no harm then: if
-    // the machine is alive the peer receives its heartbeats, else the peer finds out as well.
-    const auto count = std::min(addresses.size(), maxInspections);
+    // If there is only a single machine, it may just have failed. Transferring its partition to a
+    // peer does no harm then: if the machine is alive the peer receives its heartbeats, otherwise
+    // the peer detects the failure as well.
+    const auto count = std::min(addresses.size(), maxInspectionsPerRound);
     pendingInspections_ = count;
-    anyAnswered_ = false;
+    anyResponse_ = false;
     for (std::size_t i = 0; i < count; ++i)
         context_.network.call(addresses[i], {"GET", protocol::wire::pathInspect, {}},
                               inspectTimeout,
                               [this](const std::optional<transport::HttpResponse>& response) {
-                                  anyAnswered_ = anyAnswered_ || response.has_value();
+                                  anyResponse_ = anyResponse_ || response.has_value();
                                   if (--pendingInspections_ == 0) finishInspection();
                               });
 }
 
 void WorkerReachability::finishInspection() {
-    if (anyAnswered_) return recordContact();
-    if (!unreachable_ && ++silentRounds_ >= silentRoundsToLose) setUnreachable(true);
+    if (anyResponse_) return recordContact();
+    if (!unreachable_ && ++silentRounds_ >= silentRoundsUntilUnreachable) setUnreachable(true);
 }
 
 }  // namespace fawnwheel::coordination
--- a/src/coordination/membership/worker_reachability.h
+++ b/src/coordination/membership/worker_reachability.h
@@ -1,11 +1,11 @@
 /// @file
 /// Whether workers can reach this controller.
 ///
-/// A controller may keep its lease, its peers and its users while the network between it and all
-/// workers is down. The leases of its partitions' workers would then be renewed by nobody and every
-/// task there would be lost. The controller notices this by the silence of its workers, makes sure
-/// by inspecting some of them itself, and then transfers its partitions to peers
-/// (`Failover::reconcile`).
+/// The network between a controller and all workers may fail while the controller still reaches the
+/// state service, its peers and its users. The controller then keeps its node lease, so that no
+/// peer acquires its partitions, but nobody renews the leases of their workers and every task there
+/// would be lost. The controller detects this by the silence of its workers, confirms it by
+/// inspecting some of them, and then transfers its partitions to peers (`Failover::reconcile`).
 #pragma once
 
 #include <string>
@@ -15,7 +15,7 @@
 
 namespace fawnwheel::coordination {
 
-/// Told by `WorkerReachability` of changes.
+/// Notified by `WorkerReachability` of changes.
 class ReachabilityObserver {
   public:
     virtual ~ReachabilityObserver() = default;
@@ -24,22 +24,25 @@
     virtual void onReachabilityChanged() = 0;
 };
 
-/// Detects that no worker reaches this controller, and that they do again.
+/// Detects when no worker can reach this controller, and when workers can reach it again.
 class WorkerReachability {
   public:
     WorkerReachability(Context& context, ReachabilityObserver& observer)
         : context_(context), observer_(observer), lastContact_(context.now()) {}
 
-    /// A heartbeat has arrived, from any worker.
+    /// Must be called for every heartbeat, from any worker.
     void onHeartbeat() { recordContact(); }
-    /// This process has acquired partitions: their workers need time to find it.
+    /// Must be called when this process has acquired partitions: their workers need time to find
+    /// their new leader.
     void restartSilenceTimeout() { lastContact_ = std::max(lastContact_, context_.now()); }
-    /// To be called periodically, with the partitions that this process leads.
+    /// Must be called periodically, with the partitions that this process leads. Inspects some
+    /// workers if all have been silent for too long.
     void checkReachability(const std::vector<std::uint32_t>& partitions);
 
-    /// No worker reaches this controller, nor is reached by it.
+    /// Whether no worker can reach this controller or be reached by it.
     [[nodiscard]] bool isUnreachable() const { return unreachable_; }
-    /// Workers have reached it for long enough that it may lead partitions.
+    /// Whether workers have been able to reach this controller for long enough that it may lead
+    /// partitions.
     [[nodiscard]] bool isStable() const;
 
   private:
@@ -49,19 +52,19 @@
     /// if no worker is expected to send heartbeats.
     [[nodiscard]] std::optional<Duration> maxSilence(const std::vector<std::uint32_t>& partitions);
     /// Addresses of machines of these partitions, in random order.
-    [[nodiscard]] std::vector<std::string> addressesOf(
+    [[nodiscard]] std::vector<std::string> machineAddresses(
         const std::vector<std::uint32_t>& partitions);
     void inspect(const std::vector<std::string>& addresses);
     void finishInspection();
 
     Context& context_;
     ReachabilityObserver& observer_;
-    SteadyTime lastContact_;  // the last sign of any worker
+    SteadyTime lastContact_;  // with any worker, or the restart of the silence timeout
     SteadyTime unreachableSince_{};
     std::optional<SteadyTime> reachableSince_;
     bool unreachable_ = false;
     std::size_t pendingInspections_ = 0;
-    bool anyAnswered_ = false;  // in the present round of inspections
+    bool anyResponse_ = false;  // in the present round of inspections
     int silentRounds_ = 0;
 };
 
--- a/tests/unit/coordination/membership/membership_fixture.h
+++ b/tests/unit/coordination/membership/membership_fixture.h
@@ -1,5 +1,5 @@
 /// @file
-/// What `Membership` needs of other modules, answered as a test says.
+/// A fixture for tests of `Membership`, with fakes of the modules that it depends on.
 #pragma once
 
 #include "coordination/membership/membership.h"
@@ -8,19 +8,19 @@
 
 namespace fawnwheel::coordination {
 
-/// A replica whose status the test sets.
+/// A replica status that the test sets.
 class FakeReplicaStatus final : public ReplicaStatus {
   public:
     [[nodiscard]] bool synced() const override { return isSynced; }
     [[nodiscard]] bool everSynced() const override { return isSynced; }
-    [[nodiscard]] SteadyTime currentAsOf() const override { return current; }
+    [[nodiscard]] SteadyTime currentAsOf() const override { return currentTime; }
     [[nodiscard]] bool hasDeferredEvents() const override { return false; }
 
     bool isSynced = false;
-    SteadyTime current{};
+    SteadyTime currentTime{};
 };
 
-/// Keeps what it was told of partitions.
+/// Records which partitions were reported as acquired or lost.
 class RecordingObserver final : public MembershipObserver,
                                 public ReachabilityObserver,
                                 public HeartbeatObserver {
@@ -36,7 +36,7 @@
     std::vector<std::uint32_t> lost;
 };
 
-/// A node with its membership, beside the records and their writers.
+/// A node with its membership, in addition to the records and their writers.
 class MembershipFixture : public RecordBench {
   protected:
     FakeReplicaStatus replicaStatus;
--- a/tests/unit/coordination/membership/membership_test.cpp
+++ b/tests/unit/coordination/membership/membership_test.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// What a leader tells its peers of cancellations, how long it answers workers without news of
-/// them, and what it reports of its partitions.
+/// Tests of `Membership`: which cancellations a leader sends to its peers, how long it answers
+/// workers while it may be missing cancellations, and which changes of leadership it reports.
 #include "coordination/membership/membership.h"
 
 #include "coordination/membership/membership_fixture.h"
@@ -15,7 +15,7 @@
   protected:
     MembershipTest() { replicaStatus.isSynced = true; }
 
-    // Its calls are answered, and the records are known as they stand after that.
+    // Answers all requests of the node, applies the resulting records and reconciles.
     void catchUp() {
         serveAll();
         load();
@@ -23,32 +23,32 @@
     }
 };
 
-// Users were once answered after the first message, of 256, also where hundreds of jobs were called
-// off at once.
-TEST_F(MembershipTest, PeersHearOfAllCancellationsBeforeTheirUsersDo) {
+// Guards against answering users when only the first message of 256 cancellations has been sent to
+// the peers, while hundreds of jobs are cancelled at once.
+TEST_F(MembershipTest, PeersAreSentAllCancellationsBeforeUsersAreAnswered) {
     constexpr int cancelled = 700;
     for (int i = 0; i < cancelled; ++i)
         context.clusterState.lock()->recordCancellation("run-" + std::to_string(i), 1'000 + i);
-    bool told = false;
-    std::set<std::string> heard;
+    bool callbackCalled = false;
+    std::set<std::string> received;
     membership.broadcastCancellations([&] {
-        told = true;
+        callbackCalled = true;
         for (const auto& [peer, payload] : state.frames) {
             const auto envelope = protocol::decodePeer(payload);
             ASSERT_TRUE(envelope);
             if (peer != "node-1") continue;
             const auto& status = std::get<protocol::PeerHeartbeat>(envelope->message);
-            heard.insert(status.cancelled.begin(), status.cancelled.end());
+            received.insert(status.cancelled.begin(), status.cancelled.end());
         }
     });
     timers.advance(1s);
-    EXPECT_TRUE(told);
-    EXPECT_EQ(heard.size(), static_cast<std::size_t>(cancelled));
+    EXPECT_TRUE(callbackCalled);
+    EXPECT_EQ(received.size(), static_cast<std::size_t>(cancelled));
 }
 
-// What was concluded as a partition's leader is void once another has owned it, also if the
-// partition has come back before anybody looked.
-TEST_F(MembershipTest, APartitionThatWasAwayForAWhileIsLostFirst) {
+// Guards against keeping unrecorded conclusions about a partition that another node has led in the
+// meantime. The partition goes to node-1 and comes back before this node reconciles.
+TEST_F(MembershipTest, RegainedPartitionIsReportedLostBeforeAcquired) {
     const auto& lost = observer.lost;
     const auto& acquired = observer.acquired;
     load();
@@ -62,25 +62,26 @@
     membership.reconcile();
     EXPECT_EQ(lost, (std::vector<std::uint32_t>{0}));
     EXPECT_FALSE(membership.isLeader(0));
-    // The first acquisition may lose the counter of terms to another partition's, and waits for the
-    // records.
+    // The first acquisition may fail because the acquisition of another partition has increased the
+    // term counter; it is retried once the records have been read.
     catchUp();
     catchUp();
     EXPECT_TRUE(membership.isLeader(0));
     EXPECT_EQ(std::count(acquired.begin(), acquired.end(), 0U), 2);
 }
 
-class ShortCancelLimit : public MembershipTest {
+class ShortCancelLimitTest : public MembershipTest {
   protected:
-    ShortCancelLimit() {
+    ShortCancelLimitTest() {
         settings_.lease = Seconds(20);
         settings_.cancel = Seconds(25);
     }
 };
 
-// A lease renewed now lasts 20 s; of 25 s that leaves under 4 s in which news may be missing, also
-// for a leader whose own lease stands. It once waited 8 s.
-TEST_F(ShortCancelLimit, ALaggingLeaderAnswersNoWorkerForLongerThanTheSlackLeft) {
+// A worker's lease renewed now lasts 20 s. A cancel limit of 25 s then leaves under 4 s in which
+// cancellations may be missing, also for a leader whose own lease is valid. Guards against such a
+// leader answering workers for 8 s.
+TEST_F(ShortCancelLimitTest, LeaderWithLaggingReplicaStopsAnsweringWorkersWithinCancellationSlack) {
     membership.start();
     for (int i = 0; i < 10; ++i) {
         timers.advance(20ms);
@@ -88,9 +89,9 @@
         for (const auto& request : ready) state.serve(request);
     }
     ASSERT_TRUE(membership.isLeaseValid());
-    replicaStatus.current = context.now() - 1s;
+    replicaStatus.currentTime = context.now() - 1s;
     EXPECT_TRUE(membership.canAnswerWorkers(0));
-    replicaStatus.current = context.now() - 5s;
+    replicaStatus.currentTime = context.now() - 5s;
     EXPECT_FALSE(membership.canAnswerWorkers(0));
 }
 
