--- a/src/coordination/controller.cpp
+++ b/src/coordination/controller.cpp
@@ -37,7 +37,7 @@
       preemption_(context_, queueOrder_),
       consolidation_(context_),
       quotas_(context_, membership_, pipeline_, teamQuotas_, queueOrder_),
-      transfers_(context_, pipeline_, stateWriter_.writer(), quotas_, heartbeats_, *this),
+      transfers_(context_, pipeline_, stateWriter_.sliceWriter(), quotas_, heartbeats_, *this),
       lending_(context_, membership_, placement_, transfers_),
       rebalancer_(context_, membership_, pipeline_, placement_, transfers_, *this),
       migrator_(context_, membership_, pipeline_, stateWriter_, placement_),
--- a/src/coordination/migration/machine_transfers.cpp
+++ b/src/coordination/migration/machine_transfers.cpp
@@ -130,7 +130,7 @@
         from, std::move(transaction),
         [this, transfer, done = std::move(done)](CommitResult result, std::uint64_t revision) {
             finish(transfer, result, revision);
-            done(result == CommitResult::done);
+            done(result == CommitResult::committed);
         });
     return std::nullopt;
 }
@@ -142,16 +142,16 @@
         auto clusterState = context_.clusterState.lock();
         for (const auto& id : transfer.machines)
             if (Machine* machine = clusterState->machine(id)) machine->transferring = false;
-        durable = writer_.finish(*clusterState, transfer.batch, result, revision);
+        durable = writer_.applyOutcome(*clusterState, transfer.batch, result, revision);
         for (const auto& quota : transfer.quotas)
             quotas_.settle(*clusterState, quota, result, revision);
-        if (result == CommitResult::done)
+        if (result == CommitResult::committed)
             for (const auto& record : transfer.records)
                 storage::applyEvent(*clusterState, {record.key, record.value, revision},
                                     context_.now());
     }
     if (!durable.empty()) observer_.onAllocationsDurable(durable);
-    if (result != CommitResult::done) return;
+    if (result != CommitResult::committed) return;
     for (const auto& id : transfer.machines) heartbeats_.redirectWorker(id);
 }
 
--- a/src/coordination/migration/work_migrator.cpp
+++ b/src/coordination/migration/work_migrator.cpp
@@ -309,10 +309,10 @@
         [this, requestId, target, key, value](CommitResult result, std::uint64_t revision) {
             // As the record that it is: the job may have been migrated on, or be over,
             // by now.
-            if (result == CommitResult::done)
+            if (result == CommitResult::committed)
                 storage::applyEvent(*context_.clusterState.lock(), {key, value, revision},
                                     context_.now());
-            finishMigration(requestId, target, result == CommitResult::done);
+            finishMigration(requestId, target, result == CommitResult::committed);
         });
 }
 
--- a/src/coordination/provisioning/machine_catalog.cpp
+++ b/src/coordination/provisioning/machine_catalog.cpp
@@ -57,7 +57,7 @@
     pipeline_.commit(
         0, {{{storage::keys::catalog, version}}, {{storage::keys::catalog, std::move(value), 0}}},
         [this, types](CommitResult result, std::uint64_t revision) {
-            if (result != CommitResult::done) return;
+            if (result != CommitResult::committed) return;
             auto clusterState = context_.clusterState.lock();
             if (clusterState->catalogVersion >= revision) return;
             clusterState->catalog = types;
--- a/src/coordination/provisioning/machine_records.cpp
+++ b/src/coordination/provisioning/machine_records.cpp
@@ -82,7 +82,7 @@
 
 void MachineRecords::settle(Change change, Machine& machine, CommitResult result,
                             std::uint64_t revision) {
-    const bool done = result == CommitResult::done;
+    const bool done = result == CommitResult::committed;
     switch (change) {
         case Change::record:
             if (done) {
--- a/src/coordination/replication/slice_writer.cpp
+++ b/src/coordination/replication/slice_writer.cpp
@@ -175,12 +175,12 @@
                  partition, maxWrites_, maxValueBytes_);
 }
 
-std::set<std::string> SliceWriter::finish(ClusterState& clusterState, const SliceBatch& batch,
-                                          CommitResult result, std::uint64_t revision) const {
+std::set<std::string> SliceWriter::applyOutcome(ClusterState& clusterState, const SliceBatch& batch,
+                                                CommitResult result, std::uint64_t revision) const {
     std::set<std::string> machines;
     for (const auto& written : batch.slices) {
         if (clusterState.job(written.job) == nullptr) continue;
-        if (result == CommitResult::done)
+        if (result == CommitResult::committed)
             finishSlice(clusterState, batch, written, revision, machines);
         else if (batch.generation == clusterState.generation)
             undoAllocations(clusterState, written);
--- a/src/coordination/replication/slice_writer.h
+++ b/src/coordination/replication/slice_writer.h
@@ -60,8 +60,9 @@
                            MigratingTasks migrating = {});
     /// Applies the outcome; returns the machines on which allocations have become durable. After a
     /// failure the allocations that were to become durable are undone.
-    [[nodiscard]] std::set<std::string> finish(ClusterState& clusterState, const SliceBatch& batch,
-                                               CommitResult result, std::uint64_t revision) const;
+    [[nodiscard]] std::set<std::string> applyOutcome(ClusterState& clusterState,
+                                                     const SliceBatch& batch, CommitResult result,
+                                                     std::uint64_t revision) const;
     /// The state service has rejected a transaction of so many writes: its limits are lower than
     /// announced. What was rejected is divided further when it is sent again.
     void onRejected(PartitionId partition, std::size_t writes);
--- a/src/coordination/replication/state_writer.cpp
+++ b/src/coordination/replication/state_writer.cpp
@@ -251,7 +251,7 @@
                                   CommitResult result) {
     for (const auto& [id, state] : batch.terminals) {
         if (Job* job = clusterState.job(id)) job->completing = false;
-        if (result != CommitResult::done) continue;
+        if (result != CommitResult::committed) continue;
         spdlog::debug("state_writer: job_terminal job={} outcome={}", id,
                       state.cancelled ? "cancelled" : "done");
         clusterState.dependencyGraph.recordTerminal(id, state);
@@ -269,18 +269,18 @@
     }
     {
         auto clusterState = context_.clusterState.lock();
-        if (result == CommitResult::done)
+        if (result == CommitResult::committed)
             for (const auto& write : batch.cancellations)
                 storage::applyEvent(*clusterState, {write.key, write.value, revision},
                                     context_.now());
         finishTerminals(*clusterState, batch, result);
-        machines = writer_.finish(*clusterState, batch, result, revision);
+        machines = writer_.applyOutcome(*clusterState, batch, result, revision);
     }
-    for (const auto& done : batch.migrationCallbacks) done(result == CommitResult::done);
-    if (result == CommitResult::done && !batch.cancellations.empty())
+    for (const auto& done : batch.migrationCallbacks) done(result == CommitResult::committed);
+    if (result == CommitResult::committed && !batch.cancellations.empty())
         observer_.onDependentsCancelled();
     if (!machines.empty()) observer_.onAllocationsDurable(machines);
-    if (result == CommitResult::done) flushNext(partition);
+    if (result == CommitResult::committed) flushNext(partition);
 }
 
 void StateWriter::flushNext(PartitionId partition) {
@@ -310,7 +310,7 @@
     const auto writes = transaction.writes;
     pipeline_.commit(partition, std::move(transaction),
                      [this, partition, writes](CommitResult result, std::uint64_t) {
-                         if (result != CommitResult::done) return;
+                         if (result != CommitResult::committed) return;
                          auto clusterState = context_.clusterState.lock();
                          for (const auto& write : writes)
                              clusterState->orphanedRecords.erase(write.key);
--- a/src/coordination/replication/state_writer.h
+++ b/src/coordination/replication/state_writer.h
@@ -46,7 +46,7 @@
     /// Writes what has changed in this partition, unless a transaction of it is in flight.
     void flush(PartitionId partition);
     /// The slice writer, for modules that write slices in transactions of their own.
-    [[nodiscard]] SliceWriter& writer() { return writer_; }
+    [[nodiscard]] SliceWriter& sliceWriter() { return writer_; }
     /// Moves the tasks to the target partition with the next flush, in a slice of their own if they
     /// are not the whole slice. Fails if one of them has started by then.
     void migrate(PartitionId partition, SliceMigration migration);
--- a/src/coordination/replication/transaction_pipeline.cpp
+++ b/src/coordination/replication/transaction_pipeline.cpp
@@ -86,7 +86,7 @@
     pending->awaitingResponse = false;
     switch (answer.result) {
         case protocol::StateResult::ok:
-            return complete(partition, CommitResult::done, answer.revision);
+            return complete(partition, CommitResult::committed, answer.revision);
         case protocol::StateResult::rejected:
             // Sent again it would block the partition's queue for ever. An earlier attempt may have
             // been committed before the limits changed: the records tell.
@@ -187,7 +187,7 @@
     // An earlier attempt without an answer may have been the one that was committed.
     const auto revision = committedRevision(pending.transaction, reads);
     if (revision && pending.maybeCommitted && !partitionLost)
-        return complete(partition, CommitResult::done, *revision);
+        return complete(partition, CommitResult::committed, *revision);
     spdlog::info("pipeline: transaction_refused partition={} cause={}", partition,
                  partitionLost ? "partition_lost" : "records_changed");
     if (!partitionLost) refreshClusterState(reads);
--- a/src/coordination/replication/transaction_pipeline.h
+++ b/src/coordination/replication/transaction_pipeline.h
@@ -17,7 +17,7 @@
 
 /// The definite outcome of a transaction.
 enum class CommitResult {
-    done,
+    committed,
     conflict,       ///< another writer came first; the cluster state has been refreshed
     rejected,       ///< too large for the state service; the cluster state has been refreshed
     partitionLost,  ///< this node no longer leads the partition in that term
--- a/src/coordination/scheduling/quota_exchange.cpp
+++ b/src/coordination/scheduling/quota_exchange.cpp
@@ -112,7 +112,7 @@
 
 void QuotaExchange::settle(ClusterState& clusterState, const QuotaTransfer& transfer,
                            CommitResult result, std::uint64_t revision) {
-    if (result == CommitResult::done)
+    if (result == CommitResult::committed)
         storage::applyEvent(clusterState, {transfer.change.key, transfer.change.value, revision},
                             context_.now());
     clusterState.outgoingQuotas.erase(transfer.team);
--- a/tests/unit/coordination/membership/membership_fixture.h
+++ b/tests/unit/coordination/membership/membership_fixture.h
@@ -3,7 +3,7 @@
 #pragma once
 
 #include "coordination/membership/membership.h"
-#include "coordination/replication/record_bench.h"
+#include "coordination/replication/replication_fixture.h"
 #include "coordination/workers/heartbeat_observer.h"
 
 namespace fawnwheel::coordination {
@@ -37,7 +37,7 @@
 };
 
 /// A node with its membership, beside the records and their writers.
-class MembershipBench : public RecordBench {
+class MembershipBench : public ReplicationTest {
   protected:
     FakeReplicaStatus replicaStatus;
     RecordingObserver observer;
--- a/tests/unit/coordination/membership/membership_test.cpp
+++ b/tests/unit/coordination/membership/membership_test.cpp
@@ -18,7 +18,7 @@
     // Its calls are answered, and the records are known as they stand after that.
     void catchUp() {
         serveAll();
-        load();
+        loadRecords();
         membership.reconcile();
     }
 };
@@ -51,14 +51,14 @@
 TEST_F(MembershipTest, APartitionThatWasAwayForAWhileIsLostFirst) {
     const auto& lost = observer.lost;
     const auto& acquired = observer.acquired;
-    load();
+    loadRecords();
     membership.start();
     catchUp();
     ASSERT_TRUE(lost.empty());
     ASSERT_EQ(std::count(acquired.begin(), acquired.end(), 0U), 1);
-    own(0, "node-1", 50);
-    own(0, "node-0", 51);
-    load();
+    putPartition(0, "node-1", 50);
+    putPartition(0, "node-0", 51);
+    loadRecords();
     membership.reconcile();
     EXPECT_EQ(lost, (std::vector<std::uint32_t>{0}));
     EXPECT_FALSE(membership.isLeader(0));
--- a/tests/unit/coordination/migration/machine_transfers_test.cpp
+++ b/tests/unit/coordination/migration/machine_transfers_test.cpp
@@ -23,7 +23,7 @@
           queueOrder(context),
           quotas(context, membership, pipeline, teamQuotas, queueOrder),
           heartbeats(context, membership, observer),
-          transfers(context, pipeline, stateWriter.writer(), quotas, heartbeats, *this) {
+          transfers(context, pipeline, stateWriter.sliceWriter(), quotas, heartbeats, *this) {
         settings_.teams = {{"t", 0, 0, 90, 0}};
         for (const auto* node : {"node-0", "node-1", "node-2"})
             state.put(storage::keys::machineTransfersGate(node), storage::featureGateValue());
@@ -41,7 +41,7 @@
 
     // Takes the records in, with machines that have been heard.
     void loadHeard() {
-        load();
+        loadRecords();
         auto clusterState = context.clusterState.lock();
         for (auto& [id, known] : clusterState->machines) {
             known.lastHeartbeat = context.now();
@@ -145,8 +145,8 @@
         }
         expectOneOwner(*clusterState);
     }
-    EXPECT_EQ(coverInRecords("run-1"), std::vector<int>(10, 1));
-    EXPECT_EQ(coverInClusterState("run-1"), std::vector<int>(10, 1));
+    EXPECT_EQ(slicesPerTaskInRecords("run-1"), std::vector<int>(10, 1));
+    EXPECT_EQ(slicesPerTaskInClusterState("run-1"), std::vector<int>(10, 1));
     // Its worker has to show the new leader's token before anything is concluded.
     EXPECT_GT(fresh.machine("m-1")->minFencingToken, 65'536U);
     EXPECT_EQ(fresh.machine("m-1")->transferredBy, "node-0");
@@ -163,8 +163,8 @@
     give("m-1");
     serveAll();
     EXPECT_EQ(given, true);
-    EXPECT_EQ(coverInRecords("run-1"), std::vector<int>(8, 1));
-    EXPECT_EQ(coverInClusterState("run-1"), std::vector<int>(8, 1));
+    EXPECT_EQ(slicesPerTaskInRecords("run-1"), std::vector<int>(8, 1));
+    EXPECT_EQ(slicesPerTaskInClusterState("run-1"), std::vector<int>(8, 1));
     storage::ClusterState fresh;
     readRecords(fresh);
     EXPECT_EQ(fresh.machine("m-1")->allocations.size(), 2U);
@@ -292,7 +292,7 @@
     putArray();
     loadHeard();
     give("m-1");
-    own(2, "node-1", 5);
+    putPartition(2, "node-1", 5);
     serveAll();
     EXPECT_EQ(given, false);
     EXPECT_EQ(state.records[machine("m-1")].value["part"], 0);
@@ -302,7 +302,7 @@
     putArray();
     loadHeard();
     give("m-1");
-    own(0, "node-1", 5);
+    putPartition(0, "node-1", 5);
     serveAll();
     EXPECT_EQ(given, false);
     EXPECT_EQ(state.records[machine("m-1")].value["part"], 0);
@@ -322,8 +322,8 @@
         for (auto& [id, known] : clusterState->machines) known.known = context.now() - 60s;
     }
     give("m-1");
-    const auto sent = state.nextTransaction();
-    EXPECT_EQ(state.carryOut(sent.request).status, 200);
+    const auto sent = state.takeTransaction();
+    EXPECT_EQ(state.execute(sent.request).status, 200);
     // The watch brings it before any answer: the giver sends the worker on from here.
     for (int i = 0; i < 20 && !context.clusterState.lock()->machine("m-1")->departedTo; ++i) {
         timers.advance(50ms);
@@ -342,7 +342,7 @@
     sent.done(std::nullopt);
     serveAll();
     EXPECT_EQ(given, true);
-    EXPECT_EQ(state.carryOut(sent.request).status, 409);  // the late copy
+    EXPECT_EQ(state.execute(sent.request).status, 409);  // the late copy
     auto clusterState = context.clusterState.lock();
     EXPECT_EQ(clusterState->machine("m-1")->partition, 2U);
     EXPECT_FALSE(clusterState->machine("m-1")->departedTo);
@@ -353,10 +353,10 @@
     putArray();
     loadHeard();
     give("m-1");
-    const auto late = state.nextTransaction();
+    const auto late = state.takeTransaction();
     // Its sender ends, and its next life takes the partition with a higher term.
-    own(0, "node-0", 7);
-    EXPECT_EQ(state.carryOut(late.request).status, 409);
+    putPartition(0, "node-0", 7);
+    EXPECT_EQ(state.execute(late.request).status, 409);
     EXPECT_EQ(state.records[machine("m-1")].value["part"], 0);
 }
 
@@ -390,7 +390,7 @@
     Job& read = *fresh.job("run-1");
     EXPECT_TRUE(read.sliceOf(5)->done[5 - read.sliceOf(5)->first]);
     EXPECT_NE(read.sliceOf(6)->allocationOf(6), nullptr);
-    EXPECT_EQ(coverInRecords("run-1"), std::vector<int>(10, 1));
+    EXPECT_EQ(slicesPerTaskInRecords("run-1"), std::vector<int>(10, 1));
 }
 
 TEST_F(TransferBench, DamagedOrImpossibleRecordsTransferNoMachine) {
--- a/tests/unit/coordination/replication/manual_state.h
+++ b/tests/unit/coordination/replication/manual_state_service.h
@@ -57,7 +57,7 @@
 };
 
 /// The state service at the address `state`; every other address never answers.
-class ManualState final : public transport::Network {
+class ManualStateService final : public transport::Network {
   public:
     struct Record {
         Json value;
@@ -88,7 +88,7 @@
         log.push_back({key, records[key].value, revision});
     }
     /// The first transaction that waits, taken out of the queue.
-    Request nextTransaction() {
+    Request takeTransaction() {
         const auto found = std::find_if(pending.begin(), pending.end(), [](const auto& request) {
             return request.isTransaction();
         });
@@ -106,7 +106,7 @@
                           [](const auto& request) { return request.isTransaction(); }));
     }
     /// Carries the request out and returns its answer, which the caller may deliver or lose.
-    transport::HttpResponse carryOut(const transport::HttpRequest& request) {
+    transport::HttpResponse execute(const transport::HttpRequest& request) {
         namespace wire = protocol::wire;
         if (request.path == wire::pathTransaction)
             return transact(*protocol::decodeCbor(request.body));
@@ -118,7 +118,7 @@
         if (found == records.end()) return answer(404, {{wire::revision, revision}});
         return answer(200, itemOf(*found));
     }
-    void serve(const Request& request) { request.done(carryOut(request.request)); }
+    void serve(const Request& request) { request.done(execute(request.request)); }
 
     std::map<std::string, Record> records;
     std::vector<protocol::Event> log;
--- a/tests/unit/coordination/replication/record_bench.h
+++ b/tests/unit/coordination/replication/replication_fixture.h
@@ -4,7 +4,7 @@
 
 #include <gtest/gtest.h>
 
-#include "coordination/replication/manual_state.h"
+#include "coordination/replication/manual_state_service.h"
 #include "coordination/replication/replica.h"
 #include "coordination/replication/state_writer.h"
 #include "storage/records.h"
@@ -22,9 +22,9 @@
 
 /// Node 0 of three, the leader of partitions 0 and 1, with its records, replica, transaction
 /// pipeline and state writer.
-class RecordBench : public ::testing::Test {
+class ReplicationTest : public ::testing::Test {
   protected:
-    explicit RecordBench(double valueKb = 16, std::size_t writes = 12)
+    explicit ReplicationTest(double valueKb = 16, std::size_t writes = 12)
         : settings_(makeSettings(valueKb, writes)),
           context(settings_, operators_, timers, state, 1),
           pipeline(context),
@@ -33,7 +33,7 @@
         for (const auto* node : {"node-0", "node-1", "node-2"})
             state.put(storage::keys::jobDependenciesGate(node), storage::featureGateValue());
         for (std::uint32_t partition = 0; partition < 3; ++partition)
-            own(partition, partition < 2 ? "node-0" : "node-2", 1);
+            putPartition(partition, partition < 2 ? "node-0" : "node-2", 1);
     }
 
     static config::Settings makeSettings(double valueKb, std::size_t writes) {
@@ -48,7 +48,7 @@
         return made;
     }
 
-    void own(std::uint32_t partition, const std::string& node, std::uint64_t term) {
+    void putPartition(std::uint32_t partition, const std::string& node, std::uint64_t term) {
         state.put(storage::keys::partition(partition),
                   storage::partitionValue(storage::Partition{node, term, 0}));
     }
@@ -79,7 +79,7 @@
         state.put(storage::keys::slice(job.spec.id, slice.index), storage::sliceValue(slice));
     }
     /// Applies the records as they stand, without the replica.
-    void load() {
+    void loadRecords() {
         auto clusterState = context.clusterState.lock();
         for (const auto& [key, record] : state.records)
             storage::applyEvent(*clusterState, {key, record.value, record.version}, context.now());
@@ -90,7 +90,7 @@
     void serveAll() {
         for (int round = 0; round < 200; ++round) {
             timers.advance(std::chrono::milliseconds(50));
-            std::vector<ManualState::Request> ready;
+            std::vector<ManualStateService::Request> ready;
             for (auto request = state.pending.begin(); request != state.pending.end();) {
                 if (request->isWatch() && round > 100) {
                     ++request;
@@ -103,7 +103,7 @@
         }
     }
     /// How many slices of the cluster state cover each task of the job.
-    std::vector<int> coverInClusterState(const std::string& id) {
+    std::vector<int> slicesPerTaskInClusterState(const std::string& id) {
         auto clusterState = context.clusterState.lock();
         const Job* job = clusterState->job(id);
         if (job == nullptr) return {};
@@ -113,7 +113,7 @@
         return cover;
     }
     /// The same by the records, for a reader that has nothing else.
-    std::vector<int> coverInRecords(const std::string& id) {
+    std::vector<int> slicesPerTaskInRecords(const std::string& id) {
         storage::ClusterState fresh;
         for (const auto& [key, record] : state.records)
             storage::applyEvent(fresh, {key, record.value, record.version}, context.now());
@@ -132,7 +132,7 @@
     }
 
     ManualTimers timers;
-    ManualState state;
+    ManualStateService state;
     config::OperatorSettings operators_;
     config::Settings settings_;
     Context context;
--- a/tests/unit/coordination/replication/state_writer_test.cpp
+++ b/tests/unit/coordination/replication/state_writer_test.cpp
@@ -1,5 +1,5 @@
 // What a leader's records hold after its transactions were refused, lost, late or overtaken.
-#include "coordination/replication/record_bench.h"
+#include "coordination/replication/replication_fixture.h"
 
 namespace fawnwheel::coordination {
 namespace {
@@ -13,9 +13,9 @@
            std::all_of(cover.begin(), cover.end(), [](int count) { return count == 1; });
 }
 
-class FewWrites : public RecordBench {
+class FewWrites : public ReplicationTest {
   protected:
-    FewWrites() : RecordBench(16, 4) {}
+    FewWrites() : ReplicationTest(16, 4) {}
 };
 
 // The end of a job of many slices does not fit into one transaction. Its other slices' records were
@@ -30,7 +30,7 @@
     made.slices[9].allocations.push_back(makeAllocation(36, "m-1", 7));
     putJob(made);
     for (const auto& piece : made.slices) putSlice(made, piece);
-    load();
+    loadRecords();
     {
         // Ended, as far as this leader has heard from the workers; none of it is recorded yet.
         auto clusterState = context.clusterState.lock();
@@ -40,7 +40,7 @@
     }
     stateWriter.flush(0);
     // The partition goes to a peer before the end is carried out.
-    own(0, "node-1", 2);
+    putPartition(0, "node-1", 2);
     serveAll();
     ASSERT_TRUE(state.records.contains(job("run-1")));
     stateWriter.flush(1);
@@ -65,9 +65,9 @@
     EXPECT_EQ(sliceRecords("run-1"), 0U);
 }
 
-class SmallValues : public RecordBench {
+class SmallValues : public ReplicationTest {
   protected:
-    SmallValues() : RecordBench(1, 12) {}
+    SmallValues() : ReplicationTest(1, 12) {}
 
     // Two slices of one job, each in a partition of its own and too large for a value.
     void putTwoLargeSlices() {
@@ -78,7 +78,7 @@
                 piece.allocations.push_back(makeAllocation(task, "m-000001", (1ULL << 44U) + task));
         putJob(made);
         for (const auto& piece : made.slices) putSlice(made, piece);
-        load();
+        loadRecords();
         auto clusterState = context.clusterState.lock();
         Job& known = *clusterState->job("run-1");
         for (const std::uint32_t task : {3U, 43U})
@@ -95,9 +95,9 @@
     stateWriter.flush(0);
     stateWriter.flush(1);
     timers.advance(std::chrono::milliseconds(20));
-    const auto first = state.nextTransaction();
-    const auto answer = state.carryOut(first.request);
-    const auto second = state.nextTransaction();
+    const auto first = state.takeTransaction();
+    const auto answer = state.execute(first.request);
+    const auto second = state.takeTransaction();
     state.serve(second);
     // The reads that the refused one asks for are answered before the first one's answer arrives.
     for (int round = 0; round < 10; ++round) {
@@ -107,8 +107,8 @@
     }
     first.done(answer);
     serveAll();
-    EXPECT_TRUE(allOnce(coverInClusterState("run-1")));
-    EXPECT_TRUE(allOnce(coverInRecords("run-1")));
+    EXPECT_TRUE(allOnce(slicesPerTaskInClusterState("run-1")));
+    EXPECT_TRUE(allOnce(slicesPerTaskInRecords("run-1")));
 }
 
 // Beyond some 200 records they are read in pages of different moments. A division that is carried
@@ -117,7 +117,7 @@
     putTwoLargeSlices();
     stateWriter.flush(0);
     timers.advance(std::chrono::milliseconds(20));
-    const auto division = state.nextTransaction();
+    const auto division = state.takeTransaction();
     // Of the keys before it, the divided slice's is the last of the first page.
     const auto before = std::distance(state.records.upper_bound(storage::keys::activePrefix),
                                       state.records.upper_bound(slice("run-1", 0)));
@@ -128,7 +128,7 @@
     const auto page = state.pending.front();
     state.pending.clear();
     state.serve(page);
-    const auto answer = state.carryOut(division.request);
+    const auto answer = state.execute(division.request);
     for (int round = 0; round < 20; ++round) {
         timers.advance(std::chrono::milliseconds(20));
         auto reads = std::exchange(state.pending, {});
@@ -136,20 +136,20 @@
             if (!request.isWatch()) state.serve(request);
     }
     division.done(answer);
-    EXPECT_TRUE(allOnce(coverInClusterState("run-1")));
+    EXPECT_TRUE(allOnce(slicesPerTaskInClusterState("run-1")));
     stateWriter.flush(0);
     serveAll();
-    EXPECT_TRUE(allOnce(coverInClusterState("run-1")));
-    EXPECT_TRUE(allOnce(coverInRecords("run-1")));
+    EXPECT_TRUE(allOnce(slicesPerTaskInClusterState("run-1")));
+    EXPECT_TRUE(allOnce(slicesPerTaskInRecords("run-1")));
 }
 
 // The records are read again, as they stood before, while a transaction has no outcome. Applied
 // over what was read, its outcome once led to a write that removed the allocations it had recorded.
-TEST_F(RecordBench, AReadingBeforeTheOutcomeDoesNotUndoIt) {
+TEST_F(ReplicationTest, AReadingBeforeTheOutcomeDoesNotUndoIt) {
     Job made = makeJob(4, 4);
     putJob(made);
     putSlice(made, made.slices[0]);
-    load();
+    loadRecords();
     {
         auto clusterState = context.clusterState.lock();
         Job& known = *clusterState->job("run-1");
@@ -157,11 +157,11 @@
     }
     stateWriter.flush(0);
     timers.advance(std::chrono::milliseconds(20));
-    const auto change = state.nextTransaction();
+    const auto change = state.takeTransaction();
     replica.resync();
     serveAll();
     ASSERT_TRUE(replica.synced());
-    change.done(state.carryOut(change.request));
+    change.done(state.execute(change.request));
     serveAll();
     stateWriter.flush(0);
     serveAll();
@@ -172,18 +172,18 @@
 // The new leader of a migrated slice may record allocations in it before the migrating leader has
 // its answer. What the watch delivers meanwhile was once dropped, and for the leader of the job's
 // partition the tasks had no allocations: cancelled, the job ended while they ran.
-TEST_F(RecordBench, AllocationsThatOvertakeTheAnswerToAMigrationAreKnown) {
+TEST_F(ReplicationTest, AllocationsThatOvertakeTheAnswerToAMigrationAreKnown) {
     Job made = makeJob(8, 4);
     putJob(made);
     for (const auto& piece : made.slices) putSlice(made, piece);
-    load();
+    loadRecords();
     replica.start();
     serveAll();
     stateWriter.migrate(
         0, {"run-1", 1, {4, 4}, 2, context.now() + std::chrono::seconds(10), [](bool) {}});
     timers.advance(std::chrono::milliseconds(20));
-    const auto migrate = state.nextTransaction();
-    const auto answer = state.carryOut(migrate.request);
+    const auto migrate = state.takeTransaction();
+    const auto answer = state.execute(migrate.request);
     made.slices[1].partition = 2;
     made.slices[1].allocations.push_back(makeAllocation(5, "m-2", 9));
     putSlice(made, made.slices[1]);
@@ -195,17 +195,17 @@
 
 // A cancelled job ends when no task of it has an allocation. The leader of its partition may not
 // judge that by a slice whose record is in flight at that moment.
-TEST_F(RecordBench, ACancelledJobDoesNotEndWhileOneOfItsSlicesIsUnderWay) {
+TEST_F(ReplicationTest, ACancelledJobDoesNotEndWhileOneOfItsSlicesIsUnderWay) {
     Job made = makeJob(8, 4);
     putJob(made);
     made.slices[1].partition = 1;
     for (const auto& piece : made.slices) putSlice(made, piece);
-    load();
+    loadRecords();
     stateWriter.migrate(
         1, {"run-1", 1, {4, 4}, 2, context.now() + std::chrono::seconds(10), [](bool) {}});
     timers.advance(std::chrono::milliseconds(20));
-    const auto migrate = state.nextTransaction();
-    state.carryOut(migrate.request);
+    const auto migrate = state.takeTransaction();
+    state.execute(migrate.request);
     made.slices[1].partition = 2;
     made.slices[1].allocations.push_back(makeAllocation(5, "m-2", 9));
     putSlice(made, made.slices[1]);
@@ -224,12 +224,12 @@
 
 // Decided in one term, refused for a while, and sent in the next: what another leader has done
 // between the two is unknown to it.
-TEST_F(RecordBench, WhatWasDecidedInAnEarlierTermIsNotSentInALaterOne) {
+TEST_F(ReplicationTest, WhatWasDecidedInAnEarlierTermIsNotSentInALaterOne) {
     Job made = makeJob(4, 4);
     made.slices[0].allocations.push_back(makeAllocation(0, "m-1", 7));
     putJob(made);
     putSlice(made, made.slices[0]);
-    load();
+    loadRecords();
     {
         auto clusterState = context.clusterState.lock();
         Job& known = *clusterState->job("run-1");
@@ -237,10 +237,10 @@
     }
     stateWriter.flush(0);
     timers.advance(std::chrono::milliseconds(20));
-    const auto refused = state.nextTransaction();
+    const auto refused = state.takeTransaction();
     refused.done(transport::HttpResponse{503, {}, 0});
-    own(0, "node-1", 2);
-    own(0, "node-0", 3);
+    putPartition(0, "node-1", 2);
+    putPartition(0, "node-0", 3);
     const auto& latest = state.records.at(partition(0));
     storage::applyEvent(*context.clusterState.lock(), {partition(0), latest.value, latest.version},
                         {});
@@ -251,11 +251,11 @@
 
 // Equal values with different versions are not one transaction's: with the later version taken for
 // both, the other slice's writes failed for ever.
-TEST_F(RecordBench, EqualValuesOfDifferentRevisionsAreNotOurTransaction) {
+TEST_F(ReplicationTest, EqualValuesOfDifferentRevisionsAreNotOurTransaction) {
     Job made = makeJob(8, 4);
     putJob(made);
     for (const auto& piece : made.slices) putSlice(made, piece);
-    load();
+    loadRecords();
     {
         auto clusterState = context.clusterState.lock();
         Job& known = *clusterState->job("run-1");
@@ -266,8 +266,8 @@
     }
     stateWriter.flush(0);
     timers.advance(std::chrono::milliseconds(20));
-    const auto lost = state.nextTransaction();
-    state.carryOut(lost.request);
+    const auto lost = state.takeTransaction();
+    state.execute(lost.request);
     lost.done(std::nullopt);
     // Written once more, with the same content.
     state.put(slice("run-1", 0), Json(state.records.at(slice("run-1", 0)).value));
@@ -280,11 +280,11 @@
 
 // A task that runs without a record keeps its allocation here when its first record is refused; a
 // second allocation would let it run twice.
-TEST_F(RecordBench, ARefusedRecordDoesNotForgetATaskThatRuns) {
+TEST_F(ReplicationTest, ARefusedRecordDoesNotForgetATaskThatRuns) {
     Job made = makeJob(8, 4);
     putJob(made);
     for (const auto& piece : made.slices) putSlice(made, piece);
-    load();
+    loadRecords();
     {
         auto clusterState = context.clusterState.lock();
         Job& known = *clusterState->job("run-1");
@@ -295,7 +295,7 @@
     }
     stateWriter.flush(0);
     timers.advance(std::chrono::milliseconds(20));
-    const auto refused = state.nextTransaction();
+    const auto refused = state.takeTransaction();
     state.put(slice("run-1", 1), Json(state.records.at(slice("run-1", 1)).value));
     state.serve(refused);
     for (int round = 0; round < 10; ++round) {
@@ -309,10 +309,10 @@
 
 // A slice whose job was created between two pages of a reading is no orphan, although its job is
 // not known here yet.
-TEST_F(RecordBench, ASliceReadBeforeItsJobIsNoOrphan) {
+TEST_F(ReplicationTest, ASliceReadBeforeItsJobIsNoOrphan) {
     const Job made = makeJob(4, 4);
     putSlice(made, made.slices[0]);
-    load();
+    loadRecords();
     putJob(made);
     stateWriter.flush(0);
     serveAll();
@@ -322,7 +322,7 @@
 // This node leads the job's partition and that of its other slice, whose completion is not
 // recorded. The latter is lost before the job's end is committed: its new leader may have
 // started the task once more.
-TEST_F(RecordBench, AnEndThatRestsOnALostPartitionIsRefused) {
+TEST_F(ReplicationTest, AnEndThatRestsOnALostPartitionIsRefused) {
     Job made = makeJob(8, 4);
     made.slices[1].partition = 1;
     for (std::uint32_t task = 0; task < 4; ++task) made.slices[0].markDone(task);
@@ -330,21 +330,21 @@
     made.cancelled = true;
     putJob(made);
     for (const auto& piece : made.slices) putSlice(made, piece);
-    load();
+    loadRecords();
     {
         auto clusterState = context.clusterState.lock();
         Job& known = *clusterState->job("run-1");
         clusterState->removeAllocation(known, known.slices[1], 4);
     }
     stateWriter.flush(0);
-    own(1, "node-1", 2);
+    putPartition(1, "node-1", 2);
     serveAll();
     EXPECT_TRUE(state.records.contains(job("run-1")));
     EXPECT_EQ(sliceRecords("run-1"), 2U);
 }
 
 // An empty page that announces more is not the end: the records behind it are not deleted.
-TEST_F(RecordBench, AnEmptyPageThatSaysMoreIsNoEnd) {
+TEST_F(ReplicationTest, AnEmptyPageThatSaysMoreIsNoEnd) {
     putJob(makeJob(4, 4));
     replica.start();
     timers.advance(std::chrono::milliseconds(20));
