--- a/src/coordination/controller.cpp
+++ b/src/coordination/controller.cpp
@@ -48,7 +48,7 @@
       peers_({membership_, migrator_, autoscaler_, lending_, quotas_, completionNotifier_,
               rebalancer_}) {
     context_.clusterState.lock()->dependencyGraph.setStepTimeEstimator(
-        [this](const protocol::JobSpec& spec) { return queueOrder_.stepTime(spec); });
+        [this](const protocol::JobSpec& spec) { return queueOrder_.estimatedTurnaround(spec); });
 }
 
 void Controller::onJobAccepted() {
@@ -70,7 +70,7 @@
 
 void Controller::onJobTerminal(const std::string& id, bool cancelled) {
     statusReader_.recordTerminal(id, cancelled);
-    completionNotifier_.announce(id);
+    completionNotifier_.notifyDependents(id);
     stopping_.erase(id);
 }
 
@@ -164,7 +164,7 @@
         reconciler_.reconcileMachines(partition);
         if (membership_.isLeaseValid()) lending_.returnIdleLoans(partition);
         if (membership_.isLeaseValid() && warmPool_.mayConsolidate(partition))
-            if (const auto machine = consolidation_.consolidateOne(partition))
+            if (const auto machine = consolidation_.consolidateOneMachine(partition))
                 heartbeats_.sendPendingStops(*machine);
     }
     std::erase_if(stopping_, [this](const std::string& id) {
--- a/src/coordination/migration/machine_lending.cpp
+++ b/src/coordination/migration/machine_lending.cpp
@@ -26,7 +26,8 @@
             continue;
         const Job* job = clusterState->job(entry.job);
         if (job == nullptr || job->partition != partition) continue;
-        if (restUntil_.contains(entry.job) || !throttle_.isDue(entry.job, context_.now())) continue;
+        if (restUntil_.contains(entry.job) || !throttle_.tryAcquire(entry.job, context_.now()))
+            continue;
         auto lenders = findLenders(*clusterState, partition, entry, *job);
         divideRequest(lenders, entry, *job);
         for (const auto& lender : lenders) {
@@ -104,7 +105,7 @@
             job.allocatedTasks() + job.doneTasks() >= job.spec.tasks)
             return false;
         return Placement::typeAllowed(job.spec, *type, machine.zone, machine.spot) &&
-               placement_.before(job, gang);
+               placement_.precedes(job, gang);
     });
 }
 
@@ -125,7 +126,7 @@
     const auto now = context_.now();
     for (auto* machine : clusterState.machinesOf(request.lender)) {
         const auto* type = context_.type(machine->type);
-        if (!placement_.takesWork(*machine) ||
+        if (!placement_.acceptsTasks(*machine) ||
             (!request.zone.empty() && machine->zone != request.zone) ||
             !Placement::typeAllowed(gang.spec, *type, machine->zone, machine->spot) ||
             neededHere(clusterState, *machine, gang))
@@ -133,7 +134,7 @@
         if (!machine->allocations.empty()) {
             const Job* reserving = clusterState.job(machine->reservedFor);
             if (now >= machine->reservedUntil || machine->reservedFor == request.job ||
-                (reserving != nullptr && placement_.before(gang, *reserving)))
+                (reserving != nullptr && placement_.precedes(gang, *reserving)))
                 lendable.busy.push_back(machine);
         } else if (lendable.idle.size() <
                    std::min<std::size_t>(request.machines, context_.settings.transactionChanges)) {
@@ -182,7 +183,7 @@
                                return slice.partition == machine.partition && slice.waiting() > 0;
                            }) &&
                Placement::typeAllowed(job.spec, *type, machine.zone, machine.spot) &&
-               placement_.before(job, *gang);
+               placement_.precedes(job, *gang);
     });
 }
 
--- a/src/coordination/migration/machine_transfers.cpp
+++ b/src/coordination/migration/machine_transfers.cpp
@@ -52,7 +52,7 @@
         storage::QuotaShare moved;
         if (team->cpusMax > 0) moved.cpus = used.cpus;
         if (team->gpusMax > 0) moved.gpus = used.gpus;
-        auto quota = quotas_.begin(clusterState, *team, from, to, moved);
+        auto quota = quotas_.beginTransfer(clusterState, *team, from, to, moved);
         if (!quota) return false;
         transfer.batch.transaction.compares.push_back(quota->compare);
         transfer.batch.transaction.writes.push_back(quota->change);
@@ -111,7 +111,7 @@
 void MachineTransfers::undo(const Transfer& transfer, ClusterState& clusterState) {
     for (const auto& id : transfer.machines) clusterState.machine(id)->transferring = false;
     for (const auto& quota : transfer.quotas)
-        quotas_.settle(clusterState, quota, CommitResult::conflict, 0);
+        quotas_.finishTransfer(clusterState, quota, CommitResult::conflict, 0);
 }
 
 std::optional<rebalancing::Refusal> MachineTransfers::give(PartitionId from, PartitionId to,
@@ -144,7 +144,7 @@
             if (Machine* machine = clusterState->machine(id)) machine->transferring = false;
         durable = writer_.finish(*clusterState, transfer.batch, result, revision);
         for (const auto& quota : transfer.quotas)
-            quotas_.settle(*clusterState, quota, result, revision);
+            quotas_.finishTransfer(*clusterState, quota, result, revision);
         if (result == CommitResult::done)
             for (const auto& record : transfer.records)
                 storage::applyEvent(*clusterState, {record.key, record.value, revision},
--- a/src/coordination/migration/work_migrator.cpp
+++ b/src/coordination/migration/work_migrator.cpp
@@ -49,7 +49,7 @@
     auto clusterState = context_.clusterState.lock();
     const auto& machines = clusterState->machinesOf(partition);
     const bool cached = std::any_of(machines.begin(), machines.end(), [&](const Machine* machine) {
-        return placement_.takesWork(*machine) &&
+        return placement_.acceptsTasks(*machine) &&
                std::any_of(machine->images.begin(), machine->images.end(),
                            [&](const auto& i) { return i.name == job.spec.image; });
     });
--- a/src/coordination/provisioning/autoscaler.cpp
+++ b/src/coordination/provisioning/autoscaler.cpp
@@ -35,7 +35,7 @@
     if (!typeAllowed(job.spec, type, pool.zone, pool.spot)) return std::nullopt;
     const auto refused = refused_.find(pool);
     if (refused != refused_.end() && context_.now() < refused->second.until) return std::nullopt;
-    const double fit = countThatFit(job, type.capacity, tasks);
+    const double fit = countFittingTasks(job, type.capacity, tasks);
     double price = (pool.spot ? type.spotPrice : type.price) / std::max(1.0, fit);
     // Near the partition's own node, so that a cut between zones separates fewer of them.
     if (pool.zone != context_.settings.zone) price *= otherZonePenalty;
@@ -136,7 +136,7 @@
         return;
     const auto pool = cheapest(job, entry.tasks, entry.zone);
     if (!pool || isRequestInFlight(*pool)) return;
-    const auto each = countThatFit(job, context_.type(pool->type)->capacity, entry.tasks);
+    const auto each = countFittingTasks(job, context_.type(pool->type)->capacity, entry.tasks);
     const auto machines =
         std::min(maxProvisionedAtOnce, static_cast<int>((entry.tasks + each - 1) / each));
     // Many gangs in one call: with a call for each, a morning's gangs took a minute to provision
@@ -185,8 +185,8 @@
         for (int i = 0; i < count && next != machines.end(); ++i, ++next) {
             Machine* machine = inventory_.addMachine(pool, *next, partition);
             if (machine == nullptr || job == nullptr || type == nullptr) continue;
-            reserve(context_, *machine, *job, countThatFit(*job, type->capacity, job->spec.tasks),
-                    bootDeadline(*type));
+            reserve(context_, *machine, *job,
+                    countFittingTasks(*job, type->capacity, job->spec.tasks), bootDeadline(*type));
         }
     }
     for (; next != machines.end(); ++next) inventory_.addMachine(pool, *next, partition);
--- a/src/coordination/scheduling/capacity_estimator.cpp
+++ b/src/coordination/scheduling/capacity_estimator.cpp
@@ -19,7 +19,7 @@
     const auto guard =
         context_.isBestEffort(job) ? FragmentationGuard(*clusterState) : FragmentationGuard();
     for (const auto* machine : clusterState->machinesOf(partition)) {
-        if (machine->decommissioned || (own && !takesWork(context_, *machine)) ||
+        if (machine->decommissioned || (own && !acceptsTasks(context_, *machine)) ||
             !mayUseLoan(context_, job, *machine))
             continue;
         const auto* type = context_.type(machine->type);
@@ -27,7 +27,7 @@
             continue;
         Resources free = type->capacity;
         free -= machine->used;
-        const auto fits = countThatFit(job, free, limit - capacity);
+        const auto fits = countFittingTasks(job, free, limit - capacity);
         for (std::uint32_t i = 0; i < fits; ++i, free -= job.spec.each, ++capacity)
             if (!guard.empty() &&
                 guard.slotsLost({*type, machine->zone, machine->spot, free}, job).ofEntitled > 0)
@@ -44,15 +44,15 @@
     std::map<std::string, std::uint32_t> zones;  // tasks that fit
     for (const auto* machine : clusterState.machinesOf(partition)) {
         const auto* type = context_.type(machine->type);
-        if (machine->decommissioned || (own && !takesWork(context_, *machine)) || type == nullptr ||
-            !typeAllowed(job.spec, *type, machine->zone, machine->spot))
+        if (machine->decommissioned || (own && !acceptsTasks(context_, *machine)) ||
+            type == nullptr || !typeAllowed(job.spec, *type, machine->zone, machine->spot))
             continue;
         Resources free = type->capacity;
         free -= machine->used;
         if (context_.now() < machine->reservedUntil && machine->reservedFor != job.spec.id)
             free -= machine->reservedCapacity;
         zones[job.spec.oneZone ? machine->zone : std::string()] +=
-            countThatFit(job, free, job.spec.tasks);
+            countFittingTasks(job, free, job.spec.tasks);
     }
     const bool fits = std::any_of(zones.begin(), zones.end(), [&](const auto& entry) {
         return entry.second >= job.spec.tasks;
--- a/src/coordination/scheduling/capacity_index.cpp
+++ b/src/coordination/scheduling/capacity_index.cpp
@@ -42,7 +42,7 @@
     : context_(context) {
     const auto now = context_.now();
     for (auto* machine : clusterState.machinesOf(partition)) {
-        if (!takesWork(context_, *machine, now) ||
+        if (!acceptsTasks(context_, *machine, now) ||
             machine->allocations.size() + machine->exited >= maxTasksPerMachine)
             continue;
         MachinePool* pool = poolOf(*machine);
@@ -79,7 +79,8 @@
         if (!pool.allows(job, zoneUse)) continue;
         for (const auto& machineCapacity : pool.machines) {
             if (!job.spec.each.fits(machineCapacity.free)) continue;
-            slots += countThatFit(job, capacityFor(job, machineCapacity), job.spec.tasks - slots);
+            slots +=
+                countFittingTasks(job, capacityFor(job, machineCapacity), job.spec.tasks - slots);
             if (slots >= job.spec.tasks) return slots;
         }
     }
--- a/src/coordination/scheduling/completion_notifier.cpp
+++ b/src/coordination/scheduling/completion_notifier.cpp
@@ -74,7 +74,7 @@
         protocol::RequestPriority::userRequest);
 }
 
-void CompletionNotifier::announce(const std::string& job) {
+void CompletionNotifier::notifyDependents(const std::string& job) {
     std::set<std::string> leaders;
     {
         auto clusterState = context_.clusterState.lock();
--- a/src/coordination/scheduling/completion_notifier.h
+++ b/src/coordination/scheduling/completion_notifier.h
@@ -22,7 +22,7 @@
     /// Reads the terminal records that jobs of our partitions wait for.
     void resolveDependencies();
     /// Tells the leaders of the jobs that depend on it that a job has ended, durably.
-    void announce(const std::string& job);
+    void notifyDependents(const std::string& job);
     /// A peer's message that a job has ended: reads its record if a job of ours waits for it.
     void onJobCompleted(const protocol::JobCompleted& message);
 
--- a/src/coordination/scheduling/consolidation.cpp
+++ b/src/coordination/scheduling/consolidation.cpp
@@ -25,7 +25,7 @@
                                  const Job& job, std::map<std::string, Resources>& consumed) const {
     for (const auto* other : clusterState.machinesOf(machine.partition)) {
         // On machines in use only: an empty one might be the next to go.
-        if (other == &machine || other->allocations.empty() || !takesWork(context_, *other))
+        if (other == &machine || other->allocations.empty() || !acceptsTasks(context_, *other))
             continue;
         Machine after = *other;
         after.used += consumed[other->id];
@@ -52,7 +52,7 @@
     return longestLeft > minSecondsLeftToMove;
 }
 
-std::optional<std::string> Consolidation::consolidateOne(PartitionId partition) {
+std::optional<std::string> Consolidation::consolidateOneMachine(PartitionId partition) {
     auto clusterState = context_.clusterState.lock();
     Machine* best = nullptr;
     std::vector<Allocation*> bestAllocations;
@@ -62,7 +62,7 @@
         if (machine.consolidating && !machine.allocations.empty())
             return std::nullopt;  // one at a time
         const auto* type = context_.type(machine.type);
-        if (type == nullptr || machine.allocations.empty() || !takesWork(context_, machine))
+        if (type == nullptr || machine.allocations.empty() || !acceptsTasks(context_, machine))
             continue;
         const double utilization = std::max(machine.used.cpus / std::max(1.0, type->capacity.cpus),
                                             machine.used.gpus / std::max(1.0, type->capacity.gpus));
--- a/src/coordination/scheduling/consolidation.h
+++ b/src/coordination/scheduling/consolidation.h
@@ -13,7 +13,7 @@
 
     /// Marks one machine of the partition and its tasks to be stopped; they are placed again
     /// elsewhere. None: no machine suits, or one is being emptied already.
-    [[nodiscard]] std::optional<std::string> consolidateOne(PartitionId partition);
+    [[nodiscard]] std::optional<std::string> consolidateOneMachine(PartitionId partition);
 
   private:
     // Whether the machine's tasks may be stopped now, and fit on others in use. Adds them to
--- a/src/coordination/scheduling/fragmentation_guard.cpp
+++ b/src/coordination/scheduling/fragmentation_guard.cpp
@@ -42,7 +42,7 @@
         for (const auto& pool : capacityIndex.pools()) {
             if (!typeAllowed(spec, *pool.type, pool.zone, pool.spot)) continue;
             for (const auto& machineCapacity : pool.machines)
-                slots += countThatFit(*largerTask.job, machineCapacity.unreserved, spec.tasks);
+                slots += countFittingTasks(*largerTask.job, machineCapacity.unreserved, spec.tasks);
         }
         largerTask.spareSlots = slots > needed ? slots - needed : 0;
     }
@@ -70,8 +70,8 @@
         return 0;
     Resources after = slot.free;
     after -= job.spec.each;
-    return countThatFit(*largerTask.job, slot.free, spec.tasks) -
-           countThatFit(*largerTask.job, after, spec.tasks);
+    return countFittingTasks(*largerTask.job, slot.free, spec.tasks) -
+           countFittingTasks(*largerTask.job, after, spec.tasks);
 }
 
 LostSlots FragmentationGuard::slotsLost(const CandidateSlot& slot, const Job& job) const {
--- a/src/coordination/scheduling/gang_assembler.cpp
+++ b/src/coordination/scheduling/gang_assembler.cpp
@@ -45,7 +45,7 @@
             continue;
         auto& machines = zones[machine->zone];
         ++machines.all;
-        if ((takesWork(context_, *machine) && canHost(context_, job, *machine)) ||
+        if ((acceptsTasks(context_, *machine) && canHost(context_, job, *machine)) ||
             (now < machine->reservedUntil && machine->reservedFor == job.spec.id))
             ++machines.free;
     }
@@ -125,8 +125,8 @@
         for (auto& machineCapacity : pool.machines) {
             if (reserved >= tasks) return reserved;
             if (now < machineCapacity.machine->reservedUntil) continue;
-            const auto fit = countThatFit(job, capacityIndex.capacityFor(job, machineCapacity),
-                                          tasks - reserved);
+            const auto fit = countFittingTasks(job, capacityIndex.capacityFor(job, machineCapacity),
+                                               tasks - reserved);
             if (fit == 0) continue;
             reserveOn(machineCapacity, job, fit);
             reserved += fit;
@@ -161,7 +161,7 @@
     std::uint32_t reserved = 0;
     for (const auto& entry : busy) {
         if (reserved >= tasks) break;
-        const auto fit = countThatFit(job, entry.type->capacity, tasks - reserved);
+        const auto fit = countFittingTasks(job, entry.type->capacity, tasks - reserved);
         reserveOn(*entry.machineCapacity, job, fit);
         reserved += fit;
     }
--- a/src/coordination/scheduling/placement.cpp
+++ b/src/coordination/scheduling/placement.cpp
@@ -171,7 +171,7 @@
     double slots = 0;
     for (const auto& pool : capacityIndex.pools()) {
         if (!pool.allows(job, {})) continue;
-        const auto each = countThatFit(job, pool.type->capacity, job.spec.tasks);
+        const auto each = countFittingTasks(job, pool.type->capacity, job.spec.tasks);
         for (const auto& machineCapacity : pool.machines)
             if (std::any_of(machineCapacity.machine->images.begin(),
                             machineCapacity.machine->images.end(),
--- a/src/coordination/scheduling/placement.h
+++ b/src/coordination/scheduling/placement.h
@@ -34,8 +34,8 @@
         return queueOrder_.queueLength(partition);
     }
     [[nodiscard]] std::vector<std::uint32_t> queueLengths() { return queueOrder_.queueLengths(); }
-    [[nodiscard]] bool before(const Job& one, const Job& other) const {
-        return queueOrder_.before(one, other);
+    [[nodiscard]] bool precedes(const Job& one, const Job& other) const {
+        return queueOrder_.precedes(one, other);
     }
     [[nodiscard]] Seconds fetchTime(const Job& job) const {
         return queueOrder_.fetchTime(job.spec);
@@ -54,8 +54,8 @@
     [[nodiscard]] bool canProvision(const Job& job, const std::string& zone) const {
         return cloud_.canProvision(job, zone);
     }
-    [[nodiscard]] bool takesWork(const Machine& machine) const {
-        return coordination::takesWork(context_, machine);
+    [[nodiscard]] bool acceptsTasks(const Machine& machine) const {
+        return coordination::acceptsTasks(context_, machine);
     }
     [[nodiscard]] static bool typeAllowed(const protocol::JobSpec& spec, const MachineType& type,
                                           const std::string& zone, bool spot) {
--- a/src/coordination/scheduling/placement_constraints.cpp
+++ b/src/coordination/scheduling/placement_constraints.cpp
@@ -35,17 +35,17 @@
     return spec.each.fits(type.capacity);
 }
 
-std::uint32_t countThatFit(const Job& job, Resources capacity, std::uint32_t limit) {
+std::uint32_t countFittingTasks(const Job& job, Resources capacity, std::uint32_t limit) {
     std::uint32_t count = 0;
     for (; count < limit && job.spec.each.fits(capacity); ++count) capacity -= job.spec.each;
     return count;
 }
 
-bool takesWork(const Context& context, const Machine& machine) {
-    return takesWork(context, machine, context.now());
+bool acceptsTasks(const Context& context, const Machine& machine) {
+    return acceptsTasks(context, machine, context.now());
 }
 
-bool takesWork(const Context& context, const Machine& machine, SteadyTime now) {
+bool acceptsTasks(const Context& context, const Machine& machine, SteadyTime now) {
     return machine.version != 0 && machine.acknowledged() && !machine.transferring &&
            !machine.decommissioned && !machine.consolidating && !machine.interruptionAt &&
            machine.lastHeartbeat &&
--- a/src/coordination/scheduling/placement_constraints.h
+++ b/src/coordination/scheduling/placement_constraints.h
@@ -17,13 +17,14 @@
                                const std::string& zone, bool spot);
 
 /// How many tasks like the job's fit into this capacity, up to `limit`.
-[[nodiscard]] std::uint32_t countThatFit(const Job& job, Resources capacity, std::uint32_t limit);
+[[nodiscard]] std::uint32_t countFittingTasks(const Job& job, Resources capacity,
+                                              std::uint32_t limit);
 
 /// Whether new allocations may be made on the machine: recorded, acknowledged, sending heartbeats
 /// in time, not on its way out, and not excluded for a fault.
-[[nodiscard]] bool takesWork(const Context& context, const Machine& machine);
+[[nodiscard]] bool acceptsTasks(const Context& context, const Machine& machine);
 /// The same, for a loop that reads the clock once.
-[[nodiscard]] bool takesWork(const Context& context, const Machine& machine, SteadyTime now);
+[[nodiscard]] bool acceptsTasks(const Context& context, const Machine& machine, SteadyTime now);
 
 /// Whether the job may use the machine although a peer may have lent it.
 [[nodiscard]] bool mayUseLoan(const Context& context, const Job& job, const Machine& machine);
--- a/src/coordination/scheduling/queue_order.cpp
+++ b/src/coordination/scheduling/queue_order.cpp
@@ -53,7 +53,7 @@
            job.spec.tasks >= largest->second;
 }
 
-Seconds QueueOrder::stepTime(const protocol::JobSpec& spec) const {
+Seconds QueueOrder::estimatedTurnaround(const protocol::JobSpec& spec) const {
     // A start waits for a worker's heartbeat, and so may an end that was reported while one was
     // in flight.
     return spec.estimate + fetchTime(spec) + context_.settings.heartbeatInterval;
@@ -75,7 +75,7 @@
     return latestStart(job) < plus(context_.timers.wallNow(), needed);
 }
 
-bool QueueOrder::before(const Job& one, const Job& other) const {
+bool QueueOrder::precedes(const Job& one, const Job& other) const {
     return std::tuple(one.priority, latestStart(one), one.spec.id) <
            std::tuple(other.priority, latestStart(other), other.spec.id);
 }
--- a/src/coordination/scheduling/queue_order.h
+++ b/src/coordination/scheduling/queue_order.h
@@ -24,7 +24,7 @@
     [[nodiscard]] std::vector<ReadyJob> readyJobs(ClusterState& clusterState,
                                                   PartitionId partition);
     /// Whether the job goes before the other.
-    [[nodiscard]] bool before(const Job& one, const Job& other) const;
+    [[nodiscard]] bool precedes(const Job& one, const Job& other) const;
     /// When the job should have started at the latest to meet its next objective.
     [[nodiscard]] transport::WallTime latestStart(const Job& job) const;
     /// Whether it will miss its next objective unless it is placed about now.
@@ -32,7 +32,7 @@
     /// Seconds to fetch the job's image onto the fastest machine that it may use.
     [[nodiscard]] Seconds fetchTime(const protocol::JobSpec& spec) const;
     /// Seconds from a job's release to its end, if its tasks are placed at once.
-    [[nodiscard]] Seconds stepTime(const protocol::JobSpec& spec) const;
+    [[nodiscard]] Seconds estimatedTurnaround(const protocol::JobSpec& spec) const;
     /// How many tasks of an array may be placed in one run.
     [[nodiscard]] std::uint32_t maxTasksToPlace(const ReadyJob& ready) const;
     /// Whether allocations have waited for their records for long: more of them would only hold
--- a/src/coordination/scheduling/quota_exchange.cpp
+++ b/src/coordination/scheduling/quota_exchange.cpp
@@ -14,7 +14,7 @@
     for (const auto& entry : unschedulable) {
         if (!entry.overQuota) continue;
         const Job* job = clusterState->job(entry.job);
-        if (job == nullptr || !throttle_.isDue(entry.job, context_.now())) continue;
+        if (job == nullptr || !throttle_.tryAcquire(entry.job, context_.now())) continue;
         for (std::uint32_t other = 0; other < context_.partitionCount(); ++other) {
             const auto& leader = clusterState->partitions[other].leader;
             if (other == partition || !clusterState->nodes.contains(leader)) continue;
@@ -47,7 +47,8 @@
     if (isNeededByLender(*clusterState, *job, request.lender) ||
         (moved.cpus <= 0 && moved.gpus <= 0))
         return;
-    const auto transfer = begin(*clusterState, *team, request.lender, request.borrower, moved);
+    const auto transfer =
+        beginTransfer(*clusterState, *team, request.lender, request.borrower, moved);
     if (!transfer) return;
     spdlog::debug(
         "quota: transfer_started team={} job={} cpus={} gpus={} from_partition={} "
@@ -59,7 +60,7 @@
                         clusterState->partitions[request.borrower].version}},
                       {transfer->change}},
                      [this, transfer = *transfer](CommitResult result, std::uint64_t revision) {
-                         settle(*context_.clusterState.lock(), transfer, result, revision);
+                         finishTransfer(*context_.clusterState.lock(), transfer, result, revision);
                      });
 }
 
@@ -86,15 +87,13 @@
         return &other != &job && other.partition == lender && other.spec.team == job.spec.team &&
                clusterState.schedulable(other) &&
                other.allocatedTasks() + other.doneTasks() < other.spec.tasks &&
-               queueOrder_.before(other, job);
+               queueOrder_.precedes(other, job);
     });
 }
 
-std::optional<QuotaExchange::QuotaTransfer> QuotaExchange::begin(ClusterState& clusterState,
-                                                                 const config::Team& team,
-                                                                 std::uint32_t from,
-                                                                 std::uint32_t to,
-                                                                 storage::QuotaShare moved) {
+std::optional<QuotaExchange::QuotaTransfer> QuotaExchange::beginTransfer(
+    ClusterState& clusterState, const config::Team& team, std::uint32_t from, std::uint32_t to,
+    storage::QuotaShare moved) {
     if (clusterState.outgoingQuotas.contains(team.name)) return std::nullopt;
     std::map<std::uint32_t, storage::QuotaShare> next;
     for (PartitionId partition = 0; partition < context_.partitionCount(); ++partition)
@@ -110,8 +109,8 @@
                          {key, storage::quotaValue(next), 0}};
 }
 
-void QuotaExchange::settle(ClusterState& clusterState, const QuotaTransfer& transfer,
-                           CommitResult result, std::uint64_t revision) {
+void QuotaExchange::finishTransfer(ClusterState& clusterState, const QuotaTransfer& transfer,
+                                   CommitResult result, std::uint64_t revision) {
     if (result == CommitResult::done)
         storage::applyEvent(clusterState, {transfer.change.key, transfer.change.value, revision},
                             context_.now());
--- a/src/coordination/scheduling/quota_exchange.h
+++ b/src/coordination/scheduling/quota_exchange.h
@@ -39,12 +39,13 @@
     };
     /// Begins a transfer. From now on the giving partition does not use what is moved, whatever
     /// becomes of the change. None: another change of the team's shares has no outcome yet.
-    [[nodiscard]] std::optional<QuotaTransfer> begin(ClusterState& clusterState,
-                                                     const config::Team& team, std::uint32_t from,
-                                                     std::uint32_t to, storage::QuotaShare moved);
+    [[nodiscard]] std::optional<QuotaTransfer> beginTransfer(ClusterState& clusterState,
+                                                             const config::Team& team,
+                                                             std::uint32_t from, std::uint32_t to,
+                                                             storage::QuotaShare moved);
     /// Ends a transfer: its transaction has this outcome.
-    void settle(ClusterState& clusterState, const QuotaTransfer& transfer, CommitResult result,
-                std::uint64_t revision);
+    void finishTransfer(ClusterState& clusterState, const QuotaTransfer& transfer,
+                        CommitResult result, std::uint64_t revision);
 
   private:
     // How much of the lender's share the job's remaining tasks lack on the borrower.
--- a/src/coordination/scheduling/request_throttle.h
+++ b/src/coordination/scheduling/request_throttle.h
@@ -14,7 +14,7 @@
   public:
     /// Whether a request may be sent now; if so, it counts as sent. True once in a pause, in which
     /// the answer shows in the records.
-    [[nodiscard]] bool isDue(const std::string& what, transport::SteadyTime now) {
+    [[nodiscard]] bool tryAcquire(const std::string& what, transport::SteadyTime now) {
         std::erase_if(requestedAt_,
                       [now](const auto& entry) { return now - entry.second >= pause; });
         return requestedAt_.emplace(what, now).second;
