--- a/src/coordination/api/admission.cpp
+++ b/src/coordination/api/admission.cpp
@@ -51,7 +51,7 @@
 }
 
 std::optional<HttpResponse> Admission::check(const protocol::JobSpec& spec) const {
-    const auto* team = context_.team(spec.team);
+    const auto* team = context_.findTeam(spec.team);
     if (team == nullptr && !context_.settings.teams.empty()) return HttpResponse{422, {}, 0};
     if (context_.catalog.empty()) return unavailable();
     if (!fitsSomeType(spec)) return HttpResponse{422, {}, 0};
@@ -91,7 +91,7 @@
         return reply(stateOf(spec.id, *terminal, true));
     if (!recordable(spec)) return reply({400, {}, 0});
     // Answered at once when we can't take it: the user is told when to come again.
-    if (!replica_.synced() || !context_.state.reachable() || submissions_.full())
+    if (!replica_.synced() || !context_.stateClient.reachable() || submissions_.full())
         return reply(unavailable());
     reply = limited(submissions_, std::move(reply));
     // A job that was accepted once is known, whatever the catalog or the teams say by now.
@@ -198,7 +198,7 @@
     protocol::CompareAndSwap transaction{judgement.compares, {{key, value, 0}}};
     transaction.compares.push_back({key, 0});
     transaction.compares.push_back({storage::keys::terminal(spec.id), 0});
-    context_.state.transact(
+    context_.stateClient.transact(
         std::move(transaction), protocol::RequestPriority::userRequest,
         [this, submission, key, value](const protocol::CompareAndSwapResponse& answer) {
             if (answer.result == StateResult::conflict) return onRefused(submission, answer);
@@ -222,7 +222,7 @@
         {{terminal, storage::terminalValue({true, context_.timers.wallNow()}), 0}}};
     transaction.compares.push_back({storage::keys::job(id), 0});
     transaction.compares.push_back({terminal, 0});
-    context_.state.transact(
+    context_.stateClient.transact(
         std::move(transaction), protocol::RequestPriority::userRequest,
         [this, submission](const protocol::CompareAndSwapResponse& answer) {
             if (answer.result == StateResult::conflict) return onRefused(submission, answer);
@@ -319,7 +319,7 @@
             value = storage::jobValue(next);
             transaction = {{{key, job->version}}, {{key, value, 0}}};
         }
-        context_.state.transact(
+        context_.stateClient.transact(
             std::move(transaction), protocol::RequestPriority::userRequest,
             [this, id, key, value, tries, reply](const protocol::CompareAndSwapResponse& answer) {
                 if (answer.result == StateResult::conflict && tries + 1 < maxTries)
--- a/src/coordination/api/job_status_reader.cpp
+++ b/src/coordination/api/job_status_reader.cpp
@@ -47,10 +47,11 @@
     // Requests wait for a moment: one compare-only transaction answers many of them.
     const double fraction = context_.settings.stateRequests /
                             static_cast<double>(context_.nodes.size()) * statusFractionOfRequests;
-    context_.timers.after(ticks(std::min(maxBatchDelay, Seconds(1.0 / fraction))), [this] {
-        flushing_ = false;
-        flush();
-    });
+    context_.timers.after(toSteadyDuration(std::min(maxBatchDelay, Seconds(1.0 / fraction))),
+                          [this] {
+                              flushing_ = false;
+                              flush();
+                          });
 }
 
 void JobStatusReader::flush() {
@@ -80,10 +81,11 @@
                 batch->push_back({std::move(statusRequest), job != nullptr});
             }
         }
-        context_.state.transact(std::move(compare), priority,
-                                [this, batch](const protocol::CompareAndSwapResponse& answer) {
-                                    for (const auto& sent : *batch) settle(sent, answer);
-                                });
+        context_.stateClient.transact(
+            std::move(compare), priority,
+            [this, batch](const protocol::CompareAndSwapResponse& answer) {
+                for (const auto& sent : *batch) settle(sent, answer);
+            });
     }
 }
 
@@ -126,12 +128,12 @@
     // would be cancelled, since the record of a cancelled job outlives the last of those that name
     // it.
     const bool current =
-        context_.now() - replica_.currentAsOf() < ticks(context_.settings.cancel / 2);
+        context_.now() - replica_.currentAsOf() < toSteadyDuration(context_.settings.cancel / 2);
     return job.dependencyCancelled || !current ? JobStatus::noAnswer : JobStatus::active;
 }
 
 void JobStatusReader::readTerminal(const StatusRequest& statusRequest) {
-    context_.state.read(
+    context_.stateClient.read(
         storage::keys::terminal(statusRequest.id),
         [this, statusRequest](const protocol::ReadResponse& end) {
             if (end.result != StateResult::ok) return statusRequest.done(JobStatus::noAnswer);
@@ -143,24 +145,24 @@
 }
 
 void JobStatusReader::readActive(const StatusRequest& statusRequest) {
-    context_.state.read(storage::keys::job(statusRequest.id),
-                        [this, statusRequest](const protocol::ReadResponse& active) {
-                            if (active.result != StateResult::ok)
-                                return statusRequest.done(JobStatus::noAnswer);
-                            // Ended between the two reads.
-                            if (active.items.empty()) return retry(statusRequest);
-                            const auto& item = active.items.front();
-                            JobStatus status = JobStatus::noAnswer;
-                            {
-                                auto clusterState = context_.clusterState.lock();
-                                storage::applyEvent(*clusterState,
-                                                    {item.key, item.value, item.version},
-                                                    context_.now());
-                                if (const Job* job = clusterState->job(statusRequest.id))
-                                    status = statusOf(*job);
-                            }
-                            statusRequest.done(status);
-                        });
+    context_.stateClient.read(storage::keys::job(statusRequest.id),
+                              [this, statusRequest](const protocol::ReadResponse& active) {
+                                  if (active.result != StateResult::ok)
+                                      return statusRequest.done(JobStatus::noAnswer);
+                                  // Ended between the two reads.
+                                  if (active.items.empty()) return retry(statusRequest);
+                                  const auto& item = active.items.front();
+                                  JobStatus status = JobStatus::noAnswer;
+                                  {
+                                      auto clusterState = context_.clusterState.lock();
+                                      storage::applyEvent(*clusterState,
+                                                          {item.key, item.value, item.version},
+                                                          context_.now());
+                                      if (const Job* job = clusterState->job(statusRequest.id))
+                                          status = statusOf(*job);
+                                  }
+                                  statusRequest.done(status);
+                              });
 }
 
 }  // namespace fawnwheel::coordination
--- a/src/coordination/context.h
+++ b/src/coordination/context.h
@@ -29,11 +29,11 @@
 using transport::SteadyTime;
 
 /// Rounded down to ticks of the steady clock.
-inline Duration ticks(Seconds s) {
+inline Duration toSteadyDuration(Seconds s) {
     return std::chrono::duration_cast<Duration>(s);
 }
 
-inline transport::WallTime plus(transport::WallTime at, Seconds by) {
+inline transport::WallTime addSeconds(transport::WallTime at, Seconds by) {
     return at + std::chrono::duration_cast<transport::WallTime::duration>(by);
 }
 
@@ -43,13 +43,13 @@
     Context(const config::Settings& platform, const config::OperatorSettings& operators,
             transport::Timers& clock, transport::Network& net, std::uint64_t seed)
         : settings(platform),
-          tuning(operators),
+          operatorSettings(operators),
           timers(clock),
           network(net),
           nodes(platform.nodeNames()),
-          state(clock, net, platform.state, stateLimits()),
-          cloud(clock, net, platform.cloud,
-                platform.cloudCalls * fractionOfLimits / static_cast<double>(nodes.size())),
+          stateClient(clock, net, platform.state, stateLimits()),
+          cloudClient(clock, net, platform.cloud,
+                      platform.cloudCalls * fractionOfLimits / static_cast<double>(nodes.size())),
           rng(seed) {
         for (std::uint32_t i = 0; i < nodes.size(); ++i)
             if (nodes[i] == settings.name) preferredPartition = i;
@@ -61,20 +61,20 @@
         return static_cast<std::uint32_t>(nodes.size());
     }
     /// The catalog's entry; null: no such type, or the catalog is not known yet.
-    [[nodiscard]] const MachineType* type(const std::string& name) const {
+    [[nodiscard]] const MachineType* findMachineType(const std::string& name) const {
         for (const auto& t : catalog)
             if (t.name == name) return &t;
         return nullptr;
     }
     /// The team's settings; null: no such team.
-    [[nodiscard]] const config::Team* team(const std::string& name) const {
+    [[nodiscard]] const config::Team* findTeam(const std::string& name) const {
         for (const auto& t : settings.teams)
             if (t.name == name) return &t;
         return nullptr;
     }
     /// An array of the lowest priority, of a team without a guarantee: it uses what is left over.
     [[nodiscard]] bool isBestEffort(const Job& job) const {
-        const auto* teamSettings = team(job.spec.team);
+        const auto* teamSettings = findTeam(job.spec.team);
         return job.priority == protocol::Priority::low &&
                job.spec.kind == protocol::JobKind::array &&
                (teamSettings == nullptr || (teamSettings->cpus <= 0 && teamSettings->gpus <= 0));
@@ -100,22 +100,23 @@
     /// How old the cancellations known here may be when a worker's lease is renewed: a lease later
     /// its tasks are gone, and that has to be within `cancel_s`. Not above zero: no time is left.
     [[nodiscard]] Duration cancellationSlack() const {
-        return ticks(settings.cancel * shortenedByDrift - settings.lease * prolongedByDrift -
-                     cancelMargin);
+        return toSteadyDuration(settings.cancel * shortenedByDrift -
+                                settings.lease * prolongedByDrift - cancelMargin);
     }
     /// A duration spread by plus or minus a quarter, so that nodes don't act in step.
     Duration jittered(Duration around) {
-        return ticks(Seconds(around) * std::uniform_real_distribution<>(0.75, 1.25)(rng));
+        return toSteadyDuration(Seconds(around) *
+                                std::uniform_real_distribution<>(0.75, 1.25)(rng));
     }
 
     const config::Settings& settings;
-    const config::OperatorSettings& tuning;
+    const config::OperatorSettings& operatorSettings;
     transport::Timers& timers;
     transport::Network& network;
     std::vector<std::string> nodes;      // by the number of the partition that each prefers
     PartitionId preferredPartition = 0;  // that this node leads by preference
-    protocol::StateClient state;
-    protocol::CloudClient cloud;
+    protocol::StateClient stateClient;
+    protocol::CloudClient cloudClient;
     storage::Synchronized<ClusterState> clusterState;
     std::vector<MachineType> catalog;  // empty: not known yet
     std::mt19937_64 rng;
--- a/src/coordination/controller.cpp
+++ b/src/coordination/controller.cpp
@@ -14,9 +14,10 @@
 
 }  // namespace
 
-Controller::Controller(const config::Settings& settings, const config::OperatorSettings& tuning,
-                       transport::Timers& timers, transport::Network& network, std::uint64_t seed)
-    : context_(settings, tuning, timers, network, seed),
+Controller::Controller(const config::Settings& settings,
+                       const config::OperatorSettings& operatorSettings, transport::Timers& timers,
+                       transport::Network& network, std::uint64_t seed)
+    : context_(settings, operatorSettings, timers, network, seed),
       pipeline_(context_),
       replica_(context_, pipeline_, *this),
       reachability_(context_, *this),
--- a/src/coordination/controller.h
+++ b/src/coordination/controller.h
@@ -35,7 +35,7 @@
                          private MachineTransferObserver,
                          private AdmissionObserver {
   public:
-    Controller(const config::Settings& settings, const config::OperatorSettings& tuning,
+    Controller(const config::Settings& settings, const config::OperatorSettings& operatorSettings,
                transport::Timers& timers, transport::Network& network, std::uint64_t seed);
 
     /// Starts all modules; to be called once, on the loop's thread.
--- a/src/coordination/membership/failover.cpp
+++ b/src/coordination/membership/failover.cpp
@@ -150,7 +150,7 @@
         next.term = clusterState->lastTerm + 1;
         transaction = acquisitionTransaction(*clusterState, partition, next);
     }
-    context_.state.transact(
+    context_.stateClient.transact(
         std::move(transaction), protocol::RequestPriority::lease,
         [this, partition, next](const protocol::CompareAndSwapResponse& answer) {
             changing_.erase(partition);
@@ -198,7 +198,7 @@
     // Nobody is answered for the partition from now on: the new leader may start at any moment.
     acquiredTerms_.forget(partition);
     leadership_.announceLosses();
-    context_.state.transact(
+    context_.stateClient.transact(
         std::move(transaction), protocol::RequestPriority::lease,
         [this, partition, next](const protocol::CompareAndSwapResponse& answer) {
             changing_.erase(partition);
--- a/src/coordination/membership/membership.cpp
+++ b/src/coordination/membership/membership.cpp
@@ -42,7 +42,7 @@
 
 bool Membership::healthy() const {
     if (!replica_.synced() || context_.catalog.empty()) return false;
-    if (isLeaseValid() || context_.state.reachable()) return true;
+    if (isLeaseValid() || context_.stateClient.reachable()) return true;
     // In an outage for all, leaving the balancer would only delay the return. Refused alone, this
     // node sends users to those that are served.
     return !peers_.anyPeerServing();
--- a/src/coordination/membership/node_lease.cpp
+++ b/src/coordination/membership/node_lease.cpp
@@ -22,16 +22,18 @@
 }
 
 SteadyTime NodeLease::earliestExpiry(SteadyTime sent) const {
-    return sent + ticks(context_.tuning.nodeLease * clockDriftFactor) - timerResolution;
+    return sent + toSteadyDuration(context_.operatorSettings.nodeLease * clockDriftFactor) -
+           timerResolution;
 }
 
 void NodeLease::grant() {
     if (!replica_.synced()) return retryGrantLater();
     const auto sent = context_.now();
-    context_.state.grantLease(ticks(context_.tuning.nodeLease), [this, sent](std::uint64_t lease) {
-        if (lease == 0) return retryGrantLater();
-        writeNode(lease, sent);
-    });
+    context_.stateClient.grantLease(toSteadyDuration(context_.operatorSettings.nodeLease),
+                                    [this, sent](std::uint64_t lease) {
+                                        if (lease == 0) return retryGrantLater();
+                                        writeNode(lease, sent);
+                                    });
 }
 
 protocol::CompareAndSwap NodeLease::nodeTransaction(std::uint64_t lease) {
@@ -73,7 +75,8 @@
         if (answer.result != protocol::StateResult::ok) return retryGrantLater();
         onNodeWritten(lease, sent, answer.revision);
     };
-    context_.state.transact(nodeTransaction(lease), protocol::RequestPriority::lease, onAnswer);
+    context_.stateClient.transact(nodeTransaction(lease), protocol::RequestPriority::lease,
+                                  onAnswer);
 }
 
 void NodeLease::onNodeRefused(const std::vector<std::string>& failedKeys) {
@@ -88,13 +91,14 @@
     joined_ = true;
     validUntil_ = earliestExpiry(sent);
     spdlog::info("node_lease: joined lease={}", id_);
-    context_.timers.after(ticks(context_.tuning.nodeLease / renewalsPerLease), [this] { renew(); });
+    context_.timers.after(toSteadyDuration(context_.operatorSettings.nodeLease / renewalsPerLease),
+                          [this] { renew(); });
     observer_.onJoined();
 }
 
 void NodeLease::refreshNodeVersion(std::uint64_t lease, SteadyTime sent) {
     const auto key = storage::keys::node(context_.settings.name);
-    context_.state.read(key, [this, lease, sent](const protocol::ReadResponse& answer) {
+    context_.stateClient.read(key, [this, lease, sent](const protocol::ReadResponse& answer) {
         if (answer.result != protocol::StateResult::ok) return retryGrantLater();
         {
             auto clusterState = context_.clusterState.lock();
@@ -104,7 +108,7 @@
                 clusterState->nodes[context_.settings.name] = answer.items.front().version;
         }
         // Unless too little of the lease would be left.
-        if (context_.now() - sent < ticks(context_.tuning.nodeLease / 2))
+        if (context_.now() - sent < toSteadyDuration(context_.operatorSettings.nodeLease / 2))
             writeNode(lease, sent);
         else
             retryGrantLater();
@@ -113,7 +117,7 @@
 
 void NodeLease::renew() {
     const auto sent = context_.now();
-    context_.state.renewLease(id_, [this, sent](protocol::StateResult result) {
+    context_.stateClient.renewLease(id_, [this, sent](protocol::StateResult result) {
         if (result == protocol::StateResult::conflict) {
             spdlog::info("node_lease: lease_lost lease={}", id_);
             joined_ = false;
@@ -123,9 +127,10 @@
         }
         if (result == protocol::StateResult::ok)
             validUntil_ = std::max(validUntil_, earliestExpiry(sent));
-        const auto pause = result == protocol::StateResult::ok
-                               ? ticks(context_.tuning.nodeLease / renewalsPerLease)
-                               : context_.jittered(retryDelay);
+        const auto pause =
+            result == protocol::StateResult::ok
+                ? toSteadyDuration(context_.operatorSettings.nodeLease / renewalsPerLease)
+                : context_.jittered(retryDelay);
         context_.timers.after(pause, [this] { renew(); });
     });
 }
--- a/src/coordination/membership/partition_leadership.cpp
+++ b/src/coordination/membership/partition_leadership.cpp
@@ -28,7 +28,7 @@
 bool PartitionLeadership::canAnswerWorkers(PartitionId partition) const {
     if (!knowsCancellations()) return false;
     if (lease_.isValid()) return true;
-    if (!lease_.joined() || context_.state.reachable()) return false;
+    if (!lease_.joined() || context_.stateClient.reachable()) return false;
     // Every peer must have said so within `outageConfirmationValidity`: one that reaches the state
     // service again stops saying it before it can acquire anything, so a new leader has to wait
     // this much longer for the leases of this node's workers and no more. A peer may also have
--- a/src/coordination/membership/peer_heartbeats.cpp
+++ b/src/coordination/membership/peer_heartbeats.cpp
@@ -139,7 +139,7 @@
     protocol::PeerHeartbeat status;
     status.sentAt = micros(context_.now());
     status.echo = peer.sentAt;
-    status.stateReachable = context_.state.reachable();
+    status.stateReachable = context_.stateClient.reachable();
     status.ready = isReady();
     status.incarnation = incarnation_;
     status.acknowledgedIncarnation = peer.incarnation;
--- a/src/coordination/membership/worker_reachability.cpp
+++ b/src/coordination/membership/worker_reachability.cpp
@@ -63,7 +63,7 @@
     const Seconds improbable = interval * maxMeanIntervals / static_cast<double>(machines);
     const auto silence = std::clamp<Seconds>(improbable, interval * minHeartbeatIntervals,
                                              interval * maxHeartbeatIntervals);
-    return std::max(minSilence, ticks(silence));
+    return std::max(minSilence, toSteadyDuration(silence));
 }
 
 std::vector<std::string> WorkerReachability::addressesOf(
--- a/src/coordination/migration/machine_lending.cpp
+++ b/src/coordination/migration/machine_lending.cpp
@@ -48,7 +48,7 @@
             continue;
         Lender lender{other, 0, 0, 0};
         for (const auto* machine : clusterState.machinesOf(other)) {
-            const auto* type = context_.type(machine->type);
+            const auto* type = context_.findMachineType(machine->type);
             if (machine->decommissioned || machine->version == 0 || type == nullptr ||
                 (!entry.zone.empty() && machine->zone != entry.zone) ||
                 !Placement::typeAllowed(gang.spec, *type, machine->zone, machine->spot))
@@ -97,7 +97,7 @@
                                 const Job& gang) const {
     // Work that comes later may be passed over, also a later gang that gathers: of two gangs that
     // each hold half of what both need, the earlier one gets all, so that neither waits for ever.
-    const auto* type = context_.type(machine.type);
+    const auto* type = context_.findMachineType(machine.type);
     return std::any_of(clusterState.jobs.begin(), clusterState.jobs.end(), [&](const auto& entry) {
         const Job& job = entry.second;
         if (&job == &gang || !clusterState.schedulable(job) || job.partition != machine.partition ||
@@ -124,7 +124,7 @@
     Lendable lendable;
     const auto now = context_.now();
     for (auto* machine : clusterState.machinesOf(request.lender)) {
-        const auto* type = context_.type(machine->type);
+        const auto* type = context_.findMachineType(machine->type);
         if (!placement_.takesWork(*machine) ||
             (!request.zone.empty() && machine->zone != request.zone) ||
             !Placement::typeAllowed(gang.spec, *type, machine->zone, machine->spot) ||
@@ -171,7 +171,7 @@
     // A gang that can't get the rest of its machines once kept a borrowed one idle for minutes,
     // while work that goes before it waited and may not use a loan (slice_left_behind).
     const Job* gang = clusterState.job(machine.reservedFor);
-    const auto* type = context_.type(machine.type);
+    const auto* type = context_.findMachineType(machine.type);
     if (gang == nullptr || type == nullptr || context_.now() - machine.known < loanPatience)
         return false;
     return std::any_of(clusterState.jobs.begin(), clusterState.jobs.end(), [&](const auto& entry) {
--- a/src/coordination/migration/machine_transfers.cpp
+++ b/src/coordination/migration/machine_transfers.cpp
@@ -47,7 +47,7 @@
     // The tasks count for the recipient from now on. Without their quota share the giver
     // would fill the capacity that they leave, and the team would use more than its limit.
     for (const auto& [name, used] : handover.used) {
-        const auto* team = context_.team(name);
+        const auto* team = context_.findTeam(name);
         if (team == nullptr || (team->cpusMax <= 0 && team->gpusMax <= 0)) continue;
         storage::QuotaShare moved;
         if (team->cpusMax > 0) moved.cpus = used.cpus;
--- a/src/coordination/migration/rebalancer.cpp
+++ b/src/coordination/migration/rebalancer.cpp
@@ -61,9 +61,10 @@
 }  // namespace
 
 void Rebalancer::start() {
-    if (!context_.tuning.rebalancing.enabled) return;
-    context_.timers.after(context_.jittered(ticks(context_.tuning.rebalancing.period)),
-                          [this] { round(); });
+    if (!context_.operatorSettings.rebalancing.enabled) return;
+    context_.timers.after(
+        context_.jittered(toSteadyDuration(context_.operatorSettings.rebalancing.period)),
+        [this] { round(); });
 }
 
 bool Rebalancer::usable() const {
@@ -73,7 +74,7 @@
 
 void Rebalancer::recordUnschedulable(PartitionId partition,
                                      const std::vector<UnschedulableWork>& unschedulable) {
-    if (context_.tuning.rebalancing.enabled) unschedulable_[partition] = unschedulable;
+    if (context_.operatorSettings.rebalancing.enabled) unschedulable_[partition] = unschedulable;
 }
 
 std::vector<rebalancing::Demand> Rebalancer::demandsOf(
@@ -101,7 +102,7 @@
                                   const std::function<bool(const Machine&)>& counts,
                                   std::vector<rebalancing::Demand>& demands) const {
     for (const auto* machine : clusterState.machinesOf(partition)) {
-        const auto* type = context_.type(machine->type);
+        const auto* type = context_.findMachineType(machine->type);
         if (type == nullptr || machine->decommissioned || !counts(*machine)) continue;
         auto free = type->capacity;
         free -= machine->used;
@@ -117,8 +118,9 @@
 }
 
 void Rebalancer::round() {
-    context_.timers.after(context_.jittered(ticks(context_.tuning.rebalancing.period)),
-                          [this] { round(); });
+    context_.timers.after(
+        context_.jittered(toSteadyDuration(context_.operatorSettings.rebalancing.period)),
+        [this] { round(); });
     planned_.clear();
     if (!usable()) return;
     const auto own = membership_.ledPartitions();
@@ -128,7 +130,8 @@
     for (const auto partition : own) announceDemand(partition);
     const auto input = collectInput();
     if (input.machineDemands.empty()) return;
-    const auto plan = rebalancing::makePlan(input, context_.tuning.rebalancing.solverSteps);
+    const auto plan =
+        rebalancing::makePlan(input, context_.operatorSettings.rebalancing.solverSteps);
     logPlan(input, plan);
     for (const auto& transfer : plan.transfers) {
         const auto& supply = input.supplies[transfer.supply];
@@ -141,14 +144,14 @@
                                 transfer.machines,
                                 {}});
     }
-    const auto& tuning = context_.tuning.rebalancing;
+    const auto& tuning = context_.operatorSettings.rebalancing;
     rateLimiter_.fill(context_.now(), {tuning.transfersPerMinute / 60,
-                                       context_.state.writeRate() * tuning.fractionOfWrites});
+                                       context_.stateClient.writeRate() * tuning.fractionOfWrites});
     if (!carryingOut_) carryOut();
 }
 
 void Rebalancer::announceDemand(PartitionId partition) {
-    const auto& tuning = context_.tuning.rebalancing;
+    const auto& tuning = context_.operatorSettings.rebalancing;
     const rebalancing::DemandThresholds thresholds{tuning.low, tuning.high, tuning.weight};
     auto& average = averages_.try_emplace(partition, thresholds).first->second;
     auto demands = demandsOf(unschedulable_[partition]);
@@ -172,7 +175,8 @@
 }
 
 void Rebalancer::onDemand(const std::string& peer, const protocol::DemandUpdate& update) {
-    if (!context_.tuning.rebalancing.enabled || update.partition >= context_.partitionCount())
+    if (!context_.operatorSettings.rebalancing.enabled ||
+        update.partition >= context_.partitionCount())
         return;
     // Whoever is not the leader any more, or not yet, would ask for another's partition.
     if (context_.clusterState.lock()->partitions[update.partition].leader != peer) return;
@@ -189,8 +193,9 @@
     return machine.version != 0 && !machine.decommissioned && !machine.lender &&
            !machine.transferring && !machine.consolidating && !machine.interruptionAt &&
            !rebalancing::keptForOthers(clusterState, machine, recipient, context_.now()) &&
-           context_.now() - machine.known >= ticks(context_.tuning.rebalancing.minTenure) &&
-           (context_.tuning.rebalancing.busyMachines || machine.allocations.empty());
+           context_.now() - machine.known >=
+               toSteadyDuration(context_.operatorSettings.rebalancing.minTenure) &&
+           (context_.operatorSettings.rebalancing.busyMachines || machine.allocations.empty());
 }
 
 rebalancing::Recipient Rebalancer::recipientOf(const Transfer& transfer) {
@@ -219,7 +224,7 @@
                              rebalancing::PlanInput& input) const {
     const auto first = input.supplies.size();
     for (const auto* machine : clusterState.machinesOf(partition)) {
-        const auto* type = context_.type(machine->type);
+        const auto* type = context_.findMachineType(machine->type);
         if (type == nullptr || machine->decommissioned) continue;
         if (!isWanted(clusterState, *machine, input)) continue;
         rebalancing::Supply supply{partition,
@@ -248,7 +253,8 @@
 rebalancing::PlanInput Rebalancer::collectInput() const {
     rebalancing::PlanInput input;
     auto clusterState = context_.clusterState.lock();
-    const auto fresh = ticks(context_.tuning.rebalancing.period * freshPeriods);
+    const auto fresh =
+        toSteadyDuration(context_.operatorSettings.rebalancing.period * freshPeriods);
     for (const auto& [partition, demand] : demands_) {
         const auto record = clusterState->partitions.find(partition);
         if (record == clusterState->partitions.end() || context_.now() - demand.heard > fresh ||
@@ -316,7 +322,7 @@
         transfer.demand.shape.placesOn(transfer.kind.type, transfer.kind.zone, transfer.kind.spot,
                                        transfer.kind.free, maxPlacesCounted);
     for (const auto* machine : clusterState->machinesOf(transfer.from)) {
-        const auto* type = context_.type(machine->type);
+        const auto* type = context_.findMachineType(machine->type);
         if (type == nullptr || transfer.refused.contains(machine->id) ||
             !spare(*clusterState, *machine, recipientOf(transfer)) ||
             std::tie(machine->type, machine->zone, machine->spot) !=
@@ -341,14 +347,14 @@
 }
 
 bool Rebalancer::transferSome(Transfer& transfer) {
-    const auto& tuning = context_.tuning.rebalancing;
+    const auto& tuning = context_.operatorSettings.rebalancing;
     const rebalancing::HandoverRules rules{
         transfer.from,
         recipientOf(transfer),
         context_.settings.transactionChanges,
         context_.now(),
-        ticks(tuning.minTenure),
-        ticks(context_.settings.heartbeatInterval * silentHeartbeats),
+        toSteadyDuration(tuning.minTenure),
+        toSteadyDuration(context_.settings.heartbeatInterval * silentHeartbeats),
         tuning.busyMachines};
     for (const auto& machine : candidates(transfer)) {
         transfer.refused.insert(machine);
--- a/src/coordination/migration/work_migrator.cpp
+++ b/src/coordination/migration/work_migrator.cpp
@@ -36,10 +36,11 @@
             running += static_cast<double>(machine->allocations.size());
     }
     QueueAverage::Tuning tuning;
-    tuning.weight = context_.tuning.weight;
-    tuning.probability = context_.tuning.probability;
-    tuning.low = std::min(context_.tuning.low, std::max(1.0, running * lowFractionOfRunning));
-    tuning.high = std::min(context_.tuning.high, std::max(tuning.low + 1, running));
+    tuning.weight = context_.operatorSettings.weight;
+    tuning.probability = context_.operatorSettings.probability;
+    tuning.low =
+        std::min(context_.operatorSettings.low, std::max(1.0, running * lowFractionOfRunning));
+    tuning.high = std::min(context_.operatorSettings.high, std::max(tuning.low + 1, running));
     return tuning;
 }
 
@@ -59,7 +60,8 @@
 
 void WorkMigrator::sampleAll() {
     for (const auto partition : membership_.ledPartitions()) samplePartition(partition);
-    context_.timers.after(ticks(context_.tuning.samplePeriod), [this] { sampleAll(); });
+    context_.timers.after(toSteadyDuration(context_.operatorSettings.samplePeriod),
+                          [this] { sampleAll(); });
 }
 
 void WorkMigrator::samplePartition(PartitionId partition) {
--- a/src/coordination/provisioning/autoscaler.cpp
+++ b/src/coordination/provisioning/autoscaler.cpp
@@ -23,7 +23,7 @@
 constexpr double otherZonePenalty = 1.02;  // factor of the price
 
 Duration bootDeadline(const MachineType& type) {
-    return ticks(type.bootTime * maxBootFactor) + bootGrace;
+    return toSteadyDuration(type.bootTime * maxBootFactor) + bootGrace;
 }
 
 }  // namespace
@@ -31,7 +31,7 @@
 std::optional<double> Autoscaler::pricePerTask(const Job& job, std::uint32_t tasks,
                                                const MachineType& type,
                                                const MachinePoolId& pool) const {
-    if (pool.spot && !context_.tuning.useSpot) return std::nullopt;
+    if (pool.spot && !context_.operatorSettings.useSpot) return std::nullopt;
     if (!typeAllowed(job.spec, type, pool.zone, pool.spot)) return std::nullopt;
     const auto refused = refused_.find(pool);
     if (refused != refused_.end() && context_.now() < refused->second.until) return std::nullopt;
@@ -66,7 +66,7 @@
     std::vector<IncomingMachine> incoming;
     const auto now = context_.now();
     for (const auto* machine : clusterState.machinesOf(partition)) {
-        const auto* type = context_.type(machine->type);
+        const auto* type = context_.findMachineType(machine->type);
         // Those that are up and not yet recorded or acknowledged are as good as booting.
         const bool inUse =
             machine->lastHeartbeat && machine->version != 0 && machine->acknowledged();
@@ -77,7 +77,7 @@
     }
     for (const auto& [pool, count] : inProgress_[partition])
         for (int i = 0; i < count; ++i)
-            if (const auto* type = context_.type(pool.type))
+            if (const auto* type = context_.findMachineType(pool.type))
                 incoming.push_back({pool, type->capacity});
     return incoming;
 }
@@ -85,7 +85,7 @@
 void Autoscaler::scaleOutFor(PartitionId partition,
                              const std::vector<UnschedulableWork>& unschedulable) {
     // Calls are few: none is queued behind others, and each rests on the answers before it.
-    if (unschedulable.empty() || !membership_.isLeaseValid() || context_.cloud.waiting() > 0)
+    if (unschedulable.empty() || !membership_.isLeaseValid() || context_.cloudClient.waiting() > 0)
         return;
     auto clusterState = context_.clusterState.lock();
     auto incoming = incomingMachines(*clusterState, partition);
@@ -108,7 +108,7 @@
     for (std::uint32_t left = tasks; left > 0; --left) {
         const auto fits =
             std::find_if(incoming.begin(), incoming.end(), [&](const IncomingMachine& c) {
-                return typeAllowed(job.spec, *context_.type(c.pool.type), c.pool.zone,
+                return typeAllowed(job.spec, *context_.findMachineType(c.pool.type), c.pool.zone,
                                    c.pool.spot) &&
                        job.spec.each.fits(c.available);
             });
@@ -121,7 +121,7 @@
         if (!pool || isRequestInFlight(*pool) || requests[*pool].count >= maxProvisionedAtOnce)
             break;
         ++requests[*pool].count;
-        incoming.push_back({*pool, context_.type(pool->type)->capacity});
+        incoming.push_back({*pool, context_.findMachineType(pool->type)->capacity});
         incoming.back().available -= job.spec.each;
     }
 }
@@ -136,7 +136,8 @@
         return;
     const auto pool = cheapest(job, entry.tasks, entry.zone);
     if (!pool || isRequestInFlight(*pool)) return;
-    const auto each = countThatFit(job, context_.type(pool->type)->capacity, entry.tasks);
+    const auto each =
+        countThatFit(job, context_.findMachineType(pool->type)->capacity, entry.tasks);
     const auto machines =
         std::min(maxProvisionedAtOnce, static_cast<int>((entry.tasks + each - 1) / each));
     // Many gangs in one call: with a call for each, a morning's gangs took a minute to provision
@@ -161,14 +162,15 @@
 }
 
 void Autoscaler::send(const PendingRequest& pending, int tries) {
-    context_.cloud.provision(pending.name, pending.pool.type, pending.pool.zone, pending.pool.spot,
-                             pending.request.count,
-                             [this, pending, tries](protocol::ProvisioningResult result,
-                                                    const std::vector<std::string>& machines) {
-                                 if (result == protocol::ProvisioningResult::unknown && tries > 1)
-                                     return send(pending, tries - 1);
-                                 onProvisioned(pending, machines);
-                             });
+    context_.cloudClient.provision(
+        pending.name, pending.pool.type, pending.pool.zone, pending.pool.spot,
+        pending.request.count,
+        [this, pending, tries](protocol::ProvisioningResult result,
+                               const std::vector<std::string>& machines) {
+            if (result == protocol::ProvisioningResult::unknown && tries > 1)
+                return send(pending, tries - 1);
+            onProvisioned(pending, machines);
+        });
 }
 
 void Autoscaler::onProvisioned(const PendingRequest& pending,
@@ -177,7 +179,7 @@
     inProgress_[partition][pool] -= request.count;
     rounds_.scheduleRound();
     auto clusterState = context_.clusterState.lock();
-    const auto* type = context_.type(pool.type);
+    const auto* type = context_.findMachineType(pool.type);
     auto next = machines.begin();
     for (const auto& [gang, count] : request.gangs) {
         provisioningFor_.erase(gang);
@@ -204,7 +206,8 @@
     for (const auto& type : context_.catalog)
         for (const auto& zone : type.zones)
             for (const bool spot : {true, false}) {
-                if ((!inZone.empty() && zone != inZone) || (spot && !context_.tuning.useSpot) ||
+                if ((!inZone.empty() && zone != inZone) ||
+                    (spot && !context_.operatorSettings.useSpot) ||
                     !typeAllowed(job.spec, type, zone, spot))
                     continue;
                 const auto refused = refused_.find({type.name, zone, spot});
--- a/src/coordination/provisioning/decommissioner.cpp
+++ b/src/coordination/provisioning/decommissioner.cpp
@@ -57,7 +57,7 @@
                 names.push_back(machine->id);
         }
     if (names.empty()) return;
-    context_.cloud.release(names, [this, names](bool gone) {
+    context_.cloudClient.release(names, [this, names](bool gone) {
         for (const auto& id : names) {
             releasing_.erase(id);
             if (!gone) continue;
--- a/src/coordination/provisioning/machine_catalog.cpp
+++ b/src/coordination/provisioning/machine_catalog.cpp
@@ -22,7 +22,7 @@
 }
 
 void MachineCatalog::load() {
-    context_.cloud.catalog([this](std::optional<std::vector<MachineType>> types) {
+    context_.cloudClient.catalog([this](std::optional<std::vector<MachineType>> types) {
         if (types && !types->empty()) {
             if (!loaded_) spdlog::info("inventory: catalog_loaded types={}", types->size());
             context_.catalog = std::move(*types);
--- a/src/coordination/provisioning/machine_inventory.cpp
+++ b/src/coordination/provisioning/machine_inventory.cpp
@@ -35,8 +35,8 @@
 
 void MachineInventory::listPage(const std::string& after, SteadyTime asked,
                                 std::vector<protocol::CloudMachine> listed, int pages) {
-    context_.cloud.list(after, [this, asked, pages, listed = std::move(listed)](
-                                   std::optional<protocol::CloudPage> page) mutable {
+    context_.cloudClient.list(after, [this, asked, pages, listed = std::move(listed)](
+                                         std::optional<protocol::CloudPage> page) mutable {
         // An empty page that says more is no end: all behind it would seem to be gone.
         if (page && !(page->more && page->machines.empty())) {
             listed.insert(listed.end(), page->machines.begin(), page->machines.end());
@@ -51,13 +51,13 @@
         const auto fraction =
             context_.settings.cloudCalls / static_cast<double>(context_.nodes.size());
         const auto pause = std::max<Duration>(
-            minListInterval, ticks(Seconds(pages / (fraction * listFractionOfCalls))));
+            minListInterval, toSteadyDuration(Seconds(pages / (fraction * listFractionOfCalls))));
         context_.timers.after(context_.jittered(pause), [this] { listMachines(); });
     });
 }
 
 Duration MachineInventory::maxListLag() const {
-    return ticks(context_.settings.listLag * maxLagFactor) + listLagMargin;
+    return toSteadyDuration(context_.settings.listLag * maxLagFactor) + listLagMargin;
 }
 
 void MachineInventory::applyMachineList(SteadyTime asked,
@@ -151,7 +151,7 @@
         const auto zone = protocol::textOf(corrupt.value, "zone");
         // Read corrupt at the start: with a type and a zone it can be made out, and else the
         // cloud's list tells them.
-        if (machine == nullptr && context_.type(type) != nullptr &&
+        if (machine == nullptr && context_.findMachineType(type) != nullptr &&
             partitionFor(clusterState, id, zone) == partition)
             machine =
                 addMachine({type, zone, protocol::flagOf(corrupt.value, "spot")}, id, partition);
--- a/src/coordination/provisioning/machine_reconciler.cpp
+++ b/src/coordination/provisioning/machine_reconciler.cpp
@@ -44,7 +44,7 @@
     if (records_.isPending(Change::record, machine.id)) return;
     // What only late copies of heartbeats speak of, or can't receive, is of no use.
     const bool neverAcknowledged =
-        !machine.acknowledged() && now - machine.known > ticks(context_.settings.lease);
+        !machine.acknowledged() && now - machine.known > toSteadyDuration(context_.settings.lease);
     if (machine.acknowledged() && isUsableByAnyJob(*context_.clusterState.lock(), machine, type)) {
         records_.write(Change::record, partition, machine.id);
     } else if (neverAcknowledged || now - machine.idleSince > warmPool_.idleLimit(machine, type)) {
@@ -63,7 +63,7 @@
     utilizationLogged_[partition] = now;
     std::map<std::string, std::map<std::string, Utilization>> byType;  // then by zone
     for (const auto* machine : clusterState.machinesOf(partition)) {
-        const auto* type = context_.type(machine->type);
+        const auto* type = context_.findMachineType(machine->type);
         if (type == nullptr) continue;
         auto& entry = byType[machine->type][machine->zone];
         ++(machine->lastHeartbeat ? entry.up : entry.booting);
@@ -92,7 +92,7 @@
         std::size_t quiet = 0;
     };
     std::map<std::string, Count> zones;
-    const auto overdue = ticks(context_.settings.heartbeatInterval * overdueHeartbeats);
+    const auto overdue = toSteadyDuration(context_.settings.heartbeatInterval * overdueHeartbeats);
     for (const auto* machine : clusterState.machinesOf(partition)) {
         if (!machine->lastHeartbeat) continue;
         auto& count = zones[machine->zone];
@@ -107,8 +107,8 @@
 }
 
 Duration MachineReconciler::silenceLimit() const {
-    return std::max<Duration>(minSilence,
-                              ticks(context_.settings.heartbeatInterval * maxMissedHeartbeats));
+    return std::max<Duration>(
+        minSilence, toSteadyDuration(context_.settings.heartbeatInterval * maxMissedHeartbeats));
 }
 
 bool MachineReconciler::isIdleForLong(const Machine& machine, const MachineType& type) const {
@@ -123,7 +123,8 @@
     const auto now = context_.now();
     const bool empty = machine.allocations.empty();
     if (!machine.lastHeartbeat) {
-        if (empty && now - machine.known > ticks(type.bootTime * bootFailure) + bootGrace)
+        if (empty &&
+            now - machine.known > toSteadyDuration(type.bootTime * bootFailure) + bootGrace)
             return DecommissionReason::neverBooted;
         return std::nullopt;
     }
@@ -133,7 +134,8 @@
         return DecommissionReason::silent;
     }
     if (!machine.acknowledged() && empty &&
-        now - machine.unacknowledgedSince > silenceLimit() + ticks(context_.settings.lease))
+        now - machine.unacknowledgedSince >
+            silenceLimit() + toSteadyDuration(context_.settings.lease))
         return DecommissionReason::unreachable;
     if (machine.consolidating && empty) return DecommissionReason::consolidated;
     if (isIdleForLong(machine, type)) return DecommissionReason::idle;
@@ -150,7 +152,7 @@
     inventory_.repairRecords(*clusterState, partition);
     const auto quiet = quietZones(*clusterState, partition);
     for (auto* machine : clusterState->machinesOf(partition)) {
-        const auto* type = context_.type(machine->type);
+        const auto* type = context_.findMachineType(machine->type);
         if (machine->decommissioned || type == nullptr) continue;
         if (machine->version == 0)
             reconcileUnrecorded(partition, *machine, *type);
--- a/src/coordination/provisioning/warm_pool.cpp
+++ b/src/coordination/provisioning/warm_pool.cpp
@@ -56,7 +56,7 @@
     upGpus_ = upCpus_ = 0;
     if (guaranteed_.cpus <= 0 && guaranteed_.gpus <= 0) return;
     for (const auto& [id, machine] : clusterState.machines) {
-        const auto* type = context_.type(machine.type);
+        const auto* type = context_.findMachineType(machine.type);
         if (machine.decommissioned || machine.version == 0 || type == nullptr) continue;
         upGpus_ += type->capacity.gpus;
         if (type->capacity.gpus <= 0) upCpus_ += type->capacity.cpus;
@@ -65,7 +65,7 @@
 
 bool WarmPool::isWithinGuarantee(const Machine& machine) const {
     // What a team is guaranteed is kept up: it need not wait for others, nor for a boot.
-    const auto* type = context_.type(machine.type);
+    const auto* type = context_.findMachineType(machine.type);
     return type != nullptr &&
            (type->capacity.gpus > 0 ? guaranteed_.gpus > 0 && upGpus_ <= guaranteed_.gpus
                                     : guaranteed_.cpus > 0 && upCpus_ <= guaranteed_.cpus);
@@ -91,13 +91,14 @@
 Duration WarmPool::idleLimit(const Machine& machine, const MachineType& type) const {
     // For a guarantee alone they stay twice as long: nobody wants idle ones for minutes.
     if (!isInWarmPool(machine))
-        return ticks(context_.tuning.idleBeforeScaleIn * (isWithinGuarantee(machine) ? 2 : 1));
+        return toSteadyDuration(context_.operatorSettings.idleBeforeScaleIn *
+                                (isWithinGuarantee(machine) ? 2 : 1));
     // Provisioning again costs a boot, the least time that is billed and fetching the images anew.
     // Waiting for work as long as that costs at most twice what the best choice in hindsight would
     // have.
     Seconds again = type.bootTime + minBilledTime;
     for (const auto& image : machine.images) again += Seconds(image.size / type.fetchRate);
-    return ticks(std::max(context_.tuning.idleBeforeScaleIn, again));
+    return toSteadyDuration(std::max(context_.operatorSettings.idleBeforeScaleIn, again));
 }
 
 }  // namespace fawnwheel::coordination
--- a/src/coordination/replication/replica.cpp
+++ b/src/coordination/replication/replica.cpp
@@ -58,11 +58,11 @@
 }
 
 void Replica::readSnapshotPage(const std::string& after, std::uint64_t generation) {
-    context_.state.readRange(storage::keys::activePrefix, after,
-                             [this, after, generation](const protocol::ReadResponse& answer) {
-                                 if (generation == generation_)
-                                     onSnapshotPage(after, generation, answer);
-                             });
+    context_.stateClient.readRange(storage::keys::activePrefix, after,
+                                   [this, after, generation](const protocol::ReadResponse& answer) {
+                                       if (generation == generation_)
+                                           onSnapshotPage(after, generation, answer);
+                                   });
 }
 
 void Replica::onSnapshotPage(const std::string& after, std::uint64_t generation,
@@ -134,11 +134,11 @@
     // often.
     const auto wait = std::clamp(context_.cancellationSlack() / watchesPerCancellationSlack,
                                  minWatchDuration, maxWatchDuration);
-    context_.state.watch(storage::keys::activePrefix, since, wait,
-                         [this, generation, requested](const protocol::WatchResponse& answer) {
-                             if (generation == generation_)
-                                 onWatchResponse(answer, requested, generation);
-                         });
+    context_.stateClient.watch(
+        storage::keys::activePrefix, since, wait,
+        [this, generation, requested](const protocol::WatchResponse& answer) {
+            if (generation == generation_) onWatchResponse(answer, requested, generation);
+        });
 }
 
 void Replica::onWatchResponse(const protocol::WatchResponse& answer, SteadyTime requested,
@@ -154,7 +154,7 @@
     const auto fraction =
         context_.settings.stateRequests / static_cast<double>(context_.nodes.size());
     const Seconds pause(1.0 / (fraction * watchFractionOfRequests));
-    afterDelay(ticks(pause), generation, [this, generation] { watch(generation); });
+    afterDelay(toSteadyDuration(pause), generation, [this, generation] { watch(generation); });
 }
 
 void Replica::applyEvents(const protocol::WatchResponse& answer) {
--- a/src/coordination/replication/transaction_pipeline.cpp
+++ b/src/coordination/replication/transaction_pipeline.cpp
@@ -72,7 +72,7 @@
     // next, against what another leader had done meanwhile
     // (WhatWasDecidedInAnEarlierTermIsNotSentInALaterOne).
     transaction.compares.push_back({storage::keys::partition(partition), pending.partitionVersion});
-    context_.state.transact(
+    context_.stateClient.transact(
         std::move(transaction), protocol::RequestPriority::write,
         [this, partition, id = pending.id](const protocol::CompareAndSwapResponse& answer) {
             onResponse(partition, id, answer);
@@ -130,7 +130,7 @@
     auto reads = std::make_shared<RecordReads>();
     reads->outstanding = keys.size();
     for (const auto& key : keys) {
-        context_.state.read(
+        context_.stateClient.read(
             key, [this, partition, key, reads, id](const protocol::ReadResponse& answer) {
                 if (answer.result != protocol::StateResult::ok)
                     reads->failed = true;
--- a/src/coordination/scheduling/capacity_estimator.cpp
+++ b/src/coordination/scheduling/capacity_estimator.cpp
@@ -22,7 +22,7 @@
         if (machine->decommissioned || (own && !takesWork(context_, *machine)) ||
             !mayUseLoan(context_, job, *machine))
             continue;
-        const auto* type = context_.type(machine->type);
+        const auto* type = context_.findMachineType(machine->type);
         if (type == nullptr || !typeAllowed(job.spec, *type, machine->zone, machine->spot))
             continue;
         Resources free = type->capacity;
@@ -43,7 +43,7 @@
     const bool own = membership_.isLeader(partition);
     std::map<std::string, std::uint32_t> zones;  // tasks that fit
     for (const auto* machine : clusterState.machinesOf(partition)) {
-        const auto* type = context_.type(machine->type);
+        const auto* type = context_.findMachineType(machine->type);
         if (machine->decommissioned || (own && !takesWork(context_, *machine)) || type == nullptr ||
             !typeAllowed(job.spec, *type, machine->zone, machine->spot))
             continue;
@@ -64,7 +64,7 @@
     auto clusterState = context_.clusterState.lock();
     const auto& machines = clusterState->machinesOf(partition);
     return std::any_of(machines.begin(), machines.end(), [&](const Machine* machine) {
-        const auto* type = context_.type(machine->type);
+        const auto* type = context_.findMachineType(machine->type);
         return !machine->decommissioned && type != nullptr &&
                typeAllowed(job.spec, *type, machine->zone, machine->spot);
     });
--- a/src/coordination/scheduling/capacity_index.cpp
+++ b/src/coordination/scheduling/capacity_index.cpp
@@ -61,7 +61,7 @@
                pool.spot == machine.spot;
     });
     if (known != pools_.end()) return &*known;
-    const auto* type = context_.type(machine.type);
+    const auto* type = context_.findMachineType(machine.type);
     if (type == nullptr) return nullptr;
     return &pools_.emplace_back(MachinePool{type, machine.zone, machine.spot, {}});
 }
--- a/src/coordination/scheduling/completion_notifier.cpp
+++ b/src/coordination/scheduling/completion_notifier.cpp
@@ -55,7 +55,7 @@
 
 void CompletionNotifier::readTerminal(const std::string& dependency) {
     readsInFlight_.insert(dependency);
-    context_.state.read(
+    context_.stateClient.read(
         storage::keys::terminal(dependency),
         [this, dependency](const protocol::ReadResponse& answer) {
             readsInFlight_.erase(dependency);
--- a/src/coordination/scheduling/consolidation.cpp
+++ b/src/coordination/scheduling/consolidation.cpp
@@ -61,7 +61,7 @@
         Machine& machine = *entry;
         if (machine.consolidating && !machine.allocations.empty())
             return std::nullopt;  // one at a time
-        const auto* type = context_.type(machine.type);
+        const auto* type = context_.findMachineType(machine.type);
         if (type == nullptr || machine.allocations.empty() || !takesWork(context_, machine))
             continue;
         const double utilization = std::max(machine.used.cpus / std::max(1.0, type->capacity.cpus),
--- a/src/coordination/scheduling/gang_assembler.cpp
+++ b/src/coordination/scheduling/gang_assembler.cpp
@@ -39,7 +39,7 @@
     const auto now = context_.now();
     std::map<std::string, ZoneMachines> zones;
     for (const auto* machine : clusterState.machinesOf(partition)) {
-        const auto* type = context_.type(machine->type);
+        const auto* type = context_.findMachineType(machine->type);
         if (machine->decommissioned || type == nullptr ||
             !typeAllowed(job.spec, *type, machine->zone, machine->spot))
             continue;
--- a/src/coordination/scheduling/placement.cpp
+++ b/src/coordination/scheduling/placement.cpp
@@ -134,7 +134,7 @@
                   Seconds(context_.timers.wallNow() - job.submitted).count());
     // The guard looks at the capacity before this task takes its part.
     if (array.bestEffort)
-        run.guard.useSpareSlots(*context_.type(machine.type), *machineCapacity, job);
+        run.guard.useSpareSlots(*context_.findMachineType(machine.type), *machineCapacity, job);
     allocate(run, job, slice, task, attempt, *machineCapacity);
     ++array.placed;
     return TaskResult::next;
--- a/src/coordination/scheduling/placement_constraints.cpp
+++ b/src/coordination/scheduling/placement_constraints.cpp
@@ -50,7 +50,7 @@
            !machine.decommissioned && !machine.consolidating && !machine.interruptionAt &&
            machine.lastHeartbeat &&
            now - *machine.lastHeartbeat <
-               ticks(context.settings.heartbeatInterval * maxMissedHeartbeats) &&
+               toSteadyDuration(context.settings.heartbeatInterval * maxMissedHeartbeats) &&
            now >= machine.notBefore;
 }
 
@@ -59,11 +59,11 @@
     // that is left, and work that waits on and on beside it is not served (slice_left_behind).
     if (!machine.lender || job.spec.kind == JobKind::gang) return true;
     return !machine.allocations.empty() &&
-           context.timers.wallNow() > plus(job.readySince, loanClosedToOthers);
+           context.timers.wallNow() > addSeconds(job.readySince, loanClosedToOthers);
 }
 
 bool canHost(const Context& context, const Job& job, const Machine& machine) {
-    const auto* type = context.type(machine.type);
+    const auto* type = context.findMachineType(machine.type);
     if (type == nullptr || !typeAllowed(job.spec, *type, machine.zone, machine.spot)) return false;
     if (job.avoids(machine.id, context.now())) return false;
     if (!mayUseLoan(context, job, machine)) return false;
--- a/src/coordination/scheduling/queue_order.cpp
+++ b/src/coordination/scheduling/queue_order.cpp
@@ -30,15 +30,16 @@
         if (latest > now && (!next || latest < *next)) next = latest;
     };
     // A job that had to wait for others is late only from when it could have begun.
-    const auto sinceReady = [&job](Seconds time) { return plus(job.readySince, time); };
+    const auto sinceReady = [&job](Seconds time) { return addSeconds(job.readySince, time); };
     for (const auto& objective : context_.settings.objectives) {
         if (objective.jobClass != job.spec.jobClass) continue;
         if (objective.kind == config::ObjectiveKind::wait) consider(sinceReady(objective.within));
         if (objective.kind == config::ObjectiveKind::finished)
             consider(sinceReady(objective.within - job.spec.estimate));
     }
-    if (job.spec.deadline) consider(plus(job.submitted, *job.spec.deadline - job.spec.estimate));
-    if (job.latestEnd) consider(plus(*job.latestEnd, -job.spec.estimate));
+    if (job.spec.deadline)
+        consider(addSeconds(job.submitted, *job.spec.deadline - job.spec.estimate));
+    if (job.latestEnd) consider(addSeconds(*job.latestEnd, -job.spec.estimate));
     const auto latest = next ? *next : sinceReady(defaultStartWithin);
     // A day on which a class's largest gangs don't begin in time is lost, and they need the most
     // machines at once: behind what is easier to place, under half of them began.
@@ -72,7 +73,7 @@
 bool QueueOrder::isSloAtRisk(const Job& job) const {
     const Seconds needed =
         fetchTime(job.spec) + context_.settings.heartbeatInterval * 2 + riskMargin;
-    return latestStart(job) < plus(context_.timers.wallNow(), needed);
+    return latestStart(job) < addSeconds(context_.timers.wallNow(), needed);
 }
 
 bool QueueOrder::before(const Job& one, const Job& other) const {
@@ -132,7 +133,7 @@
     for (const auto& slice : job.slices)
         for (const auto& allocation : slice.allocations) {
             if (allocation.ran &&
-                now - *allocation.ran > ticks(context_.settings.heartbeatInterval * 2))
+                now - *allocation.ran > toSteadyDuration(context_.settings.heartbeatInterval * 2))
                 return maxPlacementsPerRun;
             ++allocated;
         }
--- a/src/coordination/scheduling/quota_exchange.cpp
+++ b/src/coordination/scheduling/quota_exchange.cpp
@@ -41,7 +41,7 @@
         clusterState->partitions[request.borrower].leader != peer ||
         !membership_.isLeader(request.lender) || !membership_.isLeaseValid())
         return;
-    const auto* team = context_.team(job->spec.team);
+    const auto* team = context_.findTeam(job->spec.team);
     if (team == nullptr || clusterState->outgoingQuotas.contains(team->name)) return;
     const auto moved = grantFor(*clusterState, *job, *team, request);
     if (isNeededByLender(*clusterState, *job, request.lender) ||
--- a/src/coordination/scheduling/team_quotas.cpp
+++ b/src/coordination/scheduling/team_quotas.cpp
@@ -37,7 +37,7 @@
 Resources TeamQuotas::remainingQuota(ClusterState& clusterState, const std::string& name,
                                      PartitionId partition) const {
     Resources left{unlimited, unlimited, unlimited};
-    const auto* team = context_.team(name);
+    const auto* team = context_.findTeam(name);
     if (team == nullptr) return left;
     const auto used = clusterState.usedBy(name, partition);
     auto quota = quotaShareOf(clusterState, *team, partition);
@@ -52,7 +52,7 @@
 }
 
 bool TeamQuotas::withinGuarantee(const ClusterState& clusterState, const Job& job) const {
-    const auto* team = context_.team(job.spec.team);
+    const auto* team = context_.findTeam(job.spec.team);
     if (team == nullptr || (team->cpus <= 0 && team->gpus <= 0)) return false;
     Resources used = job.spec.each;
     for (PartitionId partition = 0; partition < context_.partitionCount(); ++partition)
--- a/src/coordination/workers/command_sender.cpp
+++ b/src/coordination/workers/command_sender.cpp
@@ -60,9 +60,10 @@
     if (!machine.lastHeartbeat || !membership_.isLeader(machine.partition) ||
         machine.interruptionAt || machine.transferring)
         return false;
-    const auto nextDue = *machine.lastHeartbeat + ticks(context_.settings.heartbeatInterval);
+    const auto nextDue =
+        *machine.lastHeartbeat + toSteadyDuration(context_.settings.heartbeatInterval);
     return now - machine.heartbeatRequested >=
-               ticks(context_.settings.lease * requestIntervalLeases) &&
+               toSteadyDuration(context_.settings.lease * requestIntervalLeases) &&
            nextDue - now >= minTimeToNextHeartbeat;
 }
 
--- a/src/coordination/workers/fault_attribution.cpp
+++ b/src/coordination/workers/fault_attribution.cpp
@@ -84,7 +84,8 @@
 
 void FaultAttribution::onTaskRunning(Job& job, Slice& slice, const Allocation& allocation) {
     if (!job.failures.any || !job.crashLooping() || !allocation.ran) return;
-    const auto proof = job.failures.longestRun * 2 + ticks(context_.settings.heartbeatInterval * 2);
+    const auto proof =
+        job.failures.longestRun * 2 + toSteadyDuration(context_.settings.heartbeatInterval * 2);
     if (context_.now() - *allocation.ran <= proof) return;
     spdlog::info("fault_attribution: job_recovered job={}", job.spec.id);
     job.failures.disproved = true;
--- a/src/coordination/workers/machine_status_applier.cpp
+++ b/src/coordination/workers/machine_status_applier.cpp
@@ -42,7 +42,7 @@
                                                    Seconds notice) {
     spdlog::info("heartbeat: interruption_notice machine={} seconds={:.1f}", machine.id,
                  notice.count());
-    machine.interruptionAt = context_.now() + ticks(notice);
+    machine.interruptionAt = context_.now() + toSteadyDuration(notice);
     // The time left may be half as long as the notice says: checkpoint at once.
     for (const auto& ref : machine.allocations) {
         const auto [job, slice, allocation] = clusterState.findAllocation(ref);
--- a/src/coordination/workers/start_policy.cpp
+++ b/src/coordination/workers/start_policy.cpp
@@ -50,7 +50,8 @@
 bool StartPolicy::mayKeepWaiting(const ClusterState& clusterState, const Machine& machine,
                                  const Job& job, const Allocation& allocation) const {
     if (!mayStartOn(machine) || !isStartable(clusterState, job, allocation) ||
-        context_.now() - allocation.made > ticks(context_.settings.gangWait * maxGangWaits))
+        context_.now() - allocation.made >
+            toSteadyDuration(context_.settings.gangWait * maxGangWaits))
         return false;
     return std::all_of(job.slices.begin(), job.slices.end(), [](const Slice& slice) {
         return std::none_of(slice.allocations.begin(), slice.allocations.end(),
--- a/src/coordination/workers/worker_lease.h
+++ b/src/coordination/workers/worker_lease.h
@@ -13,7 +13,7 @@
 /// drift between its clock and this node's.
 [[nodiscard]] inline Duration maxWorkerLease(const Context& context) {
     constexpr double prolongedByDrift = 1.002;
-    return ticks(context.settings.lease * prolongedByDrift) + workerLeaseMargin;
+    return toSteadyDuration(context.settings.lease * prolongedByDrift) + workerLeaseMargin;
 }
 
 }  // namespace fawnwheel::coordination
--- a/tests/unit/coordination/migration/machine_transfers_test.cpp
+++ b/tests/unit/coordination/migration/machine_transfers_test.cpp
@@ -259,7 +259,7 @@
 TEST_F(TransferBench, TheQuotaOfTheTeamsLimitGoesWithTheTasks) {
     putArray();
     loadHeard();
-    const auto* team = context.team("t");
+    const auto* team = context.findTeam("t");
     ASSERT_NE(team, nullptr);
     give("m-1");
     // Nothing more of it may be begun by the giver while the outcome is unknown.
