--- a/src/coordination/controller.cpp
+++ b/src/coordination/controller.cpp
@@ -47,7 +47,7 @@
       router_(replica_, membership_, reachability_, heartbeats_, admission_),
       peers_({membership_, migrator_, autoscaler_, lending_, quotas_, completionNotifier_,
               rebalancer_}) {
-    context_.clusterState.lock()->dependencyGraph.setStepTimeEstimator(
+    context_.clusterState.lock()->dependencyGraph.setTurnaroundEstimator(
         [this](const protocol::JobSpec& spec) { return queueOrder_.stepTime(spec); });
 }
 
@@ -143,7 +143,7 @@
         pipeline_.abandon(partition);
         return replica_.resync();
     }
-    context_.clusterState.lock()->discardUnrecorded(partition);
+    context_.clusterState.lock()->discardUnrecordedChanges(partition);
 }
 
 void Controller::stopCancelledJobs() {
@@ -151,7 +151,7 @@
     {
         auto clusterState = context_.clusterState.lock();
         for (const auto& [id, job] : clusterState->jobs)
-            if (clusterState->knownCancelled(job) && job.anyAllocation() &&
+            if (clusterState->knownCancelled(job) && job.hasAllocations() &&
                 stopping_.insert(id).second)
                 fresh.push_back(id);
     }
--- a/src/coordination/membership/failover.cpp
+++ b/src/coordination/membership/failover.cpp
@@ -119,7 +119,7 @@
     const auto failed = failedAcquisitions_.find(partition);
     return failed != failedAcquisitions_.end() &&
            (context_.now() < failed->second.retryAt ||
-            context_.clusterState.lock()->applied < failed->second.revision);
+            context_.clusterState.lock()->appliedRevision < failed->second.revision);
 }
 
 protocol::CompareAndSwap Failover::acquisitionTransaction(ClusterState& clusterState,
--- a/src/coordination/membership/partition_leadership.cpp
+++ b/src/coordination/membership/partition_leadership.cpp
@@ -42,7 +42,7 @@
     if (!acquiredTerms_.isRecordedLeader(partition) || !lease_.joined() || !replica_.synced())
         return false;
     auto clusterState = context_.clusterState.lock();
-    return clusterState->applied >= clusterState->partitions[partition].version;
+    return clusterState->appliedRevision >= clusterState->partitions[partition].version;
 }
 
 bool PartitionLeadership::isAnnounced(PartitionId partition) const {
--- a/src/coordination/membership/peer_heartbeats.cpp
+++ b/src/coordination/membership/peer_heartbeats.cpp
@@ -146,7 +146,7 @@
     status.acknowledged = peer.cancellationsReceived;
     auto clusterState = context_.clusterState.lock();
     const auto& log = clusterState->cancellations;
-    status.applied = replica_.everSynced() ? clusterState->applied : 0;
+    status.applied = replica_.everSynced() ? clusterState->appliedRevision : 0;
     // An earlier process of this node may have told users what only the records hold.
     status.cancellationsCovered =
         replica_.everSynced() && log.covers(peer.acknowledged, peer.applied);
--- a/src/coordination/migration/machine_lending.cpp
+++ b/src/coordination/migration/machine_lending.cpp
@@ -112,7 +112,7 @@
                              const protocol::LoanRequest& request) {
     const Job* gang = clusterState.job(request.job);
     return gang != nullptr && !gang->cancelled && gang->partition == request.borrower &&
-           !gang->anyAllocation() && request.borrower < context_.partitionCount() &&
+           !gang->hasAllocations() && request.borrower < context_.partitionCount() &&
            request.borrower != request.lender &&
            clusterState.partitions[request.borrower].leader == peer &&
            membership_.isLeader(request.lender) && membership_.isLeaseValid();
@@ -172,14 +172,15 @@
     // while work that goes before it waited and may not use a loan (slice_left_behind).
     const Job* gang = clusterState.job(machine.reservedFor);
     const auto* type = context_.type(machine.type);
-    if (gang == nullptr || type == nullptr || context_.now() - machine.known < loanPatience)
+    if (gang == nullptr || type == nullptr || context_.now() - machine.knownSince < loanPatience)
         return false;
     return std::any_of(clusterState.jobs.begin(), clusterState.jobs.end(), [&](const auto& entry) {
         const Job& job = entry.second;
         return job.spec.kind != protocol::JobKind::gang && clusterState.schedulable(job) &&
                std::any_of(job.slices.begin(), job.slices.end(),
                            [&](const Slice& slice) {
-                               return slice.partition == machine.partition && slice.waiting() > 0;
+                               return slice.partition == machine.partition &&
+                                      slice.waitingTasks() > 0;
                            }) &&
                Placement::typeAllowed(job.spec, *type, machine.zone, machine.spot) &&
                placement_.before(job, *gang);
--- a/src/coordination/migration/rebalancer.cpp
+++ b/src/coordination/migration/rebalancer.cpp
@@ -87,7 +87,8 @@
         // Work that can be divided, or is a single task, goes to the machines: a migration takes
         // one change. With machines moved for it too, the arrays of best-effort jobs took them from
         // all other work and the changes from its records (docs/results.md).
-        if (!job->undivided() || job->spec.tasks < 2 || context_.isBestEffort(*job)) continue;
+        if (!job->requiresSingleLeader() || job->spec.tasks < 2 || context_.isBestEffort(*job))
+            continue;
         const auto urgency =
             rebalancing::urgencyOf(job->priority, placement_.withinGuarantee(*clusterState, *job));
         const auto zone = entry.gang ? entry.zone : job->spec.zone.value_or(std::string());
@@ -189,7 +190,7 @@
     return machine.version != 0 && !machine.decommissioned && !machine.lender &&
            !machine.transferring && !machine.consolidating && !machine.interruptionAt &&
            !rebalancing::keptForOthers(clusterState, machine, recipient, context_.now()) &&
-           context_.now() - machine.known >= ticks(context_.tuning.rebalancing.minTenure) &&
+           context_.now() - machine.knownSince >= ticks(context_.tuning.rebalancing.minTenure) &&
            (context_.tuning.rebalancing.busyMachines || machine.allocations.empty());
 }
 
@@ -258,7 +259,7 @@
         // What the partition has got since it said so: two givers once served the same lack.
         auto lacking = demand.demands;
         const auto isNew = [heard = demand.heard](const Machine& machine) {
-            return machine.known > heard;
+            return machine.knownSince > heard;
         };
         subtractCapacity(*clusterState, partition, isNew, lacking);
         for (auto& entry : lacking) input.machineDemands.push_back({partition, std::move(entry)});
--- a/src/coordination/migration/work_migrator.cpp
+++ b/src/coordination/migration/work_migrator.cpp
@@ -109,17 +109,17 @@
 
 storage::TaskRange WorkMigrator::movableRange(const Slice& slice) {
     if (slice.migrating) return {};
-    if (slice.untouched()) return slice.dirty ? storage::TaskRange{} : slice.range();
+    if (slice.hasNotStarted()) return slice.dirty ? storage::TaskRange{} : slice.range();
     // The rest of a slice that has begun becomes a slice of its own. It once never moved, and
     // waited beside idle machines of other partitions (slice_left_behind).
     if (!context_.jobDependenciesEnabled(*context_.clusterState.lock())) return {};
-    return slice.lastUnstarted();
+    return slice.trailingUnstarted();
 }
 
 bool WorkMigrator::movable(const Job& job, PartitionId partition) {
-    if (job.undivided())
+    if (job.requiresSingleLeader())
         return std::any_of(job.slices.begin(), job.slices.end(), [partition](const Slice& slice) {
-            return slice.partition == partition && slice.untouched() && !slice.migrating;
+            return slice.partition == partition && slice.hasNotStarted() && !slice.migrating;
         });
     return std::any_of(job.slices.begin(), job.slices.end(), [&](const Slice& slice) {
         return slice.partition == partition && movableRange(slice).count > 0;
@@ -131,9 +131,9 @@
     Job* job = clusterState->job(id);
     if (job == nullptr) return;
     const bool allHere = std::all_of(job->slices.begin(), job->slices.end(), [&](const Slice& s) {
-        return s.partition == partition && s.untouched() && s.version == 0 && !s.migrating;
+        return s.partition == partition && s.hasNotStarted() && s.version == 0 && !s.migrating;
     });
-    if (job->undivided() || (job->slices.size() == 1 && allHere)) {
+    if (job->requiresSingleLeader() || (job->slices.size() == 1 && allHere)) {
         if (allHere && job->partition == partition)
             beginMigration(partition, *job, job->slices.front(), true);
         return;
@@ -185,7 +185,7 @@
                 peers.push_back(
                     {capacity * (1 + clusterState->cachedFraction(job.spec, other)), other});
         }
-        if (!job.undivided() && context_.jobDependenciesEnabled(*clusterState) &&
+        if (!job.requiresSingleLeader() && context_.jobDependenciesEnabled(*clusterState) &&
             maxCapacity < migration.tasks) {
             // The last tasks only, as many as a peer has capacity for.
             const auto count = std::min(maxCapacity, migration.range.count);
--- a/src/coordination/provisioning/autoscaler.cpp
+++ b/src/coordination/provisioning/autoscaler.cpp
@@ -71,7 +71,7 @@
         const bool inUse =
             machine->lastHeartbeat && machine->version != 0 && machine->acknowledged();
         if (machine->decommissioned || inUse || type == nullptr ||
-            now - machine->known > bootDeadline(*type))
+            now - machine->knownSince > bootDeadline(*type))
             continue;
         incoming.push_back({{machine->type, machine->zone, machine->spot}, type->capacity});
     }
--- a/src/coordination/provisioning/decommissioner.cpp
+++ b/src/coordination/provisioning/decommissioner.cpp
@@ -76,7 +76,7 @@
     // While an allocation on it is being written, its end can't be recorded.
     if (machine == nullptr || !machine->allocations.empty()) return;
     if (machine->version == 0 && !records_.isPending(Change::record, id))
-        return clusterState->dropMachine(id);
+        return clusterState->removeMachine(id);
     records_.write(Change::drop, partition, id);
 }
 
--- a/src/coordination/provisioning/machine_inventory.cpp
+++ b/src/coordination/provisioning/machine_inventory.cpp
@@ -80,15 +80,16 @@
                                           SteadyTime asked) {
     const auto now = context_.now();
     if (Machine* machine = clusterState.machine(listed.id)) {
-        machine->listed = now;
+        machine->lastListed = now;
         if (machine->address.empty()) machine->address = listed.address;
-        machine->failedInList = listed.state == protocol::CloudState::failed;
+        machine->listedAsFailed = listed.state == protocol::CloudState::failed;
         return;
     }
     // A lagging list still shows machines that are gone. One that was returned before this
     // process began is told from a new one by the lists of a later moment.
     const auto partition = partitionFor(clusterState, listed.id, listed.zone);
-    if (!ownPartitions.contains(partition) || clusterState.goneMachines.contains(listed.id)) return;
+    if (!ownPartitions.contains(partition) || clusterState.deletedMachines.contains(listed.id))
+        return;
     const auto since = unassignedSince_.try_emplace(listed.id, now).first->second;
     if (asked - since <= maxListLag() || now - since <= requesterHeadStart) return;
     unassignedSince_.erase(listed.id);
@@ -107,7 +108,7 @@
     std::vector<GoneMachine> gone;
     for (auto& [id, machine] : clusterState.machines) {
         if (!ownPartitions.contains(machine.partition)) continue;
-        if (machine.failedInList && !machine.decommissioned) {
+        if (machine.listedAsFailed && !machine.decommissioned) {
             // It has stopped on its own, with all that ran on it.
             heartbeats_.releaseAllocations(machine, "failed");
             decommissioner_.decommission(machine, DecommissionReason::failed);
@@ -115,7 +116,7 @@
         }
         // Once listed, a machine stays listed until it is gone; but this list may describe a
         // moment before an earlier one did, and before the machine's latest heartbeat.
-        if (present.contains(id) || !machine.listed || asked - *machine.listed <= lag ||
+        if (present.contains(id) || !machine.lastListed || asked - *machine.lastListed <= lag ||
             (machine.lastHeartbeat && asked - *machine.lastHeartbeat <= lag))
             continue;
         heartbeats_.releaseAllocations(machine, "no longer listed");
@@ -127,7 +128,7 @@
 void MachineInventory::onUnassignedHeartbeat(const protocol::Heartbeat& heartbeat) {
     const auto now = context_.now();
     // A heartbeat that was delayed on its way.
-    if (context_.clusterState.lock()->goneMachines.contains(heartbeat.machine)) return;
+    if (context_.clusterState.lock()->deletedMachines.contains(heartbeat.machine)) return;
     const auto [entry, fresh] = unassignedSince_.try_emplace(heartbeat.machine, now);
     // The record of whoever provisioned it may be on its way; but machines that were there before
     // us have none.
@@ -167,17 +168,17 @@
 Machine* MachineInventory::addMachine(const MachinePoolId& pool, const std::string& id,
                                       PartitionId partition) {
     auto clusterState = context_.clusterState.lock();
-    if (clusterState->machine(id) != nullptr || clusterState->goneMachines.contains(id))
+    if (clusterState->machine(id) != nullptr || clusterState->deletedMachines.contains(id))
         return nullptr;
     Machine& machine = clusterState->addMachine(id, partition);
     machine.type = pool.type;
     machine.zone = pool.zone;
     machine.spot = pool.spot;
-    machine.known = machine.silentSince = machine.idleSince = context_.now();
+    machine.knownSince = machine.lastPossibleRenewal = machine.idleSince = context_.now();
     if (const auto corrupt = clusterState->corruptMachines.find(id);
         corrupt != clusterState->corruptMachines.end()) {
         machine.version = corrupt->second.version;
-        clusterState->attachAllocations(machine);
+        clusterState->indexAllocations(machine);
     }
     return &machine;
 }
--- a/src/coordination/provisioning/machine_reconciler.cpp
+++ b/src/coordination/provisioning/machine_reconciler.cpp
@@ -44,7 +44,7 @@
     if (records_.isPending(Change::record, machine.id)) return;
     // What only late copies of heartbeats speak of, or can't receive, is of no use.
     const bool neverAcknowledged =
-        !machine.acknowledged() && now - machine.known > ticks(context_.settings.lease);
+        !machine.acknowledged() && now - machine.knownSince > ticks(context_.settings.lease);
     if (machine.acknowledged() && isUsableByAnyJob(*context_.clusterState.lock(), machine, type)) {
         records_.write(Change::record, partition, machine.id);
     } else if (neverAcknowledged || now - machine.idleSince > warmPool_.idleLimit(machine, type)) {
@@ -123,11 +123,11 @@
     const auto now = context_.now();
     const bool empty = machine.allocations.empty();
     if (!machine.lastHeartbeat) {
-        if (empty && now - machine.known > ticks(type.bootTime * bootFailure) + bootGrace)
+        if (empty && now - machine.knownSince > ticks(type.bootTime * bootFailure) + bootGrace)
             return DecommissionReason::neverBooted;
         return std::nullopt;
     }
-    if (machine.notBefore - now > maxFaultBackoff) return DecommissionReason::faulty;
+    if (machine.unschedulableUntil - now > maxFaultBackoff) return DecommissionReason::faulty;
     if (now - *machine.lastHeartbeat > silenceLimit()) {
         if (quiet.contains(machine.zone)) return std::nullopt;
         return DecommissionReason::silent;
--- a/src/coordination/provisioning/machine_records.cpp
+++ b/src/coordination/provisioning/machine_records.cpp
@@ -99,7 +99,7 @@
             if (done) machine.version = std::max(machine.version, revision);
             break;
         case Change::drop:
-            if (done) context_.clusterState.lock()->dropMachine(std::string(machine.id));
+            if (done) context_.clusterState.lock()->removeMachine(std::string(machine.id));
             break;
     }
 }
--- a/src/coordination/provisioning/warm_pool.cpp
+++ b/src/coordination/provisioning/warm_pool.cpp
@@ -34,7 +34,7 @@
         auto& demand = classDemand_[spec.jobClass];
         demand.lastSeen = context_.now();
         // Each counts once: the few jobs of a quiet hour are no majority.
-        if (std::exchange(job.classed, true)) continue;
+        if (std::exchange(job.countedInClass, true)) continue;
         const auto slack = slackOf(spec);
         ++demand.jobs;
         bool inTime = !slack;
--- a/src/coordination/replication/replica.cpp
+++ b/src/coordination/replication/replica.cpp
@@ -95,7 +95,7 @@
             storage::applyEvent(*clusterState, {item.key, item.value, item.version}, now);
         }
         clusterState->rebuildIndexes();
-        clusterState->applied = firstPageRevision_;
+        clusterState->appliedRevision = firstPageRevision_;
         spdlog::info("replica: read_complete records={} jobs={} machines={} revision={}",
                      snapshotItems_.size(), clusterState->jobs.size(),
                      clusterState->machines.size(), firstPageRevision_);
@@ -121,14 +121,14 @@
 
 void Replica::completeSync() {
     // Until the watch has passed the last page, an allocation may be known and its machine not.
-    if (synced_ || context_.clusterState.lock()->applied < lastPageRevision_) return;
+    if (synced_ || context_.clusterState.lock()->appliedRevision < lastPageRevision_) return;
     synced_ = everSynced_ = true;
     currentAsOf_ = std::max(currentAsOf_, snapshotStarted_);
     observer_.onReplicaChanged();
 }
 
 void Replica::watch(std::uint64_t generation) {
-    const auto since = context_.clusterState.lock()->applied;
+    const auto since = context_.clusterState.lock()->appliedRevision;
     const auto requested = context_.now();
     // Where cancellations must be known within a short time, the replica proves itself current more
     // often.
@@ -174,7 +174,7 @@
         // (AllocationsThatOvertakeTheAnswerToAMigrationAreKnown).
         deferredEvents_[event.key] = event;
     }
-    clusterState->applied = std::max(clusterState->applied, answer.revision);
+    clusterState->appliedRevision = std::max(clusterState->appliedRevision, answer.revision);
 }
 
 }  // namespace fawnwheel::coordination
--- a/src/coordination/replication/slice_writer.cpp
+++ b/src/coordination/replication/slice_writer.cpp
@@ -102,7 +102,7 @@
                               const WrittenSlice& written, std::uint64_t revision,
                               std::set<std::string>& machines) const {
     Job& job = *clusterState.job(written.job);
-    const Slice& slice = job.sliceAt(written.index);
+    const Slice& slice = job.ensureSlice(written.index);
     if (batch.generation != clusterState.generation || slice.version != written.version ||
         slice.range() != written.range) {
         // Read again while the transaction was in flight, perhaps as it stood before, or in part.
@@ -148,7 +148,7 @@
                                         const std::vector<Slice>& pieces) {
     // What happened meanwhile to tasks that have migrated is for their new leader to observe.
     for (const auto& piece : pieces) {
-        Slice& current = job.sliceAt(piece.index);
+        Slice& current = job.ensureSlice(piece.index);
         if (!written.migrating.contains(piece.range()) || !current.dirty) continue;
         auto recorded = current.recorded;
         clusterState.replaceSlice(job, current, std::move(recorded));
@@ -158,11 +158,11 @@
 void SliceWriter::undoAllocations(ClusterState& clusterState, const WrittenSlice& written) {
     // What did not become durable was never sent to a worker: it is undone and decided again.
     Job& job = *clusterState.job(written.job);
-    Slice& slice = job.sliceAt(written.index);
+    Slice& slice = job.ensureSlice(written.index);
     std::vector<std::uint32_t> undone;
     for (const auto& allocation : slice.allocations)
         // Except what was found running: a second allocation would let the task run twice.
-        if (!allocation.durable && !allocation.seen) undone.push_back(allocation.task);
+        if (!allocation.durable && !allocation.reported) undone.push_back(allocation.task);
     for (const auto task : undone) clusterState.removeAllocation(job, slice, task);
 }
 
--- a/src/coordination/replication/state_writer.cpp
+++ b/src/coordination/replication/state_writer.cpp
@@ -62,7 +62,7 @@
     // A cancelled job ends when the last of its tasks is proved gone. Allocations by other
     // partitions are known up to `applied`, except for slices in flight from here; later ones fail
     // on the job's version.
-    if (job.anyAllocation() || clusterState.applied < job.version || hasSliceInFlight(job))
+    if (job.hasAllocations() || clusterState.appliedRevision < job.version || hasSliceInFlight(job))
         return false;
     // Its active record stays until no active dependent could be taken to wait for a job that is
     // done. Later dependents can't be created as if it were not cancelled: they fail on its
@@ -255,7 +255,7 @@
         spdlog::debug("state_writer: job_terminal job={} outcome={}", id,
                       state.cancelled ? "cancelled" : "done");
         clusterState.dependencyGraph.recordTerminal(id, state);
-        clusterState.dropJob(id);
+        clusterState.removeJob(id);
         observer_.onJobTerminal(id, state.cancelled);
     }
 }
--- a/src/coordination/scheduling/capacity_index.cpp
+++ b/src/coordination/scheduling/capacity_index.cpp
@@ -43,7 +43,7 @@
     const auto now = context_.now();
     for (auto* machine : clusterState.machinesOf(partition)) {
         if (!takesWork(context_, *machine, now) ||
-            machine->allocations.size() + machine->exited >= maxTasksPerMachine)
+            machine->allocations.size() + machine->exitedTasks >= maxTasksPerMachine)
             continue;
         MachinePool* pool = poolOf(*machine);
         if (pool == nullptr) continue;
--- a/src/coordination/scheduling/consolidation.cpp
+++ b/src/coordination/scheduling/consolidation.cpp
@@ -15,10 +15,10 @@
 }  // namespace
 
 bool Consolidation::canMove(const Job& job, const Allocation& allocation) const {
-    return allocation.durable && !allocation.stopGrace && allocation.ran &&
-           context_.now() - *allocation.ran >= minRunToMove &&
+    return allocation.durable && !allocation.stopGrace && allocation.runningSince &&
+           context_.now() - *allocation.runningSince >= minRunToMove &&
            job.spec.checkpointInterval.count() > 0 && !job.cancelled &&
-           (job.spec.tasks <= 1 || !job.undivided());
+           (job.spec.tasks <= 1 || !job.requiresSingleLeader());
 }
 
 bool Consolidation::findCapacity(const ClusterState& clusterState, const Machine& machine,
@@ -45,7 +45,8 @@
         const auto [job, slice, allocation] = clusterState.findAllocation(ref);
         if (allocation == nullptr || !canMove(*job, *allocation)) return false;
         longestLeft = std::max(
-            longestLeft, Seconds(job->spec.estimate - Seconds(now - *allocation->ran)).count());
+            longestLeft,
+            Seconds(job->spec.estimate - Seconds(now - *allocation->runningSince)).count());
         if (!findCapacity(clusterState, machine, *job, consumed)) return false;
         allocations.push_back(allocation);
     }
--- a/src/coordination/scheduling/fragmentation_guard.cpp
+++ b/src/coordination/scheduling/fragmentation_guard.cpp
@@ -28,7 +28,7 @@
         // As much of a job as comes to one partition together.
         largest = std::max(largest, std::min(job.spec.tasks, job.sliceSize));
         for (const auto& slice : job.slices)
-            if (slice.partition == partition) needed += slice.waiting();
+            if (slice.partition == partition) needed += slice.waitingTasks();
     }
     return needed + largest;
 }
--- a/src/coordination/scheduling/gang_assembler.cpp
+++ b/src/coordination/scheduling/gang_assembler.cpp
@@ -26,10 +26,11 @@
         // one never holds what completes an earlier one.
         const bool gang = job != nullptr && job->spec.kind == JobKind::gang;
         // A peer's gang asks again and again for what is reserved for it.
-        const bool ofPeer = gang && job->partition != partition && !job->anyAllocation();
+        const bool ofPeer = gang && job->partition != partition && !job->hasAllocations();
         if (job == nullptr || job->cancelled || (job->partition != partition && !ofPeer) ||
             (gang && !ofPeer &&
-             (job->anyAllocation() || (machine->lastHeartbeat && now >= job->preemptedUntil))))
+             (job->hasAllocations() ||
+              (machine->lastHeartbeat && now >= job->preemptionReservedUntil))))
             machine->reservedUntil = now;
     }
 }
--- a/src/coordination/scheduling/placement.cpp
+++ b/src/coordination/scheduling/placement.cpp
@@ -101,7 +101,7 @@
     array.bestEffort = context_.isBestEffort(job);
     if (array.bestEffort) array.allowance = selector_.bestEffortAllowance(job, run.partition);
     for (auto& slice : job.slices) {
-        if (slice.partition != run.partition || slice.waiting() == 0) continue;
+        if (slice.partition != run.partition || slice.waitingTasks() == 0) continue;
         for (std::uint32_t i = 0; i < slice.done.size(); ++i) {
             const auto task = slice.first + i;
             if (!slice.unstarted(task) || slice.isMigrating(task)) continue;
@@ -189,7 +189,7 @@
     const auto fetch = queueOrder_.fetchTime(job.spec);
     const Seconds waited = context_.timers.wallNow() - job.readySince;
     return fetch > job.spec.estimate * significantFetch &&
-           (job.anyAllocation() || waited < fetch * maxFetchTimesWaited);
+           (job.hasAllocations() || waited < fetch * maxFetchTimesWaited);
 }
 
 Placement::GangResult Placement::placeGang(PlacementRun& run, Job& job) {
@@ -256,7 +256,7 @@
     allocation.task = task;
     allocation.machine = machineCapacity.machine->id;
     allocation.attempt = attempt;
-    allocation.made = context_.now();
+    allocation.createdAt = context_.now();
     run.clusterState.addAllocation(job, slice, std::move(allocation));
     machineCapacity.consume(job.spec.each);
 }
--- a/src/coordination/scheduling/placement_constraints.cpp
+++ b/src/coordination/scheduling/placement_constraints.cpp
@@ -51,7 +51,7 @@
            machine.lastHeartbeat &&
            now - *machine.lastHeartbeat <
                ticks(context.settings.heartbeatInterval * maxMissedHeartbeats) &&
-           now >= machine.notBefore;
+           now >= machine.unschedulableUntil;
 }
 
 bool mayUseLoan(const Context& context, const Job& job, const Machine& machine) {
--- a/src/coordination/scheduling/preemption.cpp
+++ b/src/coordination/scheduling/preemption.cpp
@@ -31,10 +31,11 @@
         // Strictly lower priority only; a gang would lose all its tasks for one.
         if (other->priority <= job.priority || other->spec.kind == JobKind::gang) continue;
         const bool saves = other->spec.checkpointInterval.count() > 0;
-        const double ran = allocation->ran ? Seconds(now - *allocation->ran).count() : 0;
+        const double ran =
+            allocation->runningSince ? Seconds(now - *allocation->runningSince).count() : 0;
         candidates.push_back({allocation, other,
                               other->spec.checkpointDuration.count() + (saves ? 0 : ran) +
-                                  (allocation->ran ? 0 : fetchLossSeconds)});
+                                  (allocation->runningSince ? 0 : fetchLossSeconds)});
     }
     std::sort(candidates.begin(), candidates.end(),
               [](const Victim& a, const Victim& b) { return a.loss < b.loss; });
@@ -71,7 +72,7 @@
                 consider(clusterState, machineCapacity, job, best);
     if (best.machine == nullptr) return false;
     for (const auto& victim : best.victims) {
-        if (!victim.allocation->seen) victim.allocation->abandoned = true;
+        if (!victim.allocation->reported) victim.allocation->startCancelled = true;
         victim.allocation->stopGrace = victim.job->spec.checkpointDuration;
         spdlog::debug("preemption: task_stopped task={}/{} machine={} for_job={}",
                       victim.job->spec.id, victim.allocation->task, best.machine->id, job.spec.id);
@@ -102,7 +103,7 @@
     for (const auto& entry : unschedulable) {
         Job* job = clusterState->job(entry.job);
         if (job == nullptr || entry.overQuota || entry.blockedByEarlierGang ||
-            !queueOrder_.isSloAtRisk(*job) || context_.now() < job->preemptedUntil)
+            !queueOrder_.isSloAtRisk(*job) || context_.now() < job->preemptionReservedUntil)
             continue;
         if (!lowest) lowest = lowestRunning(*clusterState, partition);
         if (*lowest <= job->priority) continue;
@@ -111,7 +112,7 @@
         const auto limit = entry.gang ? entry.tasks : std::min(entry.tasks, maxPreemptionsPerJob);
         for (std::uint32_t i = 0; i < limit; ++i) {
             if (!preemptForTask(*clusterState, *capacityIndex, *job, machines)) break;
-            job->preemptedUntil = context_.now() + reservation;
+            job->preemptionReservedUntil = context_.now() + reservation;
         }
     }
     return machines;
--- a/src/coordination/scheduling/queue_order.cpp
+++ b/src/coordination/scheduling/queue_order.cpp
@@ -93,8 +93,8 @@
     const auto now = context_.now();
     recordLargestGangs(clusterState);
     for (auto& [id, job] : clusterState.jobs) {
-        if (!clusterState.startable(job) || now < job.notBefore) continue;
-        if (job.spec.kind == JobKind::gang && job.anyAllocation()) {
+        if (!clusterState.startable(job) || now < job.backoffUntil) continue;
+        if (job.spec.kind == JobKind::gang && job.hasAllocations()) {
             if (job.partition == partition) stopIncompleteGang(job);
             continue;
         }
@@ -104,7 +104,7 @@
         }
         std::uint32_t tasks = 0;
         for (const auto& slice : job.slices)
-            if (slice.partition == partition) tasks += slice.waiting();
+            if (slice.partition == partition) tasks += slice.waitingTasks();
         if (tasks > 0) ready.push_back({&job, tasks, latestStart(job)});
     }
     std::sort(ready.begin(), ready.end(), [](const ReadyJob& a, const ReadyJob& b) {
@@ -116,9 +116,9 @@
 
 bool QueueOrder::mayProbe(const Job& job, PartitionId partition) {
     // One task at a time for the whole job, wherever its slices lie: by the first that waits.
-    if (job.anyAllocation()) return false;
+    if (job.hasAllocations()) return false;
     const auto first = std::find_if(job.slices.begin(), job.slices.end(),
-                                    [](const Slice& slice) { return slice.waiting() > 0; });
+                                    [](const Slice& slice) { return slice.waitingTasks() > 0; });
     return first != job.slices.end() && first->partition == partition;
 }
 
@@ -131,8 +131,8 @@
     std::uint32_t allocated = 0;
     for (const auto& slice : job.slices)
         for (const auto& allocation : slice.allocations) {
-            if (allocation.ran &&
-                now - *allocation.ran > ticks(context_.settings.heartbeatInterval * 2))
+            if (allocation.runningSince &&
+                now - *allocation.runningSince > ticks(context_.settings.heartbeatInterval * 2))
                 return maxPlacementsPerRun;
             ++allocated;
         }
@@ -144,7 +144,7 @@
     // The rest would wait for a task that is not started again under this attempt.
     for (auto& slice : job.slices) {
         for (auto& allocation : slice.allocations) {
-            allocation.abandoned = true;
+            allocation.startCancelled = true;
             allocation.stopGrace = Seconds(0);
         }
     }
@@ -161,7 +161,7 @@
             return slice.partition == partition && slice.dirty &&
                    std::any_of(slice.allocations.begin(), slice.allocations.end(),
                                [&](const Allocation& allocation) {
-                                   return !allocation.durable && allocation.made < oldest;
+                                   return !allocation.durable && allocation.createdAt < oldest;
                                });
         });
     });
@@ -172,11 +172,11 @@
     const auto now = context_.now();
     auto clusterState = context_.clusterState.lock();
     for (const auto& [id, job] : clusterState->jobs) {
-        if (!clusterState->schedulable(job) || now < job.notBefore ||
-            (job.spec.kind == JobKind::gang && job.anyAllocation()))
+        if (!clusterState->schedulable(job) || now < job.backoffUntil ||
+            (job.spec.kind == JobKind::gang && job.hasAllocations()))
             continue;
         for (const auto& slice : job.slices)
-            if (slice.partition < lengths.size()) lengths[slice.partition] += slice.waiting();
+            if (slice.partition < lengths.size()) lengths[slice.partition] += slice.waitingTasks();
     }
     return lengths;
 }
--- a/src/coordination/workers/command_sender.cpp
+++ b/src/coordination/workers/command_sender.cpp
@@ -61,7 +61,7 @@
         machine.interruptionAt || machine.transferring)
         return false;
     const auto nextDue = *machine.lastHeartbeat + ticks(context_.settings.heartbeatInterval);
-    return now - machine.heartbeatRequested >=
+    return now - machine.heartbeatRequestedAt >=
                ticks(context_.settings.lease * requestIntervalLeases) &&
            nextDue - now >= minTimeToNextHeartbeat;
 }
@@ -75,7 +75,7 @@
         // A higher token is a change for which the worker sends a heartbeat; it does so once in
         // half a lease. Late, this raises the token to no more than heartbeats are answered with by
         // then, and commands nothing.
-        machine->heartbeatRequested = context_.now();
+        machine->heartbeatRequestedAt = context_.now();
         ++machine->fencingToken;
         send(*machine, {});
     }
--- a/src/coordination/workers/fault_attribution.cpp
+++ b/src/coordination/workers/fault_attribution.cpp
@@ -21,12 +21,14 @@
                                     Slice& slice, const Allocation& allocation) {
     const auto now = context_.now();
     auto& history = job.failures;
-    history.any = true;
-    history.disproved = false;
-    if (allocation.ran) history.longestRun = std::max(history.longestRun, now - *allocation.ran);
+    history.anyFailure = true;
+    history.crashLoopDisproved = false;
+    if (allocation.runningSince)
+        history.longestFailedRun =
+            std::max(history.longestFailedRun, now - *allocation.runningSince);
     if (job.crashLooping()) return backOff(job);
     if (history.machines.insert_or_assign(machine.id, now).second) {
-        slice.touch();
+        slice.markDirty();
         ++slice.failures;
     }
     if (job.crashLooping())
@@ -38,24 +40,24 @@
 void FaultAttribution::backOff(Job& job) {
     const auto now = context_.now();
     // Once for each probe, not for each task that was under way.
-    if (now < job.notBefore) return;
-    const auto doublings = std::min(job.failures.probes, maxDoublings);
-    job.notBefore = now + std::min<Duration>(maxBackoff, firstBackoff * (1 << doublings));
-    ++job.failures.probes;
+    if (now < job.backoffUntil) return;
+    const auto doublings = std::min(job.failures.failedProbes, maxDoublings);
+    job.backoffUntil = now + std::min<Duration>(maxBackoff, firstBackoff * (1 << doublings));
+    ++job.failures.failedProbes;
 }
 
 void FaultAttribution::blameJob(ClusterState& clusterState, Job& job, PartitionId partition) {
     // Attributed to the machines, the failures of one such job after the other had dozens of them
     // replaced, with all that ran there (incident inc-59fe).
     spdlog::info("fault_attribution: job_crash_looping job={}", job.spec.id);
-    job.notBefore = context_.now() + firstBackoff;
+    job.backoffUntil = context_.now() + firstBackoff;
     job.failures.machines.clear();
-    job.failures.probes = 1;
+    job.failures.failedProbes = 1;
     for (auto& [id, machine] : clusterState.machines) machine.failedJobs.erase(job.spec.id);
     for (auto& slice : job.slices) {
         if (slice.partition != partition) continue;
         for (auto& allocation : slice.allocations)
-            if (!allocation.seen) allocation.abandoned = true;
+            if (!allocation.reported) allocation.startCancelled = true;
     }
 }
 
@@ -64,12 +66,13 @@
     if (job.doneTasks() > 0 || machine.failedJobs.size() >= failedJobsToQuarantine)
         quarantine(machine);
     else
-        machine.notBefore = std::max(machine.notBefore, context_.now() + pauseAfterError);
+        machine.unschedulableUntil =
+            std::max(machine.unschedulableUntil, context_.now() + pauseAfterError);
 }
 
 void FaultAttribution::quarantine(Machine& machine) {
     spdlog::info("fault_attribution: machine_quarantined machine={}", machine.id);
-    machine.notBefore = context_.now() + quarantineDuration;
+    machine.unschedulableUntil = context_.now() + quarantineDuration;
 }
 
 void FaultAttribution::onTaskDone(ClusterState& clusterState, Machine& machine, Job& job) {
@@ -83,14 +86,15 @@
 }
 
 void FaultAttribution::onTaskRunning(Job& job, Slice& slice, const Allocation& allocation) {
-    if (!job.failures.any || !job.crashLooping() || !allocation.ran) return;
-    const auto proof = job.failures.longestRun * 2 + ticks(context_.settings.heartbeatInterval * 2);
-    if (context_.now() - *allocation.ran <= proof) return;
+    if (!job.failures.anyFailure || !job.crashLooping() || !allocation.runningSince) return;
+    const auto proof =
+        job.failures.longestFailedRun * 2 + ticks(context_.settings.heartbeatInterval * 2);
+    if (context_.now() - *allocation.runningSince <= proof) return;
     spdlog::info("fault_attribution: job_recovered job={}", job.spec.id);
-    job.failures.disproved = true;
+    job.failures.crashLoopDisproved = true;
     for (auto& other : job.slices) {
         if (other.partition != slice.partition || other.failures == 0) continue;
-        other.touch();
+        other.markDirty();
         other.failures = 0;
     }
 }
--- a/src/coordination/workers/fencing.h
+++ b/src/coordination/workers/fencing.h
@@ -25,7 +25,7 @@
 inline void requireAcknowledgement(Machine& machine, std::uint64_t expectedToken, SteadyTime now) {
     machine.expectedToken = expectedToken;
     machine.unacknowledgedSince = now;
-    machine.unacknowledged = 0;
+    machine.unacknowledgedResponses = 0;
 }
 
 /// The heartbeat's status of the task in this attempt; null if it has none.
--- a/src/coordination/workers/heartbeat_handler.cpp
+++ b/src/coordination/workers/heartbeat_handler.cpp
@@ -12,7 +12,7 @@
     for (const auto& task : heartbeat.tasks)
         taskStatus_.apply(*clusterState, *machine, task, commands);
     startPolicy_.addStarts(*clusterState, *machine, heartbeat, commands);
-    machine->silentSince = context_.now();
+    machine->lastPossibleRenewal = context_.now();
     return {HeartbeatStatus::ok,
             protocol::encodeCbor(protocol::encodeCommands(machine->fencingToken, commands))};
 }
--- a/src/coordination/workers/heartbeat_validator.cpp
+++ b/src/coordination/workers/heartbeat_validator.cpp
@@ -66,7 +66,7 @@
 
 bool HeartbeatValidator::isStale(const Machine& machine,
                                  const protocol::Heartbeat& heartbeat) const {
-    if (context_.now() < machine.unansweredUntil) return true;
+    if (context_.now() < machine.ignoreHeartbeatsUntil) return true;
     // The lease ran out: what was held back on the way speaks of tasks that are gone.
     if (heartbeat.agentEpoch <= machine.expiredAgentEpoch) return true;
     // A repeat or a late copy proves nothing new, and its sender waits no more.
--- a/src/coordination/workers/machine_status_applier.cpp
+++ b/src/coordination/workers/machine_status_applier.cpp
@@ -33,7 +33,7 @@
     machine.agentEpoch = heartbeat.agentEpoch;
     machine.sequence = heartbeat.sequence;
     machine.lastHeartbeat = now;
-    machine.exited = static_cast<std::size_t>(
+    machine.exitedTasks = static_cast<std::size_t>(
         std::count_if(heartbeat.tasks.begin(), heartbeat.tasks.end(),
                       [](const auto& task) { return task.state == TaskState::exited; }));
 }
@@ -47,7 +47,7 @@
     for (const auto& ref : machine.allocations) {
         const auto [job, slice, allocation] = clusterState.findAllocation(ref);
         if (allocation == nullptr) continue;
-        if (!allocation->seen) allocation->abandoned = true;
+        if (!allocation->reported) allocation->startCancelled = true;
         if (job->spec.checkpointInterval.count() > 0 || allocation->state != TaskState::running)
             allocation->stopGrace = job->spec.checkpointDuration;
     }
@@ -58,23 +58,23 @@
                                                 const protocol::Heartbeat& heartbeat) const {
     machine.acknowledgedToken = std::max(machine.acknowledgedToken, heartbeat.fencingToken);
     if (machine.acknowledged()) {
-        machine.unacknowledged = 0;
+        machine.unacknowledgedResponses = 0;
         return;
     }
-    if (++machine.unacknowledged < maxIneffectiveAnswers || machine.allocations.empty() ||
+    if (++machine.unacknowledgedResponses < maxIneffectiveAnswers || machine.allocations.empty() ||
         isFenced(machine, heartbeat))
         return;
     // Its heartbeats arrive, or late copies of them, but no answer reaches it, and without a token
     // of this leader they prove no end of a task. Unanswered from here on, its lease runs out.
     spdlog::info("heartbeat: lease_abandoned machine={} reason=\"answers not received\"",
                  machine.id);
-    machine.unansweredUntil = context_.now() + maxWorkerLease(context_) + workerLeaseMargin;
+    machine.ignoreHeartbeatsUntil = context_.now() + maxWorkerLease(context_) + workerLeaseMargin;
 }
 
 bool MachineStatusApplier::isStartPending(const ClusterState& clusterState, const Machine& machine,
                                           const Job& job, const Allocation& allocation) const {
-    return !allocation.seen && !allocation.abandoned && !clusterState.knownCancelled(job) &&
-           !machine.decommissioned;
+    return !allocation.reported && !allocation.startCancelled &&
+           !clusterState.knownCancelled(job) && !machine.decommissioned;
 }
 
 void MachineStatusApplier::removeMissing(ClusterState& clusterState, Machine& machine,
@@ -87,7 +87,8 @@
         // Starts that don't arrive would keep the allocation waiting for ever; what this heartbeat
         // lacks no earlier answer can start any more.
         if (isStartPending(clusterState, machine, *job, *allocation)) {
-            if (allocation->startsSent < maxIneffectiveAnswers || machine.transferring) continue;
+            if (allocation->unconfirmedStarts < maxIneffectiveAnswers || machine.transferring)
+                continue;
             if (machine.acknowledged()) {
                 spdlog::info(
                     "heartbeat: tasks_reassigned machine={} reason=\"starts not received\"",
--- a/src/coordination/workers/start_policy.cpp
+++ b/src/coordination/workers/start_policy.cpp
@@ -21,7 +21,7 @@
 
 bool StartPolicy::isStartable(const ClusterState& clusterState, const Job& job,
                               const Allocation& allocation) {
-    if (!allocation.durable || allocation.abandoned || allocation.stopGrace ||
+    if (!allocation.durable || allocation.startCancelled || allocation.stopGrace ||
         !clusterState.startable(job))
         return false;
     if (job.spec.kind != protocol::JobKind::gang) return true;
@@ -42,7 +42,7 @@
         const auto [job, slice, allocation] = clusterState.findAllocation(ref);
         if (allocation == nullptr || slice->partition != machine.partition) continue;
         if (!isStartable(clusterState, *job, *allocation)) continue;
-        ++allocation->startsSent;
+        ++allocation->unconfirmedStarts;
         commands.push_back({CommandKind::start, ref.job, ref.task, ref.attempt, {}});
     }
 }
@@ -50,11 +50,11 @@
 bool StartPolicy::mayKeepWaiting(const ClusterState& clusterState, const Machine& machine,
                                  const Job& job, const Allocation& allocation) const {
     if (!mayStartOn(machine) || !isStartable(clusterState, job, allocation) ||
-        context_.now() - allocation.made > ticks(context_.settings.gangWait * maxGangWaits))
+        context_.now() - allocation.createdAt > ticks(context_.settings.gangWait * maxGangWaits))
         return false;
     return std::all_of(job.slices.begin(), job.slices.end(), [](const Slice& slice) {
         return std::none_of(slice.allocations.begin(), slice.allocations.end(),
-                            [](const Allocation& other) { return other.ran.has_value(); });
+                            [](const Allocation& other) { return other.runningSince.has_value(); });
     });
 }
 
--- a/src/coordination/workers/task_status_applier.cpp
+++ b/src/coordination/workers/task_status_applier.cpp
@@ -30,7 +30,7 @@
     if (allocation == nullptr || slice->partition != machine.partition ||
         allocation->machine != machine.id || allocation->attempt != task.attempt)
         return applyUnallocated(clusterState, machine, job, slice, task, commands);
-    allocation->seen = true;
+    allocation->reported = true;
     allocation->state = task.state;
     if (task.state == TaskState::exited) {
         if (task.cause != ExitCause::alone ||
@@ -89,9 +89,9 @@
     found.task = task.index;
     found.machine = machine.id;
     found.attempt = task.attempt;
-    found.seen = true;
+    found.reported = true;
     found.state = task.state;
-    found.made = context_.now();
+    found.createdAt = context_.now();
     clusterState.addAllocation(job, slice, std::move(found));
     observer_.onWorkersChanged();
 }
@@ -99,13 +99,14 @@
 void TaskStatusApplier::applyProgress(ClusterState& clusterState, Machine& machine, Job& job,
                                       Slice& slice, Allocation& allocation,
                                       const protocol::TaskStatus& task) {
-    if (task.state != TaskState::fetching) clusterState.recordImage(machine, job.spec);
+    if (task.state != TaskState::fetching) clusterState.addCachedImage(machine, job.spec);
     if (task.state != TaskState::running) return;
-    if (!allocation.ran) {
-        allocation.ran = context_.now();
+    if (!allocation.runningSince) {
+        allocation.runningSince = context_.now();
         spdlog::debug(
             "heartbeat: task_running task={}/{} machine={} seconds_since_placement={:.1f}",
-            task.job, task.index, machine.id, Seconds(*allocation.ran - allocation.made).count());
+            task.job, task.index, machine.id,
+            Seconds(*allocation.runningSince - allocation.createdAt).count());
     }
     faultAttribution_.onTaskRunning(job, slice, allocation);
 }
@@ -133,10 +134,10 @@
             return faultAttribution_.onTaskFailed(clusterState, machine, job, slice, allocation);
         case ExitCause::noCapacity:
         case ExitCause::busy:
-            machine.notBefore = context_.now() + pauseAfterRefusal;
+            machine.unschedulableUntil = context_.now() + pauseAfterRefusal;
             return;
         case ExitCause::unknown:
-            job.notBefore = context_.now() + pauseAfterRefusal;
+            job.backoffUntil = context_.now() + pauseAfterRefusal;
             return;
         case ExitCause::stopped:
         case ExitCause::peersGone:
@@ -147,13 +148,13 @@
 
 void TaskStatusApplier::applyDone(ClusterState& clusterState, Machine& machine, Job& job,
                                   Slice& slice, std::uint32_t task) {
-    slice.touch();
+    slice.markDirty();
     slice.markDone(task);
     faultAttribution_.onTaskDone(clusterState, machine, job);
     if (job.spec.kind != protocol::JobKind::gang) return;
     // The tasks of a gang complete together.
     for (auto& other : job.slices) {
-        other.touch();
+        other.markDirty();
         for (auto t = other.first; t < other.first + other.done.size(); ++t) other.markDone(t);
     }
 }
--- a/src/coordination/workers/worker_expiry.cpp
+++ b/src/coordination/workers/worker_expiry.cpp
@@ -14,14 +14,14 @@
         machine->lastHeartbeat.reset();
         machine->agentEpoch = machine->sequence = 0;
         machine->interruptionAt.reset();
-        machine->unansweredUntil = {};
-        machine->silentSince = machine->known = machine->idleSince =
+        machine->ignoreHeartbeatsUntil = {};
+        machine->lastPossibleRenewal = machine->knownSince = machine->idleSince =
             now + outageConfirmationValidity;
     }
     for (auto& [id, job] : clusterState->jobs)
         for (auto& slice : job.slices)
             if (slice.partition == partition)
-                for (auto& allocation : slice.allocations) allocation.forgetState();
+                for (auto& allocation : slice.allocations) allocation.resetReportedState();
 }
 
 void WorkerExpiry::releaseAllocations(Machine& machine, std::string_view reason) {
@@ -53,10 +53,12 @@
     const auto maxLease = maxWorkerLease(context_);
     auto clusterState = context_.clusterState.lock();
     for (auto* machine : clusterState->machinesOf(partition)) {
-        // `silentSince` is the last moment at which anybody entitled could have renewed its lease.
+        // `lastPossibleRenewal` is the last moment at which anybody entitled could have renewed its
+        // lease.
         if (!machine->allocations.empty() && !isTransferConfirmed(*clusterState, *machine))
-            machine->silentSince = now + outageConfirmationValidity;
-        if (machine->allocations.empty() || now - machine->silentSince <= maxLease) continue;
+            machine->lastPossibleRenewal = now + outageConfirmationValidity;
+        if (machine->allocations.empty() || now - machine->lastPossibleRenewal <= maxLease)
+            continue;
         releaseAllocations(*machine, "lease expired");
         machine->expiredAgentEpoch = machine->agentEpoch;
     }
--- a/src/rebalancing/handover.cpp
+++ b/src/rebalancing/handover.cpp
@@ -21,7 +21,7 @@
     if (machine.partition != rules.partition) return Refusal::notOurs;
     if (machine.version == 0) return Refusal::notRecorded;
     if (machine.decommissioned || machine.consolidating || machine.interruptionAt ||
-        machine.notBefore > rules.now)
+        machine.unschedulableUntil > rules.now)
         return Refusal::leaving;
     if (machine.transferring || machine.departedTo) return Refusal::transferring;
     if (machine.lender) return Refusal::onLoan;
@@ -29,7 +29,7 @@
     if (!machine.acknowledged() || !machine.lastHeartbeat ||
         rules.now - *machine.lastHeartbeat > rules.silent)
         return Refusal::silent;
-    if (rules.now - machine.known < rules.minTenure) return Refusal::belowMinTenure;
+    if (rules.now - machine.knownSince < rules.minTenure) return Refusal::belowMinTenure;
     return std::nullopt;
 }
 
@@ -43,11 +43,11 @@
 
 std::optional<Refusal> refusalOf(const Job& job, const Allocation& allocation) {
     if (!allocation.durable) return Refusal::recordPending;
-    if (allocation.stopGrace || allocation.abandoned || allocation.state == TaskState::saving)
+    if (allocation.stopGrace || allocation.startCancelled || allocation.state == TaskState::saving)
         return Refusal::taskStopping;
     // Half of a gang's start orders could be out: it stays until it runs or has given up.
     if (job.spec.kind == protocol::JobKind::gang &&
-        (!allocation.seen || allocation.state != TaskState::running))
+        (!allocation.reported || allocation.state != TaskState::running))
         return Refusal::gangStarting;
     return std::nullopt;
 }
@@ -130,7 +130,7 @@
     void addJob(Job& job) {
         if (!jobs_.emplace(job.spec.id, &job).second) return;
         refusal_ = refusalOf(clusterState_, job);
-        if (refusal_ || !job.undivided()) return;
+        if (refusal_ || !job.requiresSingleLeader()) return;
         // One leader for all of it: every machine that it is on goes too.
         if (job.partition != rules_.partition ||
             (job.spec.kind == protocol::JobKind::gang && job.allocatedTasks() < job.spec.tasks)) {
@@ -145,7 +145,7 @@
         plan_.machines.assign(machines_.begin(), machines_.end());
         plan_.writes = plan_.machines.size();
         for (const auto& [id, job] : jobs_) {
-            if (job->undivided()) {
+            if (job->requiresSingleLeader()) {
                 plan_.jobs.push_back(id);
                 ++plan_.writes;
             }
@@ -164,7 +164,7 @@
             if (slice.done[i]) done.add(slice.first + i);
         plan_.used[job.spec.team] += times(job.spec.each, here.cardinality());
         SliceHandover partition{job.spec.id, slice.index, rangesOf(here, done), 1};
-        if (job.undivided()) {
+        if (job.requiresSingleLeader()) {
             // A slice without a record follows its job's.
             if (slice.version == 0 && !slice.dirty) return;
             partition.ranges = {slice.range()};
@@ -241,7 +241,7 @@
     if (found == clusterState.jobs.end()) return true;
     const Job& job = found->second;
     if (job.partition == recipient.partition) return false;
-    if (job.spec.kind != protocol::JobKind::gang || job.anyAllocation()) return true;
+    if (job.spec.kind != protocol::JobKind::gang || job.hasAllocations()) return true;
     Demand kept;
     kept.urgency = urgencyOf(job.priority, false);
     kept.since = millisOf(job.submitted);
--- a/src/storage/cluster_state.cpp
+++ b/src/storage/cluster_state.cpp
@@ -59,7 +59,7 @@
     }
     added.id = id;
     added.partition = partition;
-    goneMachines.recordCount(machines.size());
+    deletedMachines.recordCount(machines.size());
     byPartition_[partition].push_back(&added);
     return added;
 }
@@ -80,7 +80,7 @@
     return std::nullopt;
 }
 
-void ClusterState::attachAllocations(Machine& machine) const {
+void ClusterState::indexAllocations(Machine& machine) const {
     for (const auto& [name, job] : jobs)
         for (const auto& slice : job.slices)
             for (const auto& allocation : slice.allocations)
@@ -90,10 +90,10 @@
                 }
 }
 
-void ClusterState::forgetTaskStates(const Machine& machine) {
+void ClusterState::resetTaskStates(const Machine& machine) {
     for (const auto& ref : machine.allocations)
         if (const auto [job, slice, allocation] = findAllocation(ref); allocation != nullptr)
-            allocation->forgetState();
+            allocation->resetReportedState();
 }
 
 AllocationRef ClusterState::findAllocation(const TaskRef& ref) {
@@ -125,7 +125,7 @@
     if (known->allocations.empty()) known->used = {};
 }
 
-void ClusterState::recordImage(Machine& machine, const JobSpec& spec) {
+void ClusterState::addCachedImage(Machine& machine, const JobSpec& spec) {
     auto& images = machine.images;
     std::erase_if(images, [&](const auto& i) { return i.name == spec.image; });
     images.push_front({spec.image, spec.imageSize});
@@ -141,7 +141,7 @@
 }
 
 void ClusterState::addAllocation(Job& job, Slice& slice, Allocation allocation) {
-    slice.touch();
+    slice.markDirty();
     attach(job, allocation);
     slice.allocations.push_back(std::move(allocation));
 }
@@ -149,12 +149,12 @@
 void ClusterState::removeAllocation(Job& job, Slice& slice, std::uint32_t task) {
     const Allocation* allocation = slice.allocationOf(task);
     if (allocation == nullptr) return;
-    slice.touch();
+    slice.markDirty();
     detach(job, *allocation);
     std::erase_if(slice.allocations, [task](const Allocation& c) { return c.task == task; });
 }
 
-void ClusterState::dropJob(const std::string& id) {
+void ClusterState::removeJob(const std::string& id) {
     Job* found = job(id);
     if (found == nullptr) return;
     for (const auto& slice : found->slices) {
@@ -167,12 +167,12 @@
     jobs.erase(id);
 }
 
-void ClusterState::dropMachine(const std::string& id) {
+void ClusterState::removeMachine(const std::string& id) {
     if (const auto found = machines.find(id); found != machines.end()) {
         std::erase(byPartition_[found->second.partition], &found->second);
         machines.erase(found);
     }
-    goneMachines.insert(id);
+    deletedMachines.insert(id);
 }
 
 void ClusterState::shortenOthers(Job& job, const Slice& slice, const TaskRange& range) {
@@ -205,11 +205,11 @@
             old->machine == allocation.machine) {
             allocation = *old;
             allocation.durable = true;
-            if (!sameLeader) allocation.forgetState();
+            if (!sameLeader) allocation.resetReportedState();
         } else if (Machine* known = machine(allocation.machine)) {
             // Another leader's placement: whoever acquires its partition then knows where images
             // are cached. Without that all of them were fetched again after a failover.
-            recordImage(*known, job.spec);
+            addCachedImage(*known, job.spec);
         }
     }
 }
@@ -227,7 +227,7 @@
     for (const auto& allocation : slice.allocations) detach(job, allocation);
     slice.partition = content.partition;
     slice.failures = content.failures;
-    job.failures.any = job.failures.any || slice.failures > 0;
+    job.failures.anyFailure = job.failures.anyFailure || slice.failures > 0;
     slice.first = content.range.first;
     slice.divided = content.divided;
     slice.done = std::move(content.done);
@@ -239,7 +239,7 @@
     slice.recorded = {};
 }
 
-bool ClusterState::hasUnrecorded(PartitionId partition) const {
+bool ClusterState::hasUnrecordedChanges(PartitionId partition) const {
     return std::any_of(jobs.begin(), jobs.end(), [partition](const auto& entry) {
         const auto& slices = entry.second.slices;
         return std::any_of(slices.begin(), slices.end(), [partition](const Slice& slice) {
@@ -248,7 +248,7 @@
     });
 }
 
-void ClusterState::discardUnrecorded(PartitionId partition) {
+void ClusterState::discardUnrecordedChanges(PartitionId partition) {
     for (auto& [id, found] : jobs)
         for (auto& slice : found.slices)
             if (slice.partition == partition && slice.dirty) {
@@ -259,8 +259,8 @@
 
 void ClusterState::divideSlice(Job& job, std::uint32_t index, const std::vector<Slice>& pieces) {
     // Allocations stay with their tasks and machines, whichever slice they are in.
-    job.sliceAt(index) = pieces.front();
-    for (std::size_t i = 1; i < pieces.size(); ++i) job.sliceAt(pieces[i].index) = pieces[i];
+    job.ensureSlice(index) = pieces.front();
+    for (std::size_t i = 1; i < pieces.size(); ++i) job.ensureSlice(pieces[i].index) = pieces[i];
 }
 
 void ClusterState::rebuildIndexes() {
--- a/src/storage/cluster_state.h
+++ b/src/storage/cluster_state.h
@@ -12,8 +12,8 @@
 #include <vector>
 
 #include "storage/cancellation_log.h"
+#include "storage/deleted_machines.h"
 #include "storage/dependency_graph.h"
-#include "storage/gone_machines.h"
 #include "storage/job.h"
 #include "storage/machine.h"
 #include "storage/partition.h"
@@ -65,7 +65,8 @@
     /// By machine. The machines stay with the partition that had them until its leader has written
     /// the records again.
     std::map<std::string, CorruptRecord> corruptMachines;
-    GoneMachines goneMachines;  ///< their records were deleted after proof; names never return
+    DeletedMachines
+        deletedMachines;  ///< their records were deleted after proof; names never return
     std::vector<protocol::MachineType> catalog;  ///< as last recorded
     std::uint64_t catalogVersion = 0;
 
@@ -87,8 +88,8 @@
     std::map<std::string, OutgoingQuota> outgoingQuotas;  ///< not durable
 
     // State of the replication.
-    std::uint64_t applied = 0;     ///< every change up to this revision has been applied
-    std::uint64_t generation = 0;  ///< how often the records have been read again
+    std::uint64_t appliedRevision = 0;  ///< every change up to this revision has been applied
+    std::uint64_t generation = 0;       ///< how often the records have been read again
 
     /// Null if there is no active record of the job.
     [[nodiscard]] Job* job(const std::string& id);
@@ -96,7 +97,7 @@
     [[nodiscard]] Machine* machine(const std::string& id);
     /// Adds a job whose record was seen for the first time.
     void addJob(Job job);
-    void dropJob(const std::string& id);
+    void removeJob(const std::string& id);
     /// Records a cancellation that is certain, and in the records at this revision
     /// (`CancellationLog::unknownRevision`: by a peer's word). False if it was known already.
     bool recordCancellation(const std::string& id, std::uint64_t revision);
@@ -120,18 +121,18 @@
     [[nodiscard]] const std::vector<Machine*>& machinesOf(PartitionId partition) const;
     /// Adds the machine, or moves it to the partition if it is known.
     Machine& addMachine(const std::string& id, PartitionId partition);
-    void dropMachine(const std::string& id);
+    void removeMachine(const std::string& id);
     void assignPartition(Machine& machine, PartitionId partition);
     /// The partition whose slices have allocations on the machine, or none.
     [[nodiscard]] std::optional<std::uint32_t> partitionOfAllocationsOn(
         const std::string& machine) const;
     /// Indexes the allocations whose records came before the machine's.
-    void attachAllocations(Machine& machine) const;
+    void indexAllocations(Machine& machine) const;
     /// Discards what this process knew of the tasks on the machine as a former leader: only
     /// heartbeats to the present leader tell.
-    void forgetTaskStates(const Machine& machine);
+    void resetTaskStates(const Machine& machine);
     /// Records that the machine has the image, or will have it soon.
-    void recordImage(Machine& machine, const JobSpec& spec);
+    void addCachedImage(Machine& machine, const JobSpec& spec);
 
     /// Empty unless the task has an allocation with this attempt.
     [[nodiscard]] AllocationRef findAllocation(const TaskRef& ref);
@@ -143,10 +144,10 @@
     /// Replaces a slice by its pieces; each gets the place of its index.
     void divideSlice(Job& job, std::uint32_t index, const std::vector<Slice>& pieces);
     /// Whether a slice of the partition has changes that are not recorded.
-    [[nodiscard]] bool hasUnrecorded(PartitionId partition) const;
+    [[nodiscard]] bool hasUnrecordedChanges(PartitionId partition) const;
     /// Returns the partition's slices to what their records hold. What this process has concluded
     /// as the partition's leader without recording it is void once another node may have led it.
-    void discardUnrecorded(PartitionId partition);
+    void discardUnrecordedChanges(PartitionId partition);
 
     /// Drops all that replicates records, before they are read again.
     void clearRecords();
--- a/src/storage/gone_machines.cpp
+++ b/src/storage/deleted_machines.cpp
@@ -1,8 +1,8 @@
-#include "storage/gone_machines.h"
+#include "storage/deleted_machines.h"
 
 namespace fawnwheel::storage {
 
-void GoneMachines::insert(const std::string& id) {
+void DeletedMachines::insert(const std::string& id) {
     if (!known_.insert(id).second) return;
     order_.push_back(id);
     if (order_.size() <= std::max(minKept, maxMachines_ * 2)) return;
--- a/src/storage/gone_machines.h
+++ b/src/storage/deleted_machines.h
@@ -12,7 +12,7 @@
 
 /// Names of machines that are gone, as many as an outdated list of the cloud may still show: at
 /// least twice as many as existed at the same time.
-class GoneMachines {
+class DeletedMachines {
   public:
     void insert(const std::string& id);
     /// So many machines are known at this time.
--- a/src/storage/dependency_graph.h
+++ b/src/storage/dependency_graph.h
@@ -31,13 +31,13 @@
 class DependencyGraph {
   public:
     /// How long a job takes from its release to its end, as far as can be foreseen.
-    using StepTimeEstimator = std::function<Seconds(const JobSpec&)>;
+    using TurnaroundEstimator = std::function<Seconds(const JobSpec&)>;
 
     explicit DependencyGraph(std::map<std::string, Job>& jobs) : jobs_(jobs) {}
 
     /// Until this is set, a job takes as long as its specification estimates. Set once at start,
     /// because the estimator needs the cluster state itself.
-    void setStepTimeEstimator(StepTimeEstimator estimator) { stepTime_ = std::move(estimator); }
+    void setTurnaroundEstimator(TurnaroundEstimator estimator) { stepTime_ = std::move(estimator); }
 
     /// The job's active record was seen for the first time; its specification and the time of its
     /// submission are set.
@@ -91,7 +91,7 @@
     std::unordered_map<std::string, std::vector<std::string>> dependents_;  // by dependency
     std::unordered_map<std::string, TerminalState> terminals_;              // of dependencies
     std::set<std::string> unresolved_;
-    StepTimeEstimator stepTime_ = [](const JobSpec& spec) { return spec.estimate; };
+    TurnaroundEstimator stepTime_ = [](const JobSpec& spec) { return spec.estimate; };
 };
 
 }  // namespace fawnwheel::storage
--- a/src/storage/job.cpp
+++ b/src/storage/job.cpp
@@ -34,13 +34,13 @@
     return range().contains(task) && !done[task - first] && allocationOf(task) == nullptr;
 }
 
-std::uint32_t Slice::waiting() const {
+std::uint32_t Slice::waitingTasks() const {
     const auto started = doneCount + allocations.size();
     const auto elsewhere = migrating ? migrating->count : 0;
     return size() - static_cast<std::uint32_t>(std::min<std::size_t>(size(), started + elsewhere));
 }
 
-TaskRange Slice::lastUnstarted() const {
+TaskRange Slice::trailingUnstarted() const {
     auto end = first + size();
     while (end > first && !unstarted(end - 1)) --end;
     auto begin = end;
@@ -55,7 +55,7 @@
     return content;
 }
 
-void Slice::touch() {
+void Slice::markDirty() {
     if (dirty) return;
     recorded = content();
     dirty = true;
@@ -80,7 +80,7 @@
     return std::find(done.begin(), done.end(), false) == done.end();
 }
 
-bool Job::anyAllocation() const {
+bool Job::hasAllocations() const {
     return std::any_of(slices.begin(), slices.end(),
                        [](const Slice& s) { return !s.allocations.empty(); });
 }
@@ -98,7 +98,7 @@
 }
 
 bool Job::crashLooping() const {
-    if (!failures.any || failures.disproved || doneTasks() > 0) return false;
+    if (!failures.anyFailure || failures.crashLoopDisproved || doneTasks() > 0) return false;
     std::uint32_t machines = 0;
     for (const auto& slice : slices) machines += slice.failures;
     return machines >= failedMachinesOfCrashLoop;
@@ -117,14 +117,14 @@
     return found == slices.end() ? nullptr : &*found;
 }
 
-std::optional<TaskRange> Job::undividedRange(std::uint32_t index) const {
+std::optional<TaskRange> Job::initialRange(std::uint32_t index) const {
     const std::uint64_t first = std::uint64_t{index} * sliceSize;
     if (first >= spec.tasks) return std::nullopt;
     const auto begin = static_cast<std::uint32_t>(first);
     return TaskRange{begin, std::min(sliceSize, spec.tasks - begin)};
 }
 
-Slice& Job::sliceAt(std::uint32_t index) {
+Slice& Job::ensureSlice(std::uint32_t index) {
     while (slices.size() <= index) {
         Slice empty;
         empty.index = static_cast<std::uint32_t>(slices.size());
@@ -135,7 +135,7 @@
     return slices[index];
 }
 
-bool Job::undivided() const {
+bool Job::requiresSingleLeader() const {
     return spec.kind == protocol::JobKind::gang || spec.oneZone || spec.spread;
 }
 
--- a/src/storage/job.h
+++ b/src/storage/job.h
@@ -31,19 +31,19 @@
 
     // Not durable.
     bool durable = false;              ///< whether the fields above are in the slice's record
-    bool abandoned = false;            ///< not to be started any more; waits for the proof
-    bool seen = false;                 ///< reported at least once
-    int startsSent = 0;                ///< in answers, without a heartbeat that shows the task
+    bool startCancelled = false;       ///< not to be started any more; waits for the proof
+    bool reported = false;             ///< reported at least once
+    int unconfirmedStarts = 0;         ///< in answers, without a heartbeat that shows the task
     std::optional<Seconds> stopGrace;  ///< to be stopped, with this much time for its checkpoint
     protocol::TaskState state = protocol::TaskState::fetching;
-    SteadyTime made{};              ///< when the allocation was made
-    std::optional<SteadyTime> ran;  ///< when it was first reported as running
+    SteadyTime createdAt{};                  ///< when the allocation was made
+    std::optional<SteadyTime> runningSince;  ///< when it was first reported as running
 
     /// For a new leader: the task may have been started or not, and commands may not have arrived;
     /// only a heartbeat to the present leader tells.
-    void forgetState() {
-        seen = false;
-        startsSent = 0;
+    void resetReportedState() {
+        reported = false;
+        unconfirmedStarts = 0;
         stopGrace.reset();
     }
 };
@@ -82,7 +82,7 @@
     std::uint64_t version = 0;   ///< 0: no record; its content is as the job's record gives it
 
     // Not durable.
-    bool dirty = false;                    ///< changed since `version`; set by `touch` alone
+    bool dirty = false;                    ///< changed since `version`; set by `markDirty` alone
     SliceContent recorded;                 ///< while dirty: the content as of `version`
     std::optional<SteadyTime> dirtySince;  ///< as the state writer saw it
     std::optional<TaskRange> migrating;    ///< to another partition: not to be placed here
@@ -90,21 +90,21 @@
     [[nodiscard]] std::uint32_t size() const { return static_cast<std::uint32_t>(done.size()); }
     [[nodiscard]] TaskRange range() const { return {first, size()}; }
     [[nodiscard]] bool complete() const { return doneCount == done.size(); }
-    [[nodiscard]] bool untouched() const { return allocations.empty() && doneCount == 0; }
+    [[nodiscard]] bool hasNotStarted() const { return allocations.empty() && doneCount == 0; }
     [[nodiscard]] bool isMigrating(std::uint32_t task) const {
         return migrating && migrating->contains(task);
     }
     /// Neither done nor allocated.
     [[nodiscard]] bool unstarted(std::uint32_t task) const;
     /// How many of its tasks wait to be placed here.
-    [[nodiscard]] std::uint32_t waiting() const;
+    [[nodiscard]] std::uint32_t waitingTasks() const;
     /// The last consecutive tasks that are unstarted; none: an empty range.
-    [[nodiscard]] TaskRange lastUnstarted() const;
+    [[nodiscard]] TaskRange trailingUnstarted() const;
     [[nodiscard]] const Allocation* allocationOf(std::uint32_t task) const;
     [[nodiscard]] Allocation* allocationOf(std::uint32_t task);
     void markDone(std::uint32_t task);
     /// To be called before any change of the content, so that the change can be discarded.
-    void touch();
+    void markDirty();
     /// What a record of the present content would hold.
     [[nodiscard]] SliceContent content() const;
 };
@@ -112,10 +112,10 @@
 /// What this process has seen of a job's failed tasks. The durable part is `Slice::failures`.
 struct FailureHistory {
     std::map<std::string, SteadyTime> machines;  ///< where tasks failed, and when last
-    Duration longestRun{};                       ///< of a task that failed
-    int probes = 0;          ///< that have failed since the job was found to be crash-looping
-    bool any = false;        ///< some slice has failures
-    bool disproved = false;  ///< a task has since run for longer than those that failed
+    Duration longestFailedRun{};                 ///< of a task that failed
+    int failedProbes = 0;     ///< that have failed since the job was found to be crash-looping
+    bool anyFailure = false;  ///< some slice has failures
+    bool crashLoopDisproved = false;  ///< a task has since run for longer than those that failed
 };
 
 /// A job with an active record.
@@ -132,12 +132,12 @@
     std::deque<Slice> slices;
 
     // Not durable.
-    bool completing = false;  ///< the transaction that ends it has no outcome yet
-    SteadyTime notBefore{};   ///< backing off
+    bool completing = false;    ///< the transaction that ends it has no outcome yet
+    SteadyTime backoffUntil{};  ///< backing off
     FailureHistory failures;
-    bool classed = false;         ///< counted among its class
-    SteadyTime preemptedUntil{};  ///< others have been stopped for it
-    std::string assemblyZone;     ///< where a gang that must stay in one zone assembles machines
+    bool countedInClass = false;           ///< counted among its class
+    SteadyTime preemptionReservedUntil{};  ///< others have been stopped for it
+    std::string assemblyZone;  ///< where a gang that must stay in one zone assembles machines
     SteadyTime assemblySince{};
 
     // Kept by `DependencyGraph`, and computed from the records alone, so that nodes agree on it.
@@ -150,7 +150,7 @@
 
     /// Whether each of its tasks is done. Tasks that two slices cover count once.
     [[nodiscard]] bool complete() const;
-    [[nodiscard]] bool anyAllocation() const;
+    [[nodiscard]] bool hasAllocations() const;
     [[nodiscard]] std::uint32_t doneTasks() const;
     [[nodiscard]] std::uint32_t allocatedTasks() const;
     [[nodiscard]] Slice* sliceOf(std::uint32_t task);
@@ -161,12 +161,12 @@
     /// Whether its tasks have lately failed on the machine.
     [[nodiscard]] bool avoids(const std::string& machine, SteadyTime now) const;
     /// The tasks of the slice with this index before any division; none: division has added it.
-    [[nodiscard]] std::optional<TaskRange> undividedRange(std::uint32_t index) const;
+    [[nodiscard]] std::optional<TaskRange> initialRange(std::uint32_t index) const;
     /// The slice with this index, added as an empty one if it is missing.
-    Slice& sliceAt(std::uint32_t index);
+    Slice& ensureSlice(std::uint32_t index);
     /// Whether all its tasks must have one leader: gangs and jobs whose tasks' zones depend on one
     /// another.
-    [[nodiscard]] bool undivided() const;
+    [[nodiscard]] bool requiresSingleLeader() const;
 };
 
 /// The slices of a job before any division, without records.
--- a/src/storage/machine.h
+++ b/src/storage/machine.h
@@ -52,10 +52,10 @@
     std::uint64_t agentEpoch = 0;
     std::uint64_t sequence = 0;               ///< of the last heartbeat in this epoch
     std::uint64_t expiredAgentEpoch = 0;      ///< its lease has surely run out
-    SteadyTime heartbeatRequested{};          ///< when its worker was last made to heartbeat
+    SteadyTime heartbeatRequestedAt{};        ///< when its worker was last made to heartbeat
     std::optional<SteadyTime> lastHeartbeat;  ///< last newer one, by this process as its leader
-    SteadyTime silentSince{};                 ///< leases can't have been renewed after this
-    SteadyTime unansweredUntil{};             ///< not answered, so that its lease runs out
+    SteadyTime lastPossibleRenewal{};         ///< leases can't have been renewed after this
+    SteadyTime ignoreHeartbeatsUntil{};       ///< not answered, so that its lease runs out
 
     // Fencing. An answer sent is no answer received: only a heartbeat that shows the expected token
     // proves that the worker has received this leader's answer. Until then the machine gets no
@@ -66,14 +66,15 @@
     std::uint64_t expectedToken = 0;
     std::uint64_t acknowledgedToken = 0;
     SteadyTime unacknowledgedSince{};
-    int unacknowledged = 0;  ///< answered heartbeats in a row that don't show the expected token
+    int unacknowledgedResponses =
+        0;  ///< answered heartbeats in a row that don't show the expected token
 
     // The machine's life in the cloud.
-    SteadyTime known{};  ///< when this process first knew of it
+    SteadyTime knownSince{};  ///< when this process first knew of it
     SteadyTime idleSince{};
     std::optional<SteadyTime> interruptionAt;  ///< the cloud reclaims it then
-    std::optional<SteadyTime> listed;          ///< when the last list that shows it was received
-    bool failedInList = false;
+    std::optional<SteadyTime> lastListed;      ///< when the last list that shows it was received
+    bool listedAsFailed = false;
 
     // Moves to another partition.
     bool transferring = false;  ///< its record is being changed to another partition
@@ -82,14 +83,14 @@
     std::optional<std::uint32_t> departedTo;
 
     // Scheduling.
-    SteadyTime notBefore{};      ///< no new work before
-    bool consolidating = false;  ///< its tasks move together with others, then it is released
-    std::string reservedFor;     ///< job that capacity is reserved for: others were stopped, or it
-                                 ///< is a gang
+    SteadyTime unschedulableUntil{};  ///< no new work before
+    bool consolidating = false;       ///< its tasks move together with others, then it is released
+    std::string reservedFor;  ///< job that capacity is reserved for: others were stopped, or it
+                              ///< is a gang
     std::uint32_t reservedTasks = 0;
     Resources reservedCapacity;
     SteadyTime reservedUntil{};
-    std::size_t exited = 0;            ///< tasks in its last heartbeat that have ended
+    std::size_t exitedTasks = 0;       ///< tasks in its last heartbeat that have ended
     std::set<std::string> failedJobs;  ///< whose tasks have failed here since one was done
     std::deque<CachedImage> images;    ///< most recently used first
     std::vector<TaskRef> allocations;  ///< index of the slices' allocations on it
--- a/src/storage/record_codec.cpp
+++ b/src/storage/record_codec.cpp
@@ -48,7 +48,7 @@
 
 /// The tasks that a slice's record covers: those that its index gives, unless it names them.
 std::optional<TaskRange> readRange(const Job& job, std::uint32_t index, const Json& value) {
-    if (!value.contains(rangeCount)) return job.undividedRange(index);
+    if (!value.contains(rangeCount)) return job.initialRange(index);
     const auto first = countOf(value, rangeFirst);
     const auto count = countOf(value, rangeCount);
     if (count == 0 || first >= job.spec.tasks || count > job.spec.tasks - first)
--- a/src/storage/record_replay.cpp
+++ b/src/storage/record_replay.cpp
@@ -21,7 +21,7 @@
 void applyJob(ClusterState& clusterState, const std::string& id, const protocol::Event& event) {
     Job* known = clusterState.job(id);
     if (known != nullptr && known->version >= event.version) return;
-    if (!event.value) return clusterState.dropJob(id);
+    if (!event.value) return clusterState.removeJob(id);
     const auto record = readJob(*event.value);
     if (!record) return;
     if (known == nullptr) {
@@ -55,7 +55,7 @@
     if (!index || *index >= std::uint64_t{job->spec.tasks} * 2) return;
     auto content = readSlice(*job, *index, *event.value);
     if (!content) return;
-    Slice& slice = job->sliceAt(*index);
+    Slice& slice = job->ensureSlice(*index);
     if (slice.version >= event.version) return;
     clusterState.replaceSlice(*job, slice, std::move(*content));
     slice.version = event.version;
@@ -64,13 +64,13 @@
 /// What the machine's former leader observed does not hold for the new one.
 void resetAfterMove(Machine& machine, SteadyTime now) {
     machine.reservedUntil = {};
-    machine.notBefore = {};
+    machine.unschedulableUntil = {};
     machine.consolidating = false;
     machine.transferring = false;
     machine.departedTo.reset();
     machine.interruptionAt.reset();
-    machine.unansweredUntil = {};
-    machine.known = machine.silentSince = machine.idleSince = now;
+    machine.ignoreHeartbeatsUntil = {};
+    machine.knownSince = machine.lastPossibleRenewal = machine.idleSince = now;
 }
 
 /// Sets where the fencing tokens of the new leader begin for the machine's worker.
@@ -83,7 +83,7 @@
     // With tasks on it nothing is proved until the worker has shown the new leader's token.
     machine.acknowledgedToken = machine.transferredBy.empty() ? machine.minFencingToken : 0;
     machine.unacknowledgedSince = now;
-    machine.unacknowledged = 0;
+    machine.unacknowledgedResponses = 0;
 }
 
 void applyMachineRecord(ClusterState& clusterState, MachineRecord record, SteadyTime now) {
@@ -92,13 +92,13 @@
     const bool moved = !fresh && known->partition != record.partition;
     Machine& machine = clusterState.addMachine(record.id, record.partition);
     machine.setRecord(std::move(record));
-    if (fresh) machine.known = machine.silentSince = machine.idleSince = now;
+    if (fresh) machine.knownSince = machine.lastPossibleRenewal = machine.idleSince = now;
     if (moved) {
         resetAfterMove(machine, now);
         startTokens(machine, now);
-        clusterState.forgetTaskStates(machine);
+        clusterState.resetTaskStates(machine);
     }
-    if (fresh) clusterState.attachAllocations(machine);
+    if (fresh) clusterState.indexAllocations(machine);
 }
 
 void applyMachine(ClusterState& clusterState, const std::string& id, const protocol::Event& event,
@@ -108,7 +108,7 @@
     if (!event.value) {
         clusterState.corruptMachines.erase(id);
         // Version 0: not yet recorded, its first write is in flight.
-        if (known != nullptr && known->version > 0) clusterState.dropMachine(id);
+        if (known != nullptr && known->version > 0) clusterState.removeMachine(id);
         return;
     }
     const Json& value = *event.value;
--- a/src/storage/slice_size.cpp
+++ b/src/storage/slice_size.cpp
@@ -20,7 +20,7 @@
         static_cast<std::uint32_t>(std::max(1.0, bounds.valueKb * 1024 / bytesPerTask));
     Job job;
     job.spec = spec;
-    if (job.undivided()) return std::min(maxTasks, spec.tasks);
+    if (job.requiresSingleLeader()) return std::min(maxTasks, spec.tasks);
     // With many small slices, tasks of a job that changed together took many writes, and the write
     // limit of the state service delayed the starts. An array that is so large that even its
     // allocations and completions take longer than this gets larger slices.
--- a/tests/unit/coordination/migration/machine_transfers_test.cpp
+++ b/tests/unit/coordination/migration/machine_transfers_test.cpp
@@ -51,7 +51,7 @@
         for (auto& [id, known] : clusterState->jobs)
             for (auto& piece : known.slices)
                 for (auto& allocation : piece.allocations) {
-                    allocation.seen = true;
+                    allocation.reported = true;
                     allocation.state = protocol::TaskState::running;
                 }
         timers.advance(60s);
@@ -225,7 +225,8 @@
     EXPECT_EQ(refusedWith([&] { known.lastHeartbeat = context.now() - 11s; }), Refusal::silent);
     EXPECT_EQ(refusedWith([&] { known.expectedToken = known.acknowledgedToken + 1; }),
               Refusal::silent);
-    EXPECT_EQ(refusedWith([&] { known.known = context.now() - 29s; }), Refusal::belowMinTenure);
+    EXPECT_EQ(refusedWith([&] { known.knownSince = context.now() - 29s; }),
+              Refusal::belowMinTenure);
     EXPECT_EQ(refusedWith([&] {
                   known.reservedFor = "run-1";  // of the giver's own partition
                   known.reservedUntil = context.now() + 5s;
@@ -319,7 +320,7 @@
         // Read anew, the records say nothing of what the workers heartbeat.
         auto clusterState = context.clusterState.lock();
         for (auto& [id, known] : clusterState->machines) known.lastHeartbeat = context.now();
-        for (auto& [id, known] : clusterState->machines) known.known = context.now() - 60s;
+        for (auto& [id, known] : clusterState->machines) known.knownSince = context.now() - 60s;
     }
     give("m-1");
     const auto sent = state.nextTransaction();
--- a/tests/unit/coordination/replication/record_bench.h
+++ b/tests/unit/coordination/replication/record_bench.h
@@ -83,7 +83,7 @@
         auto clusterState = context.clusterState.lock();
         for (const auto& [key, record] : state.records)
             storage::applyEvent(*clusterState, {key, record.value, record.version}, context.now());
-        clusterState->applied = state.revision;
+        clusterState->appliedRevision = state.revision;
     }
     /// Answers all requests that wait, as often as new ones come; watches only for the first half
     /// of the rounds, because each answer brings the next one.
--- a/tests/unit/coordination/replication/state_writer_test.cpp
+++ b/tests/unit/coordination/replication/state_writer_test.cpp
@@ -215,7 +215,7 @@
     {
         auto clusterState = context.clusterState.lock();
         storage::applyEvent(*clusterState, {job("run-1"), record.value, record.version}, {});
-        clusterState->applied = state.revision;
+        clusterState->appliedRevision = state.revision;
     }
     stateWriter.flush(0);
     timers.advance(std::chrono::milliseconds(20));
@@ -289,7 +289,7 @@
         auto clusterState = context.clusterState.lock();
         Job& known = *clusterState->job("run-1");
         auto found = makeAllocation(0, "m-1", 7);
-        found.seen = true;
+        found.reported = true;
         clusterState->addAllocation(known, known.slices[0], found);
         clusterState->addAllocation(known, known.slices[1], makeAllocation(4, "m-1", 8));
     }
--- a/tests/unit/coordination/workers/fault_attribution_test.cpp
+++ b/tests/unit/coordination/workers/fault_attribution_test.cpp
@@ -20,7 +20,7 @@
         job.spec.tasks = 8;
         job.sliceSize = 4;
         job.slices = makeSlices(job.spec, 4, 0);
-        job.failures.any = true;
+        job.failures.anyFailure = true;
     }
 
     Job job;
@@ -81,7 +81,7 @@
 
 TEST_F(FailingJob, WhatWasNotRecordedCanBeDiscarded) {
     Slice& slice = job.slices[0];
-    slice.touch();
+    slice.markDirty();
     slice.failures = 3;
     EXPECT_EQ(slice.recorded.failures, 0U);
 }
--- a/tests/unit/storage/gone_machines_test.cpp
+++ b/tests/unit/storage/deleted_machines_test.cpp
@@ -1,12 +1,12 @@
-#include "storage/gone_machines.h"
+#include "storage/deleted_machines.h"
 
 #include <gtest/gtest.h>
 
 namespace fawnwheel::storage {
 namespace {
 
-TEST(GoneMachines, ForgetsTheOneThatWentFirst) {
-    GoneMachines gone;
+TEST(DeletedMachines, ForgetsTheOneThatWentFirst) {
+    DeletedMachines gone;
     gone.insert("m-9");
     for (int i = 10'000; i < 13'999; ++i) gone.insert("m-" + std::to_string(i));
     EXPECT_TRUE(gone.contains("m-9"));
--- a/tests/unit/storage/dependency_graph_test.cpp
+++ b/tests/unit/storage/dependency_graph_test.cpp
@@ -27,7 +27,7 @@
     }
     void end(const std::string& id, bool cancelled, WallTime at) {
         clusterState.dependencyGraph.recordTerminal(id, {cancelled, at});
-        clusterState.dropJob(id);
+        clusterState.removeJob(id);
     }
 
     ClusterState clusterState;
@@ -43,7 +43,7 @@
     end("run-a", false, start + 20s);
     EXPECT_TRUE(last.blockedOnDependencies);
     // Its active record is gone, but nobody has read yet how it ended.
-    clusterState.dropJob("run-b");
+    clusterState.removeJob("run-b");
     EXPECT_TRUE(last.blockedOnDependencies);
     EXPECT_EQ(clusterState.dependencyGraph.unresolved(), std::set<std::string>{"run-b"});
     EXPECT_FALSE(clusterState.schedulable(last));
--- a/tests/unit/storage/records_test.cpp
+++ b/tests/unit/storage/records_test.cpp
@@ -220,9 +220,9 @@
     known.slices[0].markDone(1);
     allocation.task = 5;
     clusterState.addAllocation(known, known.slices[1], allocation);
-    EXPECT_TRUE(clusterState.hasUnrecorded(1));
-    clusterState.discardUnrecorded(1);
-    EXPECT_FALSE(clusterState.hasUnrecorded(1));
+    EXPECT_TRUE(clusterState.hasUnrecordedChanges(1));
+    clusterState.discardUnrecordedChanges(1);
+    EXPECT_FALSE(clusterState.hasUnrecordedChanges(1));
     EXPECT_EQ(sliceValue(known.slices[0]), sliceValue(first));
     EXPECT_EQ(sliceValue(known.slices[1]), sliceValue(job.slices[1]));
     EXPECT_EQ(clusterState.machine("m-1")->allocations, (std::vector<TaskRef>{{"run-1", 1, 7}}));
@@ -250,7 +250,7 @@
     putMachine("m-1", 3);
     drop(keys::machine("m-1"), 4);
     EXPECT_EQ(clusterState.machine("m-1"), nullptr);
-    EXPECT_TRUE(clusterState.goneMachines.contains("m-1"));
+    EXPECT_TRUE(clusterState.deletedMachines.contains("m-1"));
 }
 
 TEST_F(Records, RecordingACancellationAppliesNothingElse) {
