--- a/src/coordination/workers/command_sender.cpp
+++ b/src/coordination/workers/command_sender.cpp
@@ -62,7 +62,7 @@
         return false;
     const auto nextDue =
         *machine.lastHeartbeat + toSteadyDuration(context_.settings.heartbeatInterval);
-    return now - machine.heartbeatRequested >=
+    return now - machine.heartbeatRequestedAt >=
                toSteadyDuration(context_.settings.lease * requestIntervalLeases) &&
            nextDue - now >= minTimeToNextHeartbeat;
 }
@@ -76,7 +76,7 @@
         // A higher token is a change for which the worker sends a heartbeat; it does so once in
         // half a lease. Late, this raises the token to no more than heartbeats are answered with by
         // then, and commands nothing.
-        machine->heartbeatRequested = context_.now();
+        machine->heartbeatRequestedAt = context_.now();
         ++machine->fencingToken;
         send(*machine, {});
     }
