--- a/src/coordination/controller.cpp
+++ b/src/coordination/controller.cpp
@@ -14,9 +14,10 @@
 
 }  // namespace
 
-Controller::Controller(const config::Settings& settings, const config::OperatorSettings& tuning,
-                       transport::Timers& timers, transport::Network& network, std::uint64_t seed)
-    : context_(settings, tuning, timers, network, seed),
+Controller::Controller(const config::Settings& settings,
+                       const config::OperatorSettings& operatorSettings, transport::Timers& timers,
+                       transport::Network& network, std::uint64_t seed)
+    : context_(settings, operatorSettings, timers, network, seed),
       pipeline_(context_),
       replica_(context_, pipeline_, *this),
       reachability_(context_, *this),
@@ -37,7 +38,7 @@
       preemption_(context_, queueOrder_),
       consolidation_(context_),
       quotas_(context_, membership_, pipeline_, teamQuotas_, queueOrder_),
-      transfers_(context_, pipeline_, stateWriter_.writer(), quotas_, heartbeats_, *this),
+      transfers_(context_, pipeline_, stateWriter_.sliceWriter(), quotas_, heartbeats_, *this),
       lending_(context_, membership_, placement_, transfers_),
       rebalancer_(context_, membership_, pipeline_, placement_, transfers_, *this),
       migrator_(context_, membership_, pipeline_, stateWriter_, placement_),
@@ -47,8 +48,8 @@
       router_(replica_, membership_, reachability_, heartbeats_, admission_),
       peers_({membership_, migrator_, autoscaler_, lending_, quotas_, completionNotifier_,
               rebalancer_}) {
-    context_.clusterState.lock()->dependencyGraph.setStepTimeEstimator(
-        [this](const protocol::JobSpec& spec) { return queueOrder_.stepTime(spec); });
+    context_.clusterState.lock()->dependencyGraph.setTurnaroundEstimator(
+        [this](const protocol::JobSpec& spec) { return queueOrder_.estimatedTurnaround(spec); });
 }
 
 void Controller::onJobAccepted() {
@@ -70,7 +71,7 @@
 
 void Controller::onJobTerminal(const std::string& id, bool cancelled) {
     statusReader_.recordTerminal(id, cancelled);
-    completionNotifier_.announce(id);
+    completionNotifier_.notifyDependents(id);
     stopping_.erase(id);
 }
 
@@ -143,7 +144,7 @@
         pipeline_.abandon(partition);
         return replica_.resync();
     }
-    context_.clusterState.lock()->discardUnrecorded(partition);
+    context_.clusterState.lock()->discardUnrecordedChanges(partition);
 }
 
 void Controller::stopCancelledJobs() {
@@ -151,7 +152,7 @@
     {
         auto clusterState = context_.clusterState.lock();
         for (const auto& [id, job] : clusterState->jobs)
-            if (clusterState->knownCancelled(job) && job.anyAllocation() &&
+            if (clusterState->knownCancelled(job) && job.hasAllocations() &&
                 stopping_.insert(id).second)
                 fresh.push_back(id);
     }
@@ -164,7 +165,7 @@
         reconciler_.reconcileMachines(partition);
         if (membership_.isLeaseValid()) lending_.returnIdleLoans(partition);
         if (membership_.isLeaseValid() && warmPool_.mayConsolidate(partition))
-            if (const auto machine = consolidation_.consolidateOne(partition))
+            if (const auto machine = consolidation_.consolidateOneMachine(partition))
                 heartbeats_.sendPendingStops(*machine);
     }
     std::erase_if(stopping_, [this](const std::string& id) {
--- a/src/coordination/membership/failover.cpp
+++ b/src/coordination/membership/failover.cpp
@@ -123,7 +123,7 @@
     const auto failed = failedAcquisitions_.find(partition);
     return failed != failedAcquisitions_.end() &&
            (context_.now() < failed->second.retryAt ||
-            context_.clusterState.lock()->applied < failed->second.revision);
+            context_.clusterState.lock()->appliedRevision < failed->second.revision);
 }
 
 protocol::CompareAndSwap Failover::acquisitionTransaction(ClusterState& clusterState,
@@ -155,7 +155,7 @@
         newRecord.term = clusterState->lastTerm + 1;
         transaction = acquisitionTransaction(*clusterState, partition, newRecord);
     }
-    context_.state.transact(
+    context_.stateClient.transact(
         std::move(transaction), protocol::RequestPriority::lease,
         [this, partition, newRecord](const protocol::CompareAndSwapResponse& response) {
             pendingPartitions_.erase(partition);
@@ -205,7 +205,7 @@
     // because the new leader may start at any moment.
     acquiredTerms_.erase(partition);
     leadership_.announceLosses();
-    context_.state.transact(
+    context_.stateClient.transact(
         std::move(transaction), protocol::RequestPriority::lease,
         [this, partition, newRecord](const protocol::CompareAndSwapResponse& response) {
             pendingPartitions_.erase(partition);
--- a/src/coordination/membership/membership.cpp
+++ b/src/coordination/membership/membership.cpp
@@ -43,7 +43,7 @@
 
 bool Membership::healthy() const {
     if (!replica_.synced() || context_.catalog.empty()) return false;
-    if (isLeaseValid() || context_.state.reachable()) return true;
+    if (isLeaseValid() || context_.stateClient.reachable()) return true;
     // If the state service is down for all nodes, leaving the load balancer would only delay the
     // recovery. If it refuses only this node, users should go to the peers that it serves.
     return !peers_.anyPeerServing();
--- a/src/coordination/membership/node_lease.cpp
+++ b/src/coordination/membership/node_lease.cpp
@@ -22,17 +22,18 @@
 }
 
 SteadyTime NodeLease::earliestExpiry(SteadyTime sentAt) const {
-    return sentAt + ticks(context_.tuning.nodeLease * clockDriftFactor) - timerResolution;
+    return sentAt + toSteadyDuration(context_.operatorSettings.nodeLease * clockDriftFactor) -
+           timerResolution;
 }
 
 void NodeLease::requestLease() {
     if (!replica_.synced()) return scheduleLeaseRequest();
     const auto sentAt = context_.now();
-    context_.state.grantLease(ticks(context_.tuning.nodeLease),
-                              [this, sentAt](std::uint64_t leaseId) {
-                                  if (leaseId == 0) return scheduleLeaseRequest();
-                                  writeNodeRecord(leaseId, sentAt);
-                              });
+    context_.stateClient.grantLease(toSteadyDuration(context_.operatorSettings.nodeLease),
+                                    [this, sentAt](std::uint64_t leaseId) {
+                                        if (leaseId == 0) return scheduleLeaseRequest();
+                                        writeNodeRecord(leaseId, sentAt);
+                                    });
 }
 
 protocol::CompareAndSwap NodeLease::nodeRecordTransaction(std::uint64_t leaseId) {
@@ -77,8 +78,8 @@
         if (response.result != protocol::StateResult::ok) return scheduleLeaseRequest();
         onNodeRecordWritten(leaseId, sentAt, response.revision);
     };
-    context_.state.transact(nodeRecordTransaction(leaseId), protocol::RequestPriority::lease,
-                            onResponse);
+    context_.stateClient.transact(nodeRecordTransaction(leaseId), protocol::RequestPriority::lease,
+                                  onResponse);
 }
 
 void NodeLease::onNodeRecordRefused(const std::vector<std::string>& failedKeys) {
@@ -94,13 +95,14 @@
     joined_ = true;
     validUntil_ = earliestExpiry(sentAt);
     spdlog::info("node_lease: joined lease={}", leaseId_);
-    context_.timers.after(ticks(context_.tuning.nodeLease / renewalsPerLease), [this] { renew(); });
+    context_.timers.after(toSteadyDuration(context_.operatorSettings.nodeLease / renewalsPerLease),
+                          [this] { renew(); });
     observer_.onJoined();
 }
 
 void NodeLease::refreshNodeVersion(std::uint64_t leaseId, SteadyTime sentAt) {
     const auto key = storage::keys::node(context_.settings.name);
-    context_.state.read(key, [this, leaseId, sentAt](const protocol::ReadResponse& response) {
+    context_.stateClient.read(key, [this, leaseId, sentAt](const protocol::ReadResponse& response) {
         if (response.result != protocol::StateResult::ok) return scheduleLeaseRequest();
         {
             auto clusterState = context_.clusterState.lock();
@@ -110,7 +112,7 @@
                 clusterState->nodes[context_.settings.name] = response.items.front().version;
         }
         // Once half of the lease has passed, too little would be left of it: request a new one.
-        if (context_.now() - sentAt < ticks(context_.tuning.nodeLease / 2))
+        if (context_.now() - sentAt < toSteadyDuration(context_.operatorSettings.nodeLease / 2))
             writeNodeRecord(leaseId, sentAt);
         else
             scheduleLeaseRequest();
@@ -119,7 +121,7 @@
 
 void NodeLease::renew() {
     const auto sentAt = context_.now();
-    context_.state.renewLease(leaseId_, [this, sentAt](protocol::StateResult result) {
+    context_.stateClient.renewLease(leaseId_, [this, sentAt](protocol::StateResult result) {
         if (result == protocol::StateResult::conflict) {
             spdlog::info("node_lease: lease_lost lease={}", leaseId_);
             joined_ = false;
@@ -129,9 +131,10 @@
         }
         if (result == protocol::StateResult::ok)
             validUntil_ = std::max(validUntil_, earliestExpiry(sentAt));
-        const auto delay = result == protocol::StateResult::ok
-                               ? ticks(context_.tuning.nodeLease / renewalsPerLease)
-                               : context_.jittered(retryDelay);
+        const auto delay =
+            result == protocol::StateResult::ok
+                ? toSteadyDuration(context_.operatorSettings.nodeLease / renewalsPerLease)
+                : context_.jittered(retryDelay);
         context_.timers.after(delay, [this] { renew(); });
     });
 }
--- a/src/coordination/membership/partition_leadership.cpp
+++ b/src/coordination/membership/partition_leadership.cpp
@@ -31,7 +31,7 @@
 bool PartitionLeadership::canAnswerWorkers(PartitionId partition) const {
     if (!areCancellationsCurrent()) return false;
     if (lease_.isValid()) return true;
-    if (!lease_.joined() || context_.state.reachable()) return false;
+    if (!lease_.joined() || context_.stateClient.reachable()) return false;
     // Every peer must have confirmed the outage within `outageConfirmationValidity`. A peer that
     // reaches the state service again stops confirming the outage before it can acquire a
     // partition, so a new leader has to wait only this much longer for the leases of this node's
@@ -45,7 +45,7 @@
     if (!acquiredTerms_.isRecordedLeader(partition) || !lease_.joined() || !replica_.synced())
         return false;
     auto clusterState = context_.clusterState.lock();
-    return clusterState->applied >= clusterState->partitions[partition].version;
+    return clusterState->appliedRevision >= clusterState->partitions[partition].version;
 }
 
 bool PartitionLeadership::isAnnounced(PartitionId partition) const {
--- a/src/coordination/membership/peer_heartbeats.cpp
+++ b/src/coordination/membership/peer_heartbeats.cpp
@@ -145,14 +145,14 @@
     protocol::PeerHeartbeat status;
     status.sentAt = toMicroseconds(context_.now());
     status.echo = peer.sentAt;
-    status.stateReachable = context_.state.reachable();
+    status.stateReachable = context_.stateClient.reachable();
     status.ready = isReady();
     status.incarnation = incarnation_;
     status.acknowledgedIncarnation = peer.incarnation;
     status.acknowledged = peer.cancellationsReceived;
     auto clusterState = context_.clusterState.lock();
     const auto& log = clusterState->cancellations;
-    status.applied = replica_.everSynced() ? clusterState->applied : 0;
+    status.applied = replica_.everSynced() ? clusterState->appliedRevision : 0;
     // An earlier process of this node may have confirmed cancellations to users that only the
     // records contain, so the records must have been read.
     status.cancellationsCovered =
--- a/src/coordination/membership/worker_reachability.cpp
+++ b/src/coordination/membership/worker_reachability.cpp
@@ -66,7 +66,7 @@
     const auto silence =
         std::clamp<Seconds>(improbableSilence, interval * minSilenceInHeartbeatIntervals,
                             interval * maxSilenceInHeartbeatIntervals);
-    return std::max(minSilence, ticks(silence));
+    return std::max(minSilence, toSteadyDuration(silence));
 }
 
 std::vector<std::string> WorkerReachability::machineAddresses(
--- a/src/coordination/migration/machine_lending.cpp
+++ b/src/coordination/migration/machine_lending.cpp
@@ -26,7 +26,8 @@
             continue;
         const Job* job = clusterState->job(entry.job);
         if (job == nullptr || job->partition != partition) continue;
-        if (restUntil_.contains(entry.job) || !throttle_.isDue(entry.job, context_.now())) continue;
+        if (restUntil_.contains(entry.job) || !throttle_.tryAcquire(entry.job, context_.now()))
+            continue;
         auto lenders = findLenders(*clusterState, partition, entry, *job);
         divideRequest(lenders, entry, *job);
         for (const auto& lender : lenders) {
@@ -48,7 +49,7 @@
             continue;
         Lender lender{other, 0, 0, 0};
         for (const auto* machine : clusterState.machinesOf(other)) {
-            const auto* type = context_.type(machine->type);
+            const auto* type = context_.findMachineType(machine->type);
             if (machine->decommissioned || machine->version == 0 || type == nullptr ||
                 (!entry.zone.empty() && machine->zone != entry.zone) ||
                 !Placement::typeAllowed(gang.spec, *type, machine->zone, machine->spot))
@@ -97,14 +98,14 @@
                                 const Job& gang) const {
     // Work that comes later may be passed over, also a later gang that gathers: of two gangs that
     // each hold half of what both need, the earlier one gets all, so that neither waits for ever.
-    const auto* type = context_.type(machine.type);
+    const auto* type = context_.findMachineType(machine.type);
     return std::any_of(clusterState.jobs.begin(), clusterState.jobs.end(), [&](const auto& entry) {
         const Job& job = entry.second;
         if (&job == &gang || !clusterState.schedulable(job) || job.partition != machine.partition ||
             job.allocatedTasks() + job.doneTasks() >= job.spec.tasks)
             return false;
         return Placement::typeAllowed(job.spec, *type, machine.zone, machine.spot) &&
-               placement_.before(job, gang);
+               placement_.precedes(job, gang);
     });
 }
 
@@ -112,7 +113,7 @@
                              const protocol::LoanRequest& request) {
     const Job* gang = clusterState.job(request.job);
     return gang != nullptr && !gang->cancelled && gang->partition == request.borrower &&
-           !gang->anyAllocation() && request.borrower < context_.partitionCount() &&
+           !gang->hasAllocations() && request.borrower < context_.partitionCount() &&
            request.borrower != request.lender &&
            clusterState.partitions[request.borrower].leader == peer &&
            membership_.isLeader(request.lender) && membership_.isLeaseValid();
@@ -124,8 +125,8 @@
     Lendable lendable;
     const auto now = context_.now();
     for (auto* machine : clusterState.machinesOf(request.lender)) {
-        const auto* type = context_.type(machine->type);
-        if (!placement_.takesWork(*machine) ||
+        const auto* type = context_.findMachineType(machine->type);
+        if (!placement_.acceptsTasks(*machine) ||
             (!request.zone.empty() && machine->zone != request.zone) ||
             !Placement::typeAllowed(gang.spec, *type, machine->zone, machine->spot) ||
             neededHere(clusterState, *machine, gang))
@@ -133,7 +134,7 @@
         if (!machine->allocations.empty()) {
             const Job* reserving = clusterState.job(machine->reservedFor);
             if (now >= machine->reservedUntil || machine->reservedFor == request.job ||
-                (reserving != nullptr && placement_.before(gang, *reserving)))
+                (reserving != nullptr && placement_.precedes(gang, *reserving)))
                 lendable.busy.push_back(machine);
         } else if (lendable.idle.size() <
                    std::min<std::size_t>(request.machines, context_.settings.transactionChanges)) {
@@ -171,18 +172,19 @@
     // A gang that can't get the rest of its machines once kept a borrowed one idle for minutes,
     // while work that goes before it waited and may not use a loan (slice_left_behind).
     const Job* gang = clusterState.job(machine.reservedFor);
-    const auto* type = context_.type(machine.type);
-    if (gang == nullptr || type == nullptr || context_.now() - machine.known < loanPatience)
+    const auto* type = context_.findMachineType(machine.type);
+    if (gang == nullptr || type == nullptr || context_.now() - machine.knownSince < loanPatience)
         return false;
     return std::any_of(clusterState.jobs.begin(), clusterState.jobs.end(), [&](const auto& entry) {
         const Job& job = entry.second;
         return job.spec.kind != protocol::JobKind::gang && clusterState.schedulable(job) &&
                std::any_of(job.slices.begin(), job.slices.end(),
                            [&](const Slice& slice) {
-                               return slice.partition == machine.partition && slice.waiting() > 0;
+                               return slice.partition == machine.partition &&
+                                      slice.waitingTasks() > 0;
                            }) &&
                Placement::typeAllowed(job.spec, *type, machine.zone, machine.spot) &&
-               placement_.before(job, *gang);
+               placement_.precedes(job, *gang);
     });
 }
 
--- a/src/coordination/migration/work_migrator.cpp
+++ b/src/coordination/migration/work_migrator.cpp
@@ -36,10 +36,11 @@
             running += static_cast<double>(machine->allocations.size());
     }
     QueueAverage::Tuning tuning;
-    tuning.weight = context_.tuning.weight;
-    tuning.probability = context_.tuning.probability;
-    tuning.low = std::min(context_.tuning.low, std::max(1.0, running * lowFractionOfRunning));
-    tuning.high = std::min(context_.tuning.high, std::max(tuning.low + 1, running));
+    tuning.weight = context_.operatorSettings.weight;
+    tuning.probability = context_.operatorSettings.probability;
+    tuning.low =
+        std::min(context_.operatorSettings.low, std::max(1.0, running * lowFractionOfRunning));
+    tuning.high = std::min(context_.operatorSettings.high, std::max(tuning.low + 1, running));
     return tuning;
 }
 
@@ -49,7 +50,7 @@
     auto clusterState = context_.clusterState.lock();
     const auto& machines = clusterState->machinesOf(partition);
     const bool cached = std::any_of(machines.begin(), machines.end(), [&](const Machine* machine) {
-        return placement_.takesWork(*machine) &&
+        return placement_.acceptsTasks(*machine) &&
                std::any_of(machine->images.begin(), machine->images.end(),
                            [&](const auto& i) { return i.name == job.spec.image; });
     });
@@ -59,7 +60,8 @@
 
 void WorkMigrator::sampleAll() {
     for (const auto partition : membership_.ledPartitions()) samplePartition(partition);
-    context_.timers.after(ticks(context_.tuning.samplePeriod), [this] { sampleAll(); });
+    context_.timers.after(toSteadyDuration(context_.operatorSettings.samplePeriod),
+                          [this] { sampleAll(); });
 }
 
 void WorkMigrator::samplePartition(PartitionId partition) {
@@ -109,17 +111,17 @@
 
 storage::TaskRange WorkMigrator::movableRange(const Slice& slice) {
     if (slice.migrating) return {};
-    if (slice.untouched()) return slice.dirty ? storage::TaskRange{} : slice.range();
+    if (slice.hasNotStarted()) return slice.dirty ? storage::TaskRange{} : slice.range();
     // The rest of a slice that has begun becomes a slice of its own. It once never moved, and
     // waited beside idle machines of other partitions (slice_left_behind).
     if (!context_.jobDependenciesEnabled(*context_.clusterState.lock())) return {};
-    return slice.lastUnstarted();
+    return slice.trailingUnstarted();
 }
 
 bool WorkMigrator::movable(const Job& job, PartitionId partition) {
-    if (job.undivided())
+    if (job.requiresSingleLeader())
         return std::any_of(job.slices.begin(), job.slices.end(), [partition](const Slice& slice) {
-            return slice.partition == partition && slice.untouched() && !slice.migrating;
+            return slice.partition == partition && slice.hasNotStarted() && !slice.migrating;
         });
     return std::any_of(job.slices.begin(), job.slices.end(), [&](const Slice& slice) {
         return slice.partition == partition && movableRange(slice).count > 0;
@@ -131,9 +133,9 @@
     Job* job = clusterState->job(id);
     if (job == nullptr) return;
     const bool allHere = std::all_of(job->slices.begin(), job->slices.end(), [&](const Slice& s) {
-        return s.partition == partition && s.untouched() && s.version == 0 && !s.migrating;
+        return s.partition == partition && s.hasNotStarted() && s.version == 0 && !s.migrating;
     });
-    if (job->undivided() || (job->slices.size() == 1 && allHere)) {
+    if (job->requiresSingleLeader() || (job->slices.size() == 1 && allHere)) {
         if (allHere && job->partition == partition)
             beginMigration(partition, *job, job->slices.front(), true);
         return;
@@ -185,7 +187,7 @@
                 peers.push_back(
                     {capacity * (1 + clusterState->cachedFraction(job.spec, other)), other});
         }
-        if (!job.undivided() && context_.jobDependenciesEnabled(*clusterState) &&
+        if (!job.requiresSingleLeader() && context_.jobDependenciesEnabled(*clusterState) &&
             maxCapacity < migration.tasks) {
             // The last tasks only, as many as a peer has capacity for.
             const auto count = std::min(maxCapacity, migration.range.count);
@@ -309,10 +311,10 @@
         [this, requestId, target, key, value](CommitResult result, std::uint64_t revision) {
             // As the record that it is: the job may have been migrated on, or be over,
             // by now.
-            if (result == CommitResult::done)
+            if (result == CommitResult::committed)
                 storage::applyEvent(*context_.clusterState.lock(), {key, value, revision},
                                     context_.now());
-            finishMigration(requestId, target, result == CommitResult::done);
+            finishMigration(requestId, target, result == CommitResult::committed);
         });
 }
 
--- a/src/coordination/provisioning/decommissioner.cpp
+++ b/src/coordination/provisioning/decommissioner.cpp
@@ -57,7 +57,7 @@
                 names.push_back(machine->id);
         }
     if (names.empty()) return;
-    context_.cloud.release(names, [this, names](bool gone) {
+    context_.cloudClient.release(names, [this, names](bool gone) {
         for (const auto& id : names) {
             releasing_.erase(id);
             if (!gone) continue;
@@ -76,7 +76,7 @@
     // While an allocation on it is being written, its end can't be recorded.
     if (machine == nullptr || !machine->allocations.empty()) return;
     if (machine->version == 0 && !records_.isPending(Change::record, id))
-        return clusterState->dropMachine(id);
+        return clusterState->removeMachine(id);
     records_.write(Change::drop, partition, id);
 }
 
--- a/src/coordination/provisioning/machine_records.cpp
+++ b/src/coordination/provisioning/machine_records.cpp
@@ -82,7 +82,7 @@
 
 void MachineRecords::settle(Change change, Machine& machine, CommitResult result,
                             std::uint64_t revision) {
-    const bool done = result == CommitResult::done;
+    const bool done = result == CommitResult::committed;
     switch (change) {
         case Change::record:
             if (done) {
@@ -99,7 +99,7 @@
             if (done) machine.version = std::max(machine.version, revision);
             break;
         case Change::drop:
-            if (done) context_.clusterState.lock()->dropMachine(std::string(machine.id));
+            if (done) context_.clusterState.lock()->removeMachine(std::string(machine.id));
             break;
     }
 }
--- a/src/coordination/scheduling/consolidation.cpp
+++ b/src/coordination/scheduling/consolidation.cpp
@@ -15,17 +15,17 @@
 }  // namespace
 
 bool Consolidation::canMove(const Job& job, const Allocation& allocation) const {
-    return allocation.durable && !allocation.stopGrace && allocation.ran &&
-           context_.now() - *allocation.ran >= minRunToMove &&
+    return allocation.durable && !allocation.stopGrace && allocation.runningSince &&
+           context_.now() - *allocation.runningSince >= minRunToMove &&
            job.spec.checkpointInterval.count() > 0 && !job.cancelled &&
-           (job.spec.tasks <= 1 || !job.undivided());
+           (job.spec.tasks <= 1 || !job.requiresSingleLeader());
 }
 
 bool Consolidation::findCapacity(const ClusterState& clusterState, const Machine& machine,
                                  const Job& job, std::map<std::string, Resources>& consumed) const {
     for (const auto* other : clusterState.machinesOf(machine.partition)) {
         // On machines in use only: an empty one might be the next to go.
-        if (other == &machine || other->allocations.empty() || !takesWork(context_, *other))
+        if (other == &machine || other->allocations.empty() || !acceptsTasks(context_, *other))
             continue;
         Machine after = *other;
         after.used += consumed[other->id];
@@ -45,14 +45,15 @@
         const auto [job, slice, allocation] = clusterState.findAllocation(ref);
         if (allocation == nullptr || !canMove(*job, *allocation)) return false;
         longestLeft = std::max(
-            longestLeft, Seconds(job->spec.estimate - Seconds(now - *allocation->ran)).count());
+            longestLeft,
+            Seconds(job->spec.estimate - Seconds(now - *allocation->runningSince)).count());
         if (!findCapacity(clusterState, machine, *job, consumed)) return false;
         allocations.push_back(allocation);
     }
     return longestLeft > minSecondsLeftToMove;
 }
 
-std::optional<std::string> Consolidation::consolidateOne(PartitionId partition) {
+std::optional<std::string> Consolidation::consolidateOneMachine(PartitionId partition) {
     auto clusterState = context_.clusterState.lock();
     Machine* best = nullptr;
     std::vector<Allocation*> bestAllocations;
@@ -61,8 +62,8 @@
         Machine& machine = *entry;
         if (machine.consolidating && !machine.allocations.empty())
             return std::nullopt;  // one at a time
-        const auto* type = context_.type(machine.type);
-        if (type == nullptr || machine.allocations.empty() || !takesWork(context_, machine))
+        const auto* type = context_.findMachineType(machine.type);
+        if (type == nullptr || machine.allocations.empty() || !acceptsTasks(context_, machine))
             continue;
         const double utilization = std::max(machine.used.cpus / std::max(1.0, type->capacity.cpus),
                                             machine.used.gpus / std::max(1.0, type->capacity.gpus));
--- a/src/coordination/scheduling/placement.cpp
+++ b/src/coordination/scheduling/placement.cpp
@@ -101,7 +101,7 @@
     array.bestEffort = context_.isBestEffort(job);
     if (array.bestEffort) array.allowance = selector_.bestEffortAllowance(job, run.partition);
     for (auto& slice : job.slices) {
-        if (slice.partition != run.partition || slice.waiting() == 0) continue;
+        if (slice.partition != run.partition || slice.waitingTasks() == 0) continue;
         for (std::uint32_t i = 0; i < slice.done.size(); ++i) {
             const auto task = slice.first + i;
             if (!slice.unstarted(task) || slice.isMigrating(task)) continue;
@@ -134,7 +134,7 @@
                   Seconds(context_.timers.wallNow() - job.submitted).count());
     // The guard looks at the capacity before this task takes its part.
     if (array.bestEffort)
-        run.guard.useSpareSlots(*context_.type(machine.type), *machineCapacity, job);
+        run.guard.useSpareSlots(*context_.findMachineType(machine.type), *machineCapacity, job);
     allocate(run, job, slice, task, attempt, *machineCapacity);
     ++array.placed;
     return TaskResult::next;
@@ -171,7 +171,7 @@
     double slots = 0;
     for (const auto& pool : capacityIndex.pools()) {
         if (!pool.allows(job, {})) continue;
-        const auto each = countThatFit(job, pool.type->capacity, job.spec.tasks);
+        const auto each = countFittingTasks(job, pool.type->capacity, job.spec.tasks);
         for (const auto& machineCapacity : pool.machines)
             if (std::any_of(machineCapacity.machine->images.begin(),
                             machineCapacity.machine->images.end(),
@@ -189,7 +189,7 @@
     const auto fetch = queueOrder_.fetchTime(job.spec);
     const Seconds waited = context_.timers.wallNow() - job.readySince;
     return fetch > job.spec.estimate * significantFetch &&
-           (job.anyAllocation() || waited < fetch * maxFetchTimesWaited);
+           (job.hasAllocations() || waited < fetch * maxFetchTimesWaited);
 }
 
 Placement::GangResult Placement::placeGang(PlacementRun& run, Job& job) {
@@ -256,7 +256,7 @@
     allocation.task = task;
     allocation.machine = machineCapacity.machine->id;
     allocation.attempt = attempt;
-    allocation.made = context_.now();
+    allocation.createdAt = context_.now();
     run.clusterState.addAllocation(job, slice, std::move(allocation));
     machineCapacity.consume(job.spec.each);
 }
