--- a/src/coordination/replication/replica.cpp
+++ b/src/coordination/replication/replica.cpp
@@ -12,15 +12,17 @@
 using namespace std::chrono_literals;
 
 constexpr auto retryDelay = 300ms;
-// Short, so that an answer proves the records current often enough also when nothing changes.
+// Short, so that watch responses prove often enough that the cluster state is current, even if no
+// record changes.
 constexpr Duration maxWatchDuration = 3s;
 constexpr Duration minWatchDuration = 500ms;
 constexpr int watchesPerCancellationSlack = 3;
-// The pause between two watch requests lets changes arrive in batches. It is short compared with a
-// worker's heartbeat interval, and leaves most of a node's request budget to other requests.
+// Share of a node's request budget that watch requests may use. The resulting pause between two
+// watch requests batches changes, is short compared with a worker's heartbeat interval, and leaves
+// most of the budget to other requests.
 constexpr double watchFractionOfRequests = 0.35;
 
-/// Keeps what was observed of a machine when its record is applied once more.
+/// Carries over what this process has observed of a machine when a snapshot replaces its record.
 void restoreMachine(ClusterState& clusterState, std::map<std::string, Machine>& previous,
                     const std::string& key) {
     if (!key.starts_with(storage::keys::machine({}))) return;
@@ -67,14 +69,14 @@
 
 void Replica::onSnapshotPage(const std::string& after, std::uint64_t generation,
                              const protocol::ReadResponse& answer) {
-    // An empty page that announces more is not the end: taken as such, all records behind it would
-    // seem to be deleted.
-    const bool broken = answer.more && answer.items.empty();
-    if (answer.result != protocol::StateResult::ok || broken)
+    // An empty page that announces more pages is not the end of the range. If it were taken as the
+    // end, all records after it would seem to be deleted.
+    const bool emptyButNotLast = answer.more && answer.items.empty();
+    if (answer.result != protocol::StateResult::ok || emptyButNotLast)
         return afterDelay(context_.jittered(retryDelay), generation,
                           [this, after, generation] { readSnapshotPage(after, generation); });
-    // The pages have different revisions. Watching from the first page's revision delivers again
-    // what changed in between.
+    // The pages have different revisions. The watch starts from the first page's revision, and so
+    // delivers all changes made while the pages were read.
     if (after.empty()) firstPageRevision_ = answer.revision;
     lastPageRevision_ = answer.revision;
     snapshotItems_.insert(snapshotItems_.end(), answer.items.begin(), answer.items.end());
@@ -87,7 +89,7 @@
     const auto now = context_.now();
     {
         auto clusterState = context_.clusterState.lock();
-        // Durable state is replaced; what was learnt from workers stays with its machine.
+        // The durable state is replaced; observations of a machine that still exists are kept.
         auto previousMachines = std::move(clusterState->machines);
         clusterState->clearRecords();
         for (const auto& item : snapshotItems_) {
@@ -120,7 +122,8 @@
 }
 
 void Replica::completeSync() {
-    // Until the watch has passed the last page, an allocation may be known and its machine not.
+    // Until the watch reaches the last page's revision, the records are inconsistent: an allocation
+    // may be known whose machine is not.
     if (synced_ || context_.clusterState.lock()->applied < lastPageRevision_) return;
     synced_ = everSynced_ = true;
     currentAsOf_ = std::max(currentAsOf_, snapshotStarted_);
@@ -130,8 +133,8 @@
 void Replica::watch(std::uint64_t generation) {
     const auto since = context_.clusterState.lock()->applied;
     const auto requested = context_.now();
-    // Where cancellations must be known within a short time, the replica proves itself current more
-    // often.
+    // If cancellations must take effect within a short time, the watch returns more often to prove
+    // that the cluster state is current.
     const auto wait = std::clamp(context_.cancellationSlack() / watchesPerCancellationSlack,
                                  minWatchDuration, maxWatchDuration);
     context_.state.watch(storage::keys::activePrefix, since, wait,
@@ -151,9 +154,9 @@
     if (synced_) currentAsOf_ = std::max(currentAsOf_, requested);
     completeSync();
     if (!answer.events.empty()) observer_.onReplicaChanged();
-    const auto fraction =
+    const auto requestsPerSecond =
         context_.settings.stateRequests / static_cast<double>(context_.nodes.size());
-    const Seconds pause(1.0 / (fraction * watchFractionOfRequests));
+    const Seconds pause(1.0 / (requestsPerSecond * watchFractionOfRequests));
     afterDelay(ticks(pause), generation, [this, generation] { watch(generation); });
 }
 
@@ -164,14 +167,15 @@
             storage::applyEvent(*clusterState, event, context_.now());
             continue;
         }
-        // The transaction's answer may be missing for as long as an outage lasts, and until then
-        // the job's tasks must be stopped all the same.
+        // An outage can delay the transaction's response for as long as it lasts. The tasks of a
+        // cancelled job must be stopped before that.
         storage::recordCancellation(*clusterState, event);
-        // From here on the machine's new leader counts how long its worker has been silent.
+        // From now on the machine's new leader measures how long its worker has been silent.
         storage::recordDeparture(*clusterState, event);
-        // If these events were dropped, the allocations that a new leader had recorded in a
-        // migrated slice before the migrating leader had its answer would never be known to it
-        // (AllocationsThatOvertakeTheAnswerToAMigrationAreKnown).
+        // The new leader of a migrated slice may record allocations before this leader receives
+        // the response to the migration. If their events were dropped, this leader would never
+        // learn of those allocations
+        // (test AllocationsWatchedBeforeMigrationResponseAreApplied).
         deferredEvents_[event.key] = event;
     }
     clusterState->applied = std::max(clusterState->applied, answer.revision);
--- a/src/coordination/replication/replica.h
+++ b/src/coordination/replication/replica.h
@@ -1,5 +1,5 @@
 /// @file
-/// Keeps the cluster state a replica of the active records: reads them all once, then watches for
+/// Replicates the active records into the cluster state: reads them all once, then watches for
 /// changes.
 #pragma once
 
@@ -13,7 +13,7 @@
 
 namespace fawnwheel::coordination {
 
-/// Told of changes that the replica has applied to the cluster state.
+/// Receives a notification when the replica has applied changes to the cluster state.
 class ReplicaObserver {
   public:
     virtual ~ReplicaObserver() = default;
@@ -22,8 +22,8 @@
 
 /// Replicates the active records from the state service into `Context::clusterState`.
 ///
-/// A record that one of this process's own transactions is writing is not overwritten by the watch:
-/// its latest event is deferred until that transaction has its outcome.
+/// The watch does not overwrite a record that one of this process's own transactions is writing:
+/// the record's latest event is deferred until the outcome of that transaction is known.
 class Replica final : public ReplicaStatus, private TransactionObserver {
   public:
     /// Registers itself as the pipeline's observer. All three arguments must outlive the replica.
@@ -32,7 +32,7 @@
     Replica& operator=(const Replica&) = delete;
 
     void start() { startSnapshot(); }
-    /// Reads all records again, because the cluster state may differ from them.
+    /// Reads all records again. Called when the cluster state may differ from them.
     void resync();
     /// Whether the cluster state holds a complete and consistent set of the active records.
     [[nodiscard]] bool synced() const override { return synced_; }
@@ -40,26 +40,26 @@
     [[nodiscard]] bool everSynced() const override { return everSynced_; }
     /// Everything that the state service committed before this time has been applied or deferred.
     [[nodiscard]] SteadyTime currentAsOf() const override { return currentAsOf_; }
-    /// Whether events wait for the outcome of this process's own transactions.
+    /// Whether events are deferred until this process's own transactions have an outcome.
     [[nodiscard]] bool hasDeferredEvents() const override { return !deferredEvents_.empty(); }
 
   private:
-    void onRecordsUncertain() override { resync(); }
+    void onResyncRequired() override { resync(); }
     void onKeysReleased(const std::vector<std::string>& keys) override;
 
     void startSnapshot();
     void readSnapshotPage(const std::string& after, std::uint64_t generation);
     void onSnapshotPage(const std::string& after, std::uint64_t generation,
                         const protocol::ReadResponse& answer);
-    /// Replaces the records in the cluster state by those that were read.
+    /// Replaces the records in the cluster state with those of the snapshot.
     void installSnapshot();
-    /// Declares the replica synced once the watch has passed the last page of the snapshot.
+    /// Marks the replica as synced once the watch has reached the revision of the last page.
     void completeSync();
     void watch(std::uint64_t generation);
     void onWatchResponse(const protocol::WatchResponse& answer, SteadyTime requested,
                          std::uint64_t generation);
     void applyEvents(const protocol::WatchResponse& answer);
-    /// Runs the action after a delay, unless another snapshot has been started by then.
+    /// Runs the action after a delay, unless a newer snapshot has been started by then.
     void afterDelay(Duration delay, std::uint64_t generation, std::function<void()> action);
 
     Context& context_;
@@ -69,12 +69,12 @@
     bool everSynced_ = false;
     SteadyTime currentAsOf_{};
     SteadyTime snapshotStarted_{};
-    std::uint64_t generation_ = 0;  // of the snapshot; answers to an older one are ignored
+    std::uint64_t generation_ = 0;  // of the snapshot; responses for an older one are ignored
     std::uint64_t firstPageRevision_ = 0;
     std::uint64_t lastPageRevision_ = 0;
     std::vector<protocol::Item> snapshotItems_;
-    // The latest event of each key that was in flight when the watch delivered it. It may be newer
-    // than this process's own write, whose answer can arrive later.
+    // The latest event of each key that was in flight when the watch delivered the event. The event
+    // may be newer than this process's own write, whose response can arrive after the event.
     std::map<std::string, protocol::Event> deferredEvents_;
 };
 
--- a/src/coordination/replication/replica_status.h
+++ b/src/coordination/replication/replica_status.h
@@ -1,23 +1,23 @@
 /// @file
-/// What other modules may ask the replica about the completeness of the cluster state.
+/// Read-only interface to the replica's state of synchronization.
 #pragma once
 
 #include "coordination/context.h"
 
 namespace fawnwheel::coordination {
 
-/// How complete the cluster state is compared with the records of the state service.
+/// Says how complete and how current the cluster state is compared with the state service.
 class ReplicaStatus {
   public:
     virtual ~ReplicaStatus() = default;
 
-    /// The cluster state holds all records; false while they are read anew.
+    /// Whether the cluster state holds all active records; false while they are read again.
     [[nodiscard]] virtual bool synced() const = 0;
-    /// The records have been read in whole at least once by this process.
+    /// Whether this process has read all active records at least once.
     [[nodiscard]] virtual bool everSynced() const = 0;
-    /// Every change carried out before this moment is known here.
+    /// Every change that the state service committed before this time is known to this process.
     [[nodiscard]] virtual SteadyTime currentAsOf() const = 0;
-    /// The watch has brought changes that wait for transactions of this node to finish.
+    /// Whether watched changes are deferred until this node's own transactions have an outcome.
     [[nodiscard]] virtual bool hasDeferredEvents() const = 0;
 };
 
--- a/src/coordination/replication/slice_writer.cpp
+++ b/src/coordination/replication/slice_writer.cpp
@@ -12,12 +12,14 @@
 
 namespace {
 
-constexpr std::size_t maxTransactionBytes = std::size_t{40} * 1024;  // of the 64 KiB allowed
+// The state service allows 64 KiB.
+constexpr std::size_t maxTransactionBytes = std::size_t{40} * 1024;
 constexpr std::size_t bytesPerAllocation = 56;
-constexpr std::size_t minWrites = 2;  // the end of a job deletes one record and writes another
+// A job's end deletes the active record and writes a terminal record.
+constexpr std::size_t minWrites = 2;
 constexpr std::size_t minValueBytes = 512;
 
-/// Where the slice has to be cut so that each range becomes a piece of its own.
+/// Returns the tasks at which to cut the slice so that each range becomes a separate piece.
 std::vector<std::uint32_t> cutsAround(const Slice& slice,
                                       const std::vector<storage::TaskRange>& ranges) {
     std::vector<std::uint32_t> cuts;
@@ -42,17 +44,18 @@
 
 }  // namespace
 
-bool SliceWriter::full(const SliceBatch& batch) const {
+bool SliceWriter::isFull(const SliceBatch& batch) const {
     return batch.transaction.writes.size() >= maxWrites_ || batch.bytes >= maxTransactionBytes;
 }
 
 std::vector<std::uint32_t> SliceWriter::cutsToFit(const Slice& slice) const {
     std::vector<std::uint32_t> cuts;
-    // Halved as often as needed. Most slices are so small that this shows without encoding them.
-    std::vector<storage::TaskRange> open{slice.range()};
-    while (!open.empty()) {
-        const auto range = open.back();
-        open.pop_back();
+    // Halves each range until its record fits. Most slices are so small that the size estimate is
+    // enough and nothing is encoded.
+    std::vector<storage::TaskRange> unchecked{slice.range()};
+    while (!unchecked.empty()) {
+        const auto range = unchecked.back();
+        unchecked.pop_back();
         if (range.count * bytesPerAllocation + bytesPerWrite < maxValueBytes_ || range.count < 2)
             continue;
         const auto pieces = storage::cutSlice(slice, cutsAround(slice, {range}), 0);
@@ -60,8 +63,8 @@
         if (storage::sliceValue(piece).dump().size() <= maxValueBytes_) continue;
         const auto half = range.count / 2;
         cuts.push_back(range.first + half);
-        open.push_back({range.first, half});
-        open.push_back({range.first + half, range.count - half});
+        unchecked.push_back({range.first, half});
+        unchecked.push_back({range.first + half, range.count - half});
     }
     std::sort(cuts.begin(), cuts.end());
     return cuts;
@@ -74,16 +77,18 @@
     if (!written.migrating.ranges.empty())
         written.cuts = cutsAround(slice, written.migrating.ranges);
     else if (context_.jobDependenciesEnabled(*context_.clusterState.lock()))
-        // Recorded while values could be larger, by the version before (scenario limits_lowered).
+        // The previous version may have recorded the slice while the state service allowed larger
+        // values (scenario limits_lowered).
         written.cuts = cutsToFit(slice);
-    // Two slices of one job that were divided in one transaction once added pieces under the same
-    // index, and the tasks of one of them were in no slice any more (scenario rebalancing_limit).
+    // Counts the pieces already added in this transaction. If two slices of one job were divided in
+    // it and both added pieces under the same index, the tasks of one piece would no longer be in
+    // any slice (scenario rebalancing_limit).
     auto& added = batch.addedSlices[job.spec.id];
     written.nextIndex = static_cast<std::uint32_t>(job.slices.size()) + added;
     const auto pieces = storage::cutSlice(slice, written.cuts, written.nextIndex);
     if (writes.size() + pieces.size() > maxWrites_ && !writes.empty()) return false;
     added += static_cast<std::uint32_t>(pieces.size() - 1);
-    // Comparing the job's version makes an allocation fail while a user cancels the job.
+    // Comparing the job's version makes an allocation fail if a user has just cancelled the job.
     if (batch.jobs.insert(job.spec.id).second)
         compares.push_back({storage::keys::job(job.spec.id), job.version});
     for (auto piece : pieces) {
@@ -98,18 +103,19 @@
     return true;
 }
 
-void SliceWriter::finishSlice(ClusterState& clusterState, const SliceBatch& batch,
-                              const WrittenSlice& written, std::uint64_t revision,
-                              std::set<std::string>& machines) const {
+void SliceWriter::applyCommittedSlice(ClusterState& clusterState, const SliceBatch& batch,
+                                      const WrittenSlice& written, std::uint64_t revision,
+                                      std::set<std::string>& machines) const {
     Job& job = *clusterState.job(written.job);
     const Slice& slice = job.sliceAt(written.index);
     if (batch.generation != clusterState.generation || slice.version != written.version ||
         slice.range() != written.range) {
-        // Read again while the transaction was in flight, perhaps as it stood before, or in part.
-        // Cut once more, a slice that was shorter by then had a piece without tasks recorded over
-        // the tasks of the piece that had been divided off
-        // (TwoDivisionsOfOneJobLeaveEveryTaskInOneSlice,
-        // ADivisionBetweenTwoPagesLeavesEveryTaskInOneSlice).
+        // The slice was read again while the transaction was in flight, possibly as it was before
+        // the transaction, or only in part. Dividing a slice that is already shorter would create
+        // a piece without tasks, and its record would overwrite that of the piece that had been
+        // divided off. The written records are therefore applied as they are
+        // (tests ConcurrentDivisionsOfOneJobKeepEachTaskInOneSlice and
+        // DivisionBetweenSnapshotPagesKeepsEachTaskInOneSlice).
         for (const auto& write : written.writes)
             storage::applyEvent(clusterState, {write.key, write.value, revision}, context_.now());
         return;
@@ -134,7 +140,7 @@
     piece.dirtySince.reset();
     auto recorded = storage::readSlice(job, piece.index, value);
     for (auto& allocation : piece.allocations)
-        // Only what this transaction carried; a later allocation waits for the next one.
+        // Allocations made after this transaction was built become durable with the next one.
         if (!allocation.durable && recorded && contains(*recorded, allocation)) {
             allocation.durable = true;
             machines.insert(allocation.machine);
@@ -146,7 +152,8 @@
 void SliceWriter::discardAfterMigration(ClusterState& clusterState, Job& job,
                                         const WrittenSlice& written,
                                         const std::vector<Slice>& pieces) {
-    // What happened meanwhile to tasks that have migrated is for their new leader to observe.
+    // Tasks that have migrated are observed by their new leader; this leader's changes since the
+    // transaction was built are discarded.
     for (const auto& piece : pieces) {
         Slice& current = job.sliceAt(piece.index);
         if (!written.migrating.contains(piece.range()) || !current.dirty) continue;
@@ -156,17 +163,18 @@
 }
 
 void SliceWriter::undoAllocations(ClusterState& clusterState, const WrittenSlice& written) {
-    // What did not become durable was never sent to a worker: it is undone and decided again.
+    // Starts are sent to workers only for durable allocations. The others can therefore be undone
+    // and decided again.
     Job& job = *clusterState.job(written.job);
     Slice& slice = job.sliceAt(written.index);
     std::vector<std::uint32_t> undone;
     for (const auto& allocation : slice.allocations)
-        // Except what was found running: a second allocation would let the task run twice.
+        // If a worker has reported the task, a second allocation would let the task run twice.
         if (!allocation.durable && !allocation.seen) undone.push_back(allocation.task);
     for (const auto task : undone) clusterState.removeAllocation(job, slice, task);
 }
 
-void SliceWriter::onRejected(PartitionId partition, std::size_t writes) {
+void SliceWriter::lowerLimits(PartitionId partition, std::size_t writes) {
     if (writes > minWrites)
         maxWrites_ = std::max(minWrites, writes / 2);
     else
@@ -181,7 +189,7 @@
     for (const auto& written : batch.slices) {
         if (clusterState.job(written.job) == nullptr) continue;
         if (result == CommitResult::committed)
-            finishSlice(clusterState, batch, written, revision, machines);
+            applyCommittedSlice(clusterState, batch, written, revision, machines);
         else if (batch.generation == clusterState.generation)
             undoAllocations(clusterState, written);
     }
--- a/src/coordination/replication/slice_writer.h
+++ b/src/coordination/replication/slice_writer.h
@@ -1,6 +1,6 @@
 /// @file
-/// Writes slices into a transaction, whole or divided, some of their tasks for another partition,
-/// and applies the transaction's outcome to the cluster state.
+/// Adds slice records to a transaction and applies the transaction's outcome to the cluster state.
+/// A slice can be written whole or divided, and some of its tasks can migrate to another partition.
 #pragma once
 
 #include <algorithm>
@@ -13,40 +13,40 @@
 
 namespace fawnwheel::coordination {
 
-/// Tasks of a slice that move to another partition: ascending ranges, each in a slice of its own
-/// afterwards.
+/// Tasks of a slice that migrate to another partition. The ranges are ascending, and each becomes a
+/// separate slice.
 struct MigratingTasks {
     std::vector<storage::TaskRange> ranges;
-    PartitionId target = 0;  // partition
+    PartitionId target = 0;
 
     [[nodiscard]] bool contains(const storage::TaskRange& range) const {
         return std::find(ranges.begin(), ranges.end(), range) != ranges.end();
     }
 };
 
-/// A slice as it is written: in one record, or divided into several.
+/// A slice in a transaction, written as one record or divided into several.
 struct WrittenSlice {
     std::string job;
     std::uint32_t index = 0;
     std::uint64_t version = 0;        // before the transaction
     storage::TaskRange range;         // before the transaction
-    std::vector<std::uint32_t> cuts;  // tasks that begin a new piece
-    std::uint32_t nextIndex = 0;      // of the pieces that are added
+    std::vector<std::uint32_t> cuts;  // the first task of each added piece
+    std::uint32_t nextIndex = 0;      // the first index of the added pieces
     MigratingTasks migrating;
-    std::vector<protocol::Write> writes;  // by piece
+    std::vector<protocol::Write> writes;  // one for each piece
 };
 
-/// A transaction of slice records while it is put together and until its outcome is applied.
+/// A transaction of slice records, from the first added slice until its outcome is applied.
 struct SliceBatch {
     protocol::CompareAndSwap transaction;
     std::vector<WrittenSlice> slices;
     std::size_t bytes = 0;                             // estimated size of the transaction
-    std::set<std::string> jobs;                        // whose versions are compared already
-    std::map<std::string, std::uint32_t> addedSlices;  // by job, through divisions
-    std::uint64_t generation = 0;  // of the cluster state's records that it rests on
+    std::set<std::string> jobs;                        // jobs whose versions are compared
+    std::map<std::string, std::uint32_t> addedSlices;  // by job: pieces added by divisions
+    std::uint64_t generation = 0;  // of the cluster state on which the batch is based
 };
 
-/// Fills batches within the state service's limits, which it lowers after a rejection.
+/// Fills batches within the known limits of the state service, and lowers these after a rejection.
 class SliceWriter {
   public:
     explicit SliceWriter(Context& context)
@@ -54,35 +54,37 @@
           maxWrites_(context.settings.transactionChanges),
           maxValueBytes_(context.settings.valueBytes()) {}
 
-    /// Adds the slice's record, or those of the pieces into which it is divided. False, with the
-    /// batch's transaction as it was, if they don't fit.
+    /// Adds the slice's record, or the records of the pieces into which it is divided. Returns
+    /// false and leaves the batch's transaction unchanged if they don't fit.
     [[nodiscard]] bool add(SliceBatch& batch, Job& job, const Slice& slice,
                            MigratingTasks migrating = {});
-    /// Applies the outcome; returns the machines on which allocations have become durable. After a
-    /// failure the allocations that were to become durable are undone.
+    /// Applies the transaction's outcome and returns the machines on which allocations have become
+    /// durable. After a failure the allocations that have not become durable are undone.
     [[nodiscard]] std::set<std::string> applyOutcome(ClusterState& clusterState,
                                                      const SliceBatch& batch, CommitResult result,
                                                      std::uint64_t revision) const;
-    /// The state service has rejected a transaction of so many writes: its limits are lower than
-    /// announced. What was rejected is divided further when it is sent again.
-    void onRejected(PartitionId partition, std::size_t writes);
-    [[nodiscard]] bool full(const SliceBatch& batch) const;
-    /// How many writes the state service is known to accept in one transaction.
+    /// Lowers the limits after the state service has rejected a transaction with this many writes,
+    /// because its limits are lower than announced. The rejected content is divided into smaller
+    /// transactions or records when it is sent again.
+    void lowerLimits(PartitionId partition, std::size_t writes);
+    [[nodiscard]] bool isFull(const SliceBatch& batch) const;
+    /// The number of writes that one transaction may have.
     [[nodiscard]] std::size_t maxWrites() const { return maxWrites_; }
 
     static constexpr std::size_t bytesPerWrite = 160;
     static constexpr std::size_t bytesPerJob = 700;
 
   private:
-    /// Where a slice has to be cut so that each piece's record fits into a value.
+    /// Returns the tasks at which to cut a slice so that each piece's record fits into a value.
     [[nodiscard]] std::vector<std::uint32_t> cutsToFit(const Slice& slice) const;
-    void finishSlice(ClusterState& clusterState, const SliceBatch& batch,
-                     const WrittenSlice& written, std::uint64_t revision,
-                     std::set<std::string>& machines) const;
-    /// Marks as durable what the piece's record holds, and keeps what has changed since as dirty.
+    void applyCommittedSlice(ClusterState& clusterState, const SliceBatch& batch,
+                             const WrittenSlice& written, std::uint64_t revision,
+                             std::set<std::string>& machines) const;
+    /// Marks the allocations in the piece's record as durable. The piece stays dirty if it has
+    /// changed since the record was built.
     static void markRecorded(const Job& job, Slice& piece, const protocol::Json& value,
                              std::uint64_t revision, std::set<std::string>& machines);
-    /// Discards changes to migrated pieces that came after their records were written.
+    /// Discards changes to migrated pieces that were made after their records were built.
     static void discardAfterMigration(ClusterState& clusterState, Job& job,
                                       const WrittenSlice& written,
                                       const std::vector<Slice>& pieces);
--- a/src/coordination/replication/state_writer.cpp
+++ b/src/coordination/replication/state_writer.cpp
@@ -15,15 +15,17 @@
 
 using namespace std::chrono_literals;
 
-constexpr std::size_t entitledPerBestEffort = 3;  // slices in one transaction
+// Within one transaction, a best-effort slice follows after this many entitled ones.
+constexpr std::size_t entitledPerBestEffort = 3;
 constexpr auto pauseAfterRejection = 500ms;
-// Under the write limit; the more completions one record covers, the fewer records are written.
+// Because of the state service's write limit, completions wait this long: the more of them one
+// record covers, the fewer records are written.
 constexpr auto completionDelay = 10s;
 constexpr auto delayPerPriorityStep = 1s;  // for each step down from the highest priority
 
-/// Whether something waits for the slice's record: starts wait for allocations to become durable,
-/// and a job's end for its last tasks. Nothing waits for other completions: until they are
-/// recorded, their workers go on reporting them.
+/// Whether something waits for the slice's record. Task starts wait until their allocations are
+/// durable, and a job's end waits for its last tasks. Nothing waits for other completions: workers
+/// keep reporting them until they are recorded.
 bool isAwaited(const Slice& slice) {
     return slice.complete() ||
            std::any_of(slice.allocations.begin(), slice.allocations.end(),
@@ -36,7 +38,7 @@
     return range.count > 0;
 }
 
-/// The partitions that have changes of the job which are not recorded yet.
+/// The partitions whose slices of the job have changes that are not recorded yet.
 std::set<std::uint32_t> partitionsWithUnrecorded(const Job& job) {
     std::set<std::uint32_t> partitions;
     for (const auto& slice : job.slices)
@@ -59,14 +61,15 @@
 
 bool StateWriter::isTerminal(ClusterState& clusterState, const Job& job) const {
     if (!job.cancelled) return job.complete();
-    // A cancelled job ends when the last of its tasks is proved gone. Allocations by other
-    // partitions are known up to `applied`, except for slices in flight from here; later ones fail
-    // on the job's version.
+    // A cancelled job ends when every one of its tasks is proved to have stopped. Allocations made
+    // by the leaders of other partitions are known up to the revision `applied`, except in slices
+    // that this node's transactions are writing. Later allocations fail, because their transactions
+    // compare the job's version.
     if (job.anyAllocation() || clusterState.applied < job.version || hasSliceInFlight(job))
         return false;
-    // Its active record stays until no active dependent could be taken to wait for a job that is
-    // done. Later dependents can't be created as if it were not cancelled: they fail on its
-    // version.
+    // The active record is kept until all active dependents are cancelled. Otherwise a dependent
+    // could be treated as waiting for a job that is done. A dependent can't be created later as if
+    // this job were not cancelled, because its transaction compares this job's version.
     const auto& dependents = clusterState.dependencyGraph.dependents(job.spec.id);
     return std::all_of(dependents.begin(), dependents.end(),
                        [&clusterState](const std::string& id) {
@@ -77,9 +80,10 @@
 
 void StateWriter::addCancellations(Batch& batch, ClusterState& clusterState,
                                    PartitionId partition) const {
-    // Whichever node leads the partition finishes this: what is left to do shows in the records.
+    // The records show which jobs still have to be cancelled, so after a failover the partition's
+    // next leader completes this.
     for (const auto& [id, job] : clusterState.jobs) {
-        if (writer_.full(batch)) return;
+        if (writer_.isFull(batch)) return;
         if (!job.dependencyCancelled || job.cancelled || job.completing ||
             job.partition != partition)
             continue;
@@ -98,22 +102,22 @@
     auto& writes = batch.transaction.writes;
     if (writes.size() + 2 > writer_.maxWrites()) return;
     batch.transaction.compares.push_back({storage::keys::job(job.spec.id), job.version});
-    // Completions that are not recorded hold for the term in which they were proved: another leader
-    // of that partition would know nothing of them, and may have started the tasks once more.
+    // Completions that are not recorded are valid only in the term in which they were proved.
+    // Another leader of that partition would not know of them and may have restarted the tasks.
     for (const auto other : partitionsWithUnrecorded(job))
         if (other != job.partition)
             batch.transaction.compares.push_back(
                 {storage::keys::partition(other), clusterState.partitions.at(other).version});
     writes.push_back({storage::keys::job(job.spec.id), std::nullopt, 0});
     storage::TerminalState state{job.cancelled, std::nullopt};
-    // Dependents count their time from this moment, also under a later leader.
+    // Dependents' times are measured from this moment, also by a later leader.
     if (context_.jobDependenciesEnabled(clusterState)) state.at = context_.timers.wallNow();
     writes.push_back({storage::keys::terminal(job.spec.id), storage::terminalValue(state), 0});
     for (const auto& slice : job.slices) {
-        // The other records become orphans once the job has ended, and not before: when they were
-        // deleted ahead of its end, a job that lived on had no records, and its running tasks were
-        // unknown to every leader
-        // (ARefusedEndLeavesTheSlicesOfTheJob).
+        // Slice records that don't fit into this transaction become orphans when the job has ended,
+        // and are deleted then. If they were deleted earlier and the job's end failed, the job
+        // would have no slice records and its running tasks would be unknown to every leader (test
+        // FailedJobCompletionKeepsSliceRecords).
         if (slice.version == 0 || writes.size() >= writer_.maxWrites()) continue;
         const auto key = storage::keys::slice(job.spec.id, slice.index);
         writes.push_back({key, std::nullopt, 0});
@@ -135,18 +139,18 @@
                                       PartitionId partition,
                                       const SliceMigration& migration) const {
     const Job* job = clusterState.job(migration.job);
-    return context_.now() < migration.until && job != nullptr &&
+    return context_.now() < migration.consentExpiry && job != nullptr &&
            !clusterState.knownCancelled(*job) && !job->completing &&
            migration.slice < job->slices.size() &&
            job->slices[migration.slice].partition == partition &&
            allUnstarted(job->slices[migration.slice], migration.range) &&
-           // Two divisions of one job would add pieces under the same new indexes.
+           // A second division of the job would add pieces under the same new indexes.
            !batch.jobs.contains(migration.job);
 }
 
 void StateWriter::addMigrations(Batch& batch, ClusterState& clusterState, PartitionId partition) {
     auto& queue = migrations_[partition];
-    while (!queue.empty() && !writer_.full(batch)) {
+    while (!queue.empty() && !writer_.isFull(batch)) {
         const auto& next = queue.front();
         if (!isMigrationPossible(batch, clusterState, partition, next))
             next.done(false);
@@ -160,7 +164,7 @@
                                Tier tier, std::size_t maxWrites) const {
     const bool bestEffort = tier == Tier::bestEffort;
     for (auto& [id, job] : clusterState.jobs) {
-        if (writer_.full(batch) || batch.transaction.writes.size() >= maxWrites) return;
+        if (writer_.isFull(batch) || batch.transaction.writes.size() >= maxWrites) return;
         if (job.partition == partition && !job.completing &&
             context_.isBestEffort(job) == bestEffort && !batch.jobs.contains(id) &&
             isTerminal(clusterState, job))
@@ -175,7 +179,7 @@
     std::vector<DirtySlice> entitled;
     std::vector<DirtySlice> bestEffort;
     for (auto& [id, job] : clusterState.jobs) {
-        // What a job's end will say needs no record of its own.
+        // The record of a job's end replaces the records of its slices.
         if (job.completing || batch.jobs.contains(id) ||
             (job.partition == partition && isTerminal(clusterState, job)))
             continue;
@@ -188,8 +192,9 @@
             queue.push_back({*slice.dirtySince + delay, &job, &slice});
         }
     }
-    // The longest wait first, adjusted by priority. In the order of their names some slices waited
-    // for a minute and more while those of earlier names were written again and again.
+    // Slices that have waited longest come first, adjusted by priority. Ordered by name, some
+    // slices waited for a minute and more while slices with earlier names were written again and
+    // again.
     const auto earlier = [](const DirtySlice& one, const DirtySlice& other) {
         return std::tie(one.due, one.job->spec.id, one.slice->index) <
                std::tie(other.due, other.job->spec.id, other.slice->index);
@@ -201,8 +206,8 @@
 
 std::vector<StateWriter::DirtySlice> StateWriter::interleave(
     const std::vector<DirtySlice>& entitled, const std::vector<DirtySlice>& bestEffort) {
-    // The thousands of slices of a best-effort job, each dirty for longer than those of entitled
-    // jobs, would delay the latter.
+    // A best-effort job can have thousands of slices that have been dirty for longer than those of
+    // entitled jobs. Without interleaving they would delay the entitled jobs.
     std::vector<DirtySlice> all;
     auto next = bestEffort.begin();
     for (std::size_t i = 0; i < entitled.size(); ++i) {
@@ -217,8 +222,9 @@
 void StateWriter::addSlices(Batch& batch, ClusterState& clusterState, PartitionId partition) {
     std::set<const Job*> divided;
     for (const auto& [due, job, slice] : dirtySlices(clusterState, partition, batch)) {
-        if (writer_.full(batch)) return;
-        // What a division adds has to be known before another slice of the job is divided.
+        if (writer_.isFull(batch)) return;
+        // The pieces added by one division must be known before another slice of the job is
+        // divided, so the job's other slices wait for a later transaction.
         if (divided.contains(job)) continue;
         if (!writer_.add(batch, *job, *slice)) return;
         if (!batch.slices.back().cuts.empty()) divided.insert(job);
@@ -243,12 +249,12 @@
     pipeline_.commit(
         partition, std::move(transaction),
         [this, partition, batch = std::move(batch)](CommitResult result, std::uint64_t revision) {
-            finish(partition, batch, result, revision);
+            applyOutcome(partition, batch, result, revision);
         });
 }
 
-void StateWriter::finishTerminals(ClusterState& clusterState, const Batch& batch,
-                                  CommitResult result) {
+void StateWriter::applyTerminals(ClusterState& clusterState, const Batch& batch,
+                                 CommitResult result) {
     for (const auto& [id, state] : batch.terminals) {
         if (Job* job = clusterState.job(id)) job->completing = false;
         if (result != CommitResult::committed) continue;
@@ -260,12 +266,12 @@
     }
 }
 
-void StateWriter::finish(PartitionId partition, const Batch& batch, CommitResult result,
-                         std::uint64_t revision) {
+void StateWriter::applyOutcome(PartitionId partition, const Batch& batch, CommitResult result,
+                               std::uint64_t revision) {
     std::set<std::string> machines;
     if (result == CommitResult::rejected) {
         pausedUntil_[partition] = context_.now() + pauseAfterRejection;
-        writer_.onRejected(partition, batch.transaction.writes.size());
+        writer_.lowerLimits(partition, batch.transaction.writes.size());
     }
     {
         auto clusterState = context_.clusterState.lock();
@@ -273,18 +279,19 @@
             for (const auto& write : batch.cancellations)
                 storage::applyEvent(*clusterState, {write.key, write.value, revision},
                                     context_.now());
-        finishTerminals(*clusterState, batch, result);
+        applyTerminals(*clusterState, batch, result);
         machines = writer_.applyOutcome(*clusterState, batch, result, revision);
     }
     for (const auto& done : batch.migrationCallbacks) done(result == CommitResult::committed);
     if (result == CommitResult::committed && !batch.cancellations.empty())
         observer_.onDependentsCancelled();
     if (!machines.empty()) observer_.onAllocationsDurable(machines);
-    if (result == CommitResult::committed) flushNext(partition);
+    if (result == CommitResult::committed) scheduleFlush(partition);
 }
 
-void StateWriter::flushNext(PartitionId partition) {
-    // Not before the events that the watch delivered for these keys meanwhile are applied.
+void StateWriter::scheduleFlush(PartitionId partition) {
+    // Deferred by a timer, so that the events which the watch delivered for the transaction's keys
+    // are applied before the next flush.
     context_.timers.after(Duration::zero(), [this, partition] { flush(partition); });
 }
 
@@ -293,7 +300,8 @@
     std::set<std::string> jobs;
     {
         auto clusterState = context_.clusterState.lock();
-        // Its record was read before that of its job, which was created in between.
+        // A slice is not an orphan if its record was read before that of its job, which was created
+        // in between.
         std::erase_if(clusterState->orphanedRecords, [&clusterState](const auto& entry) {
             return clusterState->job(entry.second.job) != nullptr;
         });
@@ -305,7 +313,7 @@
         }
     }
     if (transaction.writes.empty()) return;
-    // A job that has had slices and has no active record has ended, and is never created again.
+    // A job that has had slices but has no active record has ended, and is never created again.
     for (const auto& id : jobs) transaction.compares.push_back({storage::keys::job(id), 0});
     const auto writes = transaction.writes;
     pipeline_.commit(partition, std::move(transaction),
@@ -314,7 +322,7 @@
                          auto clusterState = context_.clusterState.lock();
                          for (const auto& write : writes)
                              clusterState->orphanedRecords.erase(write.key);
-                         flushNext(partition);
+                         scheduleFlush(partition);
                      });
 }
 
--- a/src/coordination/replication/state_writer.h
+++ b/src/coordination/replication/state_writer.h
@@ -1,5 +1,5 @@
 /// @file
-/// Makes a leader's changes of slices and jobs durable, many in one transaction.
+/// Makes a leader's changes to slices and jobs durable, many of them in one transaction.
 #pragma once
 
 #include <deque>
@@ -18,13 +18,13 @@
     std::string job;
     std::uint32_t slice = 0;
     storage::TaskRange range;
-    PartitionId target = 0;  // partition
-    SteadyTime until{};      // the target's consent expires
-    /// Called once, with whether the migration was committed.
+    PartitionId target = 0;
+    SteadyTime consentExpiry{};  // when the target's consent to the migration expires
+    /// Called exactly once, with whether the migration was committed.
     std::function<void(bool migrated)> done;
 };
 
-/// Told of what has become durable.
+/// Receives notifications of changes that have become durable.
 class StateWriterObserver {
   public:
     virtual ~StateWriterObserver() = default;
@@ -32,23 +32,23 @@
     virtual void onJobTerminal(const std::string& job, bool cancelled) = 0;
     /// Jobs that depended on a cancelled one have been cancelled.
     virtual void onDependentsCancelled() = 0;
-    /// Allocations on these machines: their starts may be sent.
+    /// Allocations on these machines have become durable, so their starts may be sent.
     virtual void onAllocationsDurable(const std::set<std::string>& machines) = 0;
 };
 
-/// Collects what has changed in a partition into transactions, the most urgent changes first.
+/// Collects the changes of a partition into transactions, the most urgent changes first.
 class StateWriter {
   public:
     /// The arguments must outlive the writer.
     StateWriter(Context& context, TransactionPipeline& pipeline, StateWriterObserver& observer)
         : context_(context), pipeline_(pipeline), observer_(observer), writer_(context) {}
 
-    /// Writes what has changed in this partition, unless a transaction of it is in flight.
+    /// Writes the partition's changes, unless one of its transactions is in flight.
     void flush(PartitionId partition);
-    /// The slice writer, for modules that write slices in transactions of their own.
+    /// The slice writer, for modules that write slices in their own transactions.
     [[nodiscard]] SliceWriter& sliceWriter() { return writer_; }
-    /// Moves the tasks to the target partition with the next flush, in a slice of their own if they
-    /// are not the whole slice. Fails if one of them has started by then.
+    /// Migrates the tasks to the target partition with the next flush, as a separate slice if they
+    /// are only part of their slice. Fails if one of them is allocated or done by then.
     void migrate(PartitionId partition, SliceMigration migration);
 
   private:
@@ -62,7 +62,7 @@
         std::vector<std::function<void(bool migrated)>> migrationCallbacks;
     };
     enum class Tier { entitled, bestEffort };
-    /// A slice that has changed since its record.
+    /// A slice that has changed since its record was written.
     struct DirtySlice {
         SteadyTime due{};
         Job* job = nullptr;
@@ -70,13 +70,13 @@
     };
 
     void addCancellations(Batch& batch, ClusterState& clusterState, PartitionId partition) const;
-    /// False if there was no capacity left in the batch.
+    /// Returns false if the migration doesn't fit into the batch.
     [[nodiscard]] bool addMigration(Batch& batch, Job& job, const SliceMigration& migration);
     void addMigrations(Batch& batch, ClusterState& clusterState, PartitionId partition);
     [[nodiscard]] bool isMigrationPossible(const Batch& batch, ClusterState& clusterState,
                                            PartitionId partition,
                                            const SliceMigration& migration) const;
-    /// Adds the ends of jobs of this tier, while the batch has fewer writes than this.
+    /// Adds the ends of this tier's jobs while the batch has fewer than `maxWrites` writes.
     void addTerminals(Batch& batch, ClusterState& clusterState, PartitionId partition, Tier tier,
                       std::size_t maxWrites) const;
     void addTerminal(Batch& batch, const ClusterState& clusterState, Job& job) const;
@@ -90,13 +90,13 @@
     /// Whether the job has ended and its active record may be deleted.
     [[nodiscard]] bool isTerminal(ClusterState& clusterState, const Job& job) const;
     [[nodiscard]] bool hasSliceInFlight(const Job& job) const;
-    void finish(PartitionId partition, const Batch& batch, CommitResult result,
-                std::uint64_t revision);
-    void finishTerminals(ClusterState& clusterState, const Batch& batch, CommitResult result);
-    /// Deletes slice records that have outlived their jobs, when there is nothing else to write.
+    void applyOutcome(PartitionId partition, const Batch& batch, CommitResult result,
+                      std::uint64_t revision);
+    void applyTerminals(ClusterState& clusterState, const Batch& batch, CommitResult result);
+    /// Deletes slice records of jobs that have ended. Called when there is nothing else to write.
     void deleteOrphans(PartitionId partition);
-    /// Flushes once more as soon as the events that were deferred by the transaction are applied.
-    void flushNext(PartitionId partition);
+    /// Schedules another flush after the events that the last transaction deferred are applied.
+    void scheduleFlush(PartitionId partition);
 
     Context& context_;
     TransactionPipeline& pipeline_;
--- a/src/coordination/replication/transaction_pipeline.cpp
+++ b/src/coordination/replication/transaction_pipeline.cpp
@@ -19,8 +19,8 @@
 }  // namespace
 
 void TransactionPipeline::commit(PartitionId partition, protocol::CompareAndSwap transaction,
-                                 Done done) {
-    for (const auto& write : transaction.writes) keys_.insert(write.key);
+                                 CommitCallback done) {
+    for (const auto& write : transaction.writes) inFlightKeys_.insert(write.key);
     auto& queue = queues_[partition];
     const auto partitionVersion = context_.clusterState.lock()->partitions[partition].version;
     queue.push_back({std::move(transaction), std::move(done), false, false, false, nextId_++,
@@ -43,7 +43,7 @@
                                   std::uint64_t revision) {
     std::vector<std::string> keys;
     for (const auto& write : pending.transaction.writes) {
-        keys_.erase(keys_.find(write.key));
+        inFlightKeys_.erase(inFlightKeys_.find(write.key));
         keys.push_back(write.key);
     }
     pending.done(result, revision);
@@ -62,15 +62,15 @@
     const auto found = queues_.find(partition);
     if (found == queues_.end() || found->second.empty()) return;
     PendingTransaction& pending = found->second.front();
-    // What a callback of the transaction before has queued may have been sent already.
+    // A callback of the previous transaction may have queued this one, which sent it already.
     if (pending.awaitingResponse) return;
     pending.awaitingResponse = true;
     protocol::CompareAndSwap transaction = pending.transaction;
-    // Fences off a late or stale transaction: a leader that has lost its partition, or an earlier
-    // run of this process, can no longer change anything. The version is that of the decision. With
-    // the one at the time of sending, what was decided under one term was once committed under the
-    // next, against what another leader had done meanwhile
-    // (WhatWasDecidedInAnEarlierTermIsNotSentInALaterOne).
+    // The partition's version is the fencing token: a late or stale transaction of a leader that
+    // has lost its partition, or of an earlier run of this process, fails this compare. The version
+    // is that at the time of the decision. With the version at the time of sending, a decision made
+    // in one term could be committed in a later term, against changes that another leader had made
+    // in between (test TransactionDecidedInEarlierTermIsNotCommittedInLaterTerm).
     transaction.compares.push_back({storage::keys::partition(partition), pending.partitionVersion});
     context_.state.transact(
         std::move(transaction), protocol::RequestPriority::write,
@@ -88,15 +88,17 @@
         case protocol::StateResult::ok:
             return complete(partition, CommitResult::committed, answer.revision);
         case protocol::StateResult::rejected:
-            // Sent again it would block the partition's queue for ever. An earlier attempt may have
-            // been committed before the limits changed: the records tell.
+            // Retrying a rejected transaction would block the partition's queue for ever. An
+            // earlier attempt may have been committed before the limits changed, so the records
+            // are read to determine the outcome.
             pending->rejected = true;
-            return readRecords(partition);
+            return readAffectedRecords(partition);
         case protocol::StateResult::conflict:
-            return readRecords(partition);
+            return readAffectedRecords(partition);
         case protocol::StateResult::unknown:
-            // It may yet be committed. Sending the same again decides it: whichever attempt comes
-            // second fails on the versions that the first one changed.
+            // The transaction may still be committed. Sending it again settles the outcome:
+            // whichever attempt is executed second fails its compares, because the first one has
+            // changed the versions.
             pending->maybeCommitted = true;
             [[fallthrough]];
         case protocol::StateResult::notExecuted:
@@ -114,13 +116,13 @@
     resolve(pending, result, revision);
     if (result == CommitResult::partitionLost) {
         abandon(partition);
-        if (observer_ != nullptr) observer_->onRecordsUncertain();
+        if (observer_ != nullptr) observer_->onResyncRequired();
         return;
     }
     send(partition);
 }
 
-void TransactionPipeline::readRecords(PartitionId partition) {
+void TransactionPipeline::readAffectedRecords(PartitionId partition) {
     const PendingTransaction& pending = queues_[partition].front();
     const auto id = pending.id;
     std::set<std::string> keys{storage::keys::partition(partition)};
@@ -141,7 +143,7 @@
                 if (--reads->outstanding > 0 || head(partition, id) == nullptr) return;
                 if (!reads->failed) return onRecordsRead(partition, *reads);
                 context_.timers.after(context_.jittered(retryDelay), [this, partition, id] {
-                    if (head(partition, id) != nullptr) readRecords(partition);
+                    if (head(partition, id) != nullptr) readAffectedRecords(partition);
                 });
             });
     }
@@ -157,9 +159,10 @@
         }
         const auto stored = std::find_if(reads.items.begin(), reads.items.end(),
                                          [&](const auto& item) { return item.key == write.key; });
-        // One transaction leaves one revision. Equal values with different revisions come from
-        // several transactions; when the last of them was taken for all, the others' writes failed
-        // for ever.
+        // A transaction writes all its records at one revision. Equal values at different revisions
+        // come from several transactions. If the last revision were taken for all records, later
+        // writes of the others would fail for ever
+        // (test EqualValuesAtDifferentRevisionsAreNotTakenAsCommitted).
         if (stored == reads.items.end() || stored->value != *write.value ||
             revision.value_or(stored->version) != stored->version)
             return std::nullopt;
@@ -172,8 +175,9 @@
     auto clusterState = context_.clusterState.lock();
     for (const auto& item : reads.items)
         storage::applyEvent(*clusterState, {item.key, item.value, item.version}, context_.now());
-    // The watch passes over this process's own keys in flight, so a deletion has to be applied
-    // here: a job that had ended was once kept for ever, and failed every later write.
+    // The watch does not apply events of keys that are in flight, so deletions must be applied
+    // here. Otherwise a job that has ended would stay in the cluster state for ever, and every
+    // later write for that job would fail.
     for (const auto& [key, asOf] : reads.absent)
         storage::applyEvent(*clusterState, {key, std::nullopt, asOf}, context_.now());
 }
@@ -184,7 +188,7 @@
     for (const auto& item : reads.items)
         if (item.key == storage::keys::partition(partition))
             partitionLost = item.version != pending.partitionVersion;
-    // An earlier attempt without an answer may have been the one that was committed.
+    // An earlier attempt that got no response may have been committed.
     const auto revision = committedRevision(pending.transaction, reads);
     if (revision && pending.maybeCommitted && !partitionLost)
         return complete(partition, CommitResult::committed, *revision);
--- a/src/coordination/replication/transaction_pipeline.h
+++ b/src/coordination/replication/transaction_pipeline.h
@@ -1,6 +1,6 @@
 /// @file
-/// Carries a leader's writes to the state service: for each partition one transaction at a time,
-/// each fenced by the partition's own record, repeated until there is a definite answer.
+/// Sends a leader's transactions to the state service, one at a time for each partition. Each is
+/// fenced by the version of the partition's record and retried until its outcome is definite.
 #pragma once
 
 #include <deque>
@@ -18,74 +18,78 @@
 /// The definite outcome of a transaction.
 enum class CommitResult {
     committed,
-    conflict,       ///< another writer came first; the cluster state has been refreshed
+    conflict,       ///< a compared record has changed; the cluster state has been refreshed
     rejected,       ///< too large for the state service; the cluster state has been refreshed
     partitionLost,  ///< this node no longer leads the partition in that term
 };
 
-/// Told what transactions mean for the replicated records.
+/// Receives notifications of transactions that affect the replica of the records.
 class TransactionObserver {
   public:
     virtual ~TransactionObserver() = default;
-    /// What is known of a partition may be wrong: the records have to be read again.
-    virtual void onRecordsUncertain() = 0;
-    /// A transaction has its outcome, and its caller has been told of it. The keys that it wrote
-    /// may no longer be in flight.
+    /// The cluster state of a lost partition may be wrong, so all records must be read again.
+    virtual void onResyncRequired() = 0;
+    /// A transaction has an outcome and its callback has run. The keys that it writes are no longer
+    /// in flight unless another queued transaction writes them too.
     virtual void onKeysReleased(const std::vector<std::string>& keys) = 0;
 };
 
-/// A queue of transactions for each partition, in the order in which they were decided.
+/// Queues transactions by partition and sends them in the order in which they were queued.
 class TransactionPipeline {
   public:
-    using Done = std::function<void(CommitResult, std::uint64_t revision)>;
+    using CommitCallback = std::function<void(CommitResult, std::uint64_t revision)>;
 
     explicit TransactionPipeline(Context& context) : context_(context) {}
 
-    /// Called once, by the replica, which is constructed with the pipeline and after it.
+    /// Called once, by the constructor of the replica, which is built after the pipeline.
     void setObserver(TransactionObserver& observer) { observer_ = &observer; }
 
-    /// Queues a transaction; `done` is called exactly once, with its revision if it was committed.
-    /// The version of the partition's record as known now is added to the compares: what was
-    /// decided in one term is never committed in a later one.
-    void commit(PartitionId partition, protocol::CompareAndSwap transaction, Done done);
-    /// Whether a transaction of the partition waits for its outcome.
+    /// Queues a transaction. `done` is called exactly once, with the revision if the transaction
+    /// was committed. The presently known version of the partition's record is added to the
+    /// compares, so that a decision made in one term is never committed in a later one.
+    void commit(PartitionId partition, protocol::CompareAndSwap transaction, CommitCallback done);
+    /// Whether the partition has a transaction without an outcome.
     [[nodiscard]] bool busy(PartitionId partition) const;
     /// Whether a queued transaction writes this key.
-    [[nodiscard]] bool inFlight(const std::string& key) const { return keys_.contains(key); }
-    /// This node no longer leads the partition: its queued transactions end as `partitionLost`.
+    [[nodiscard]] bool inFlight(const std::string& key) const {
+        return inFlightKeys_.contains(key);
+    }
+    /// Ends the partition's queued transactions with `partitionLost`: this node no longer leads it.
     void abandon(PartitionId partition);
 
   private:
     struct PendingTransaction {
         protocol::CompareAndSwap transaction;
-        Done done;
-        bool maybeCommitted = false;    // sent at least once without a definite answer
-        bool awaitingResponse = false;  // to the request that was sent last
+        CommitCallback done;
+        bool maybeCommitted = false;    // a request had no definite result
+        bool awaitingResponse = false;  // of the last request sent
         bool rejected = false;
         std::uint64_t id = 0;
-        std::uint64_t partitionVersion = 0;  // the term in which it was decided
+        std::uint64_t partitionVersion = 0;  // identifies the term of the decision
     };
-    /// The records that a refused transaction names, read one by one.
+    /// Results of reading, one by one, the records that a failed transaction compares or writes.
     struct RecordReads {
         std::size_t outstanding = 0;
         bool failed = false;
         std::vector<protocol::Item> items;
-        std::map<std::string, std::uint64_t> absent;  // as of this revision
+        std::map<std::string, std::uint64_t> absent;  // key and the revision of the read
     };
 
-    /// The transaction at the head of the partition's queue, if it is still this one.
+    /// The head of the partition's queue; null unless it is the transaction with this id.
     [[nodiscard]] PendingTransaction* head(PartitionId partition, std::uint64_t id);
     void send(PartitionId partition);
     void onResponse(PartitionId partition, std::uint64_t id,
                     const protocol::CompareAndSwapResponse& answer);
-    /// Removes the head of the queue with its outcome, and sends the next one.
+    /// Removes the head of the queue, reports its outcome and sends the next transaction.
     void complete(PartitionId partition, CommitResult result, std::uint64_t revision);
-    /// Releases the keys of a transaction and tells its caller of the outcome.
+    /// Releases the keys of a transaction and reports its outcome.
     void resolve(const PendingTransaction& pending, CommitResult result, std::uint64_t revision);
-    /// Reads all records that the head of the queue names, to learn whether it was committed.
-    void readRecords(PartitionId partition);
+    /// Reads all records that the head of the queue compares or writes, to find out whether it was
+    /// committed.
+    void readAffectedRecords(PartitionId partition);
     void onRecordsRead(PartitionId partition, const RecordReads& reads);
-    /// The revision at which all writes were committed (0: there were only deletions), or none.
+    /// The revision at which all writes were committed, 0 if all of them are deletions; none if not
+    /// all writes are found.
     [[nodiscard]] static std::optional<std::uint64_t> committedRevision(
         const protocol::CompareAndSwap& transaction, const RecordReads& reads);
     void refreshClusterState(const RecordReads& reads);
@@ -93,7 +97,7 @@
     Context& context_;
     TransactionObserver* observer_ = nullptr;
     std::map<std::uint32_t, std::deque<PendingTransaction>> queues_;  // by partition
-    std::multiset<std::string> keys_;                                 // in flight
+    std::multiset<std::string> inFlightKeys_;
     std::uint64_t nextId_ = 1;
 };
 
--- a/tests/unit/coordination/replication/manual_state_service.h
+++ b/tests/unit/coordination/replication/manual_state_service.h
@@ -1,6 +1,6 @@
 /// @file
-/// A clock that the test moves, and a small state service whose every request is carried out and
-/// answered when the test says so.
+/// A clock that the test advances, and a small state service that executes and answers each request
+/// only when the test asks for that.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -25,7 +25,7 @@
 using transport::Duration;
 using transport::SteadyTime;
 
-/// Time stands still until the test advances it.
+/// A clock with timers. Its time changes only when the test advances it.
 class ManualTimers final : public transport::Timers {
   public:
     [[nodiscard]] SteadyTime now() const override { return now_; }
@@ -33,17 +33,17 @@
         return transport::WallTime(std::chrono::hours(1));
     }
     transport::TimerId after(Duration delay, std::function<void()> action) override {
-        const auto id = next_++;
-        waiting_.emplace(std::pair(now_ + delay, id), std::move(action));
+        const auto id = nextId_++;
+        scheduled_.emplace(std::pair(now_ + delay, id), std::move(action));
         return id;
     }
     void cancel(transport::TimerId id) override {
-        std::erase_if(waiting_, [id](const auto& entry) { return entry.first.second == id; });
+        std::erase_if(scheduled_, [id](const auto& entry) { return entry.first.second == id; });
     }
     void advance(Duration by) {
         const auto until = now_ + by;
-        while (!waiting_.empty() && waiting_.begin()->first.first <= until) {
-            auto due = waiting_.extract(waiting_.begin());
+        while (!scheduled_.empty() && scheduled_.begin()->first.first <= until) {
+            auto due = scheduled_.extract(scheduled_.begin());
             now_ = std::max(now_, due.key().first);
             due.mapped()();
         }
@@ -52,11 +52,11 @@
 
   private:
     SteadyTime now_{std::chrono::hours(1)};
-    transport::TimerId next_ = 1;
-    std::map<std::pair<SteadyTime, transport::TimerId>, std::function<void()>> waiting_;
+    transport::TimerId nextId_ = 1;
+    std::map<std::pair<SteadyTime, transport::TimerId>, std::function<void()>> scheduled_;
 };
 
-/// The state service at the address `state`; every other address never answers.
+/// A state service at the address `state`. Calls to any other address are never answered.
 class ManualStateService final : public transport::Network {
   public:
     struct Record {
@@ -87,36 +87,38 @@
         records[key] = {std::move(value), ++revision};
         log.push_back({key, records[key].value, revision});
     }
-    /// The first transaction that waits, taken out of the queue.
+    /// Removes the first pending transaction from the queue and returns it.
     Request takeTransaction() {
         const auto found = std::find_if(pending.begin(), pending.end(), [](const auto& request) {
             return request.isTransaction();
         });
         if (found == pending.end()) {
-            ADD_FAILURE() << "no transaction waits";
+            ADD_FAILURE() << "no transaction is pending";
             return {};
         }
         auto request = std::move(*found);
         pending.erase(found);
         return request;
     }
-    [[nodiscard]] std::size_t transactions() const {
+    [[nodiscard]] std::size_t pendingTransactionCount() const {
         return static_cast<std::size_t>(
             std::count_if(pending.begin(), pending.end(),
                           [](const auto& request) { return request.isTransaction(); }));
     }
-    /// Carries the request out and returns its answer, which the caller may deliver or lose.
+    /// Executes the request and returns its response, which the caller may deliver or drop.
     transport::HttpResponse execute(const transport::HttpRequest& request) {
         namespace wire = protocol::wire;
         if (request.path == wire::pathTransaction)
             return transact(*protocol::decodeCbor(request.body));
-        if (request.path.starts_with(std::string(wire::pathKeys) + "?")) return range(request.path);
+        if (request.path.starts_with(std::string(wire::pathKeys) + "?"))
+            return readRange(request.path);
         if (request.path.starts_with(wire::pathWatch)) return watch(request.path);
-        if (request.path.starts_with(wire::pathLeases)) return answer(200, {{wire::lease, 1}});
+        if (request.path.starts_with(wire::pathLeases))
+            return makeResponse(200, {{wire::lease, 1}});
         const auto key = request.path.substr(std::string(wire::pathKeys).size() + 1);
         const auto found = records.find(key);
-        if (found == records.end()) return answer(404, {{wire::revision, revision}});
-        return answer(200, itemOf(*found));
+        if (found == records.end()) return makeResponse(404, {{wire::revision, revision}});
+        return makeResponse(200, itemOf(*found));
     }
     void serve(const Request& request) { request.done(execute(request.request)); }
 
@@ -128,7 +130,7 @@
     std::size_t pageSize = 200;
 
   private:
-    static transport::HttpResponse answer(int status, const Json& body) {
+    static transport::HttpResponse makeResponse(int status, const Json& body) {
         return {status, protocol::encodeCbor(body), 0};
     }
     static Json itemOf(const std::pair<const std::string, Record>& entry) {
@@ -137,7 +139,7 @@
                 {wire::value, entry.second.value},
                 {wire::version, entry.second.version}};
     }
-    static std::string field(const std::string& path, const std::string& name) {
+    static std::string queryParameter(const std::string& path, const std::string& name) {
         const auto at = path.find(name + "=");
         if (at == std::string::npos) return {};
         const auto begin = at + name.size() + 1;
@@ -149,37 +151,39 @@
             const auto found = records.find(protocol::textOf(compare, wire::key));
             const auto version = found == records.end() ? 0 : found->second.version;
             if (version != protocol::countOf(compare, wire::version))
-                return answer(409, {{wire::failed, Json::array({compare[wire::key]})},
-                                    {wire::revision, revision}});
+                return makeResponse(409, {{wire::failed, Json::array({compare[wire::key]})},
+                                          {wire::revision, revision}});
         }
         ++revision;
         for (const auto& change : protocol::listOf(body, wire::writes)) {
             const auto key = protocol::textOf(change, wire::put);
             if (key.empty()) {
-                const auto dropped = protocol::textOf(change, wire::drop);
-                if (records.erase(dropped) > 0) log.push_back({dropped, std::nullopt, revision});
+                const auto deletedKey = protocol::textOf(change, wire::drop);
+                if (records.erase(deletedKey) > 0)
+                    log.push_back({deletedKey, std::nullopt, revision});
                 continue;
             }
             records[key] = {change[wire::value], revision};
             log.push_back({key, change[wire::value], revision});
         }
-        return answer(200, {{wire::revision, revision}});
+        return makeResponse(200, {{wire::revision, revision}});
     }
-    transport::HttpResponse range(const std::string& path) {
+    transport::HttpResponse readRange(const std::string& path) {
         namespace wire = protocol::wire;
-        const auto prefix = field(path, wire::queryPrefix);
-        const auto after = field(path, wire::querySince);
+        const auto prefix = queryParameter(path, wire::queryPrefix);
+        const auto after = queryParameter(path, wire::querySince);
         Json items = Json::array();
         auto at = records.upper_bound(std::max(prefix, after));
         for (; at != records.end() && at->first.starts_with(prefix) && items.size() < pageSize;
              ++at)
             items.push_back(itemOf(*at));
         const bool more = at != records.end() && at->first.starts_with(prefix);
-        return answer(200, {{wire::items, items}, {wire::more, more}, {wire::revision, revision}});
+        return makeResponse(200,
+                            {{wire::items, items}, {wire::more, more}, {wire::revision, revision}});
     }
     transport::HttpResponse watch(const std::string& path) {
         namespace wire = protocol::wire;
-        const auto since = std::stoull(field(path, wire::querySince));
+        const auto since = std::stoull(queryParameter(path, wire::querySince));
         Json events = Json::array();
         for (const auto& event : log) {
             if (event.version <= since) continue;
@@ -188,7 +192,7 @@
             if (event.value) entry[wire::value] = *event.value;
             events.push_back(std::move(entry));
         }
-        return answer(200, {{wire::revision, revision}, {wire::events, events}});
+        return makeResponse(200, {{wire::revision, revision}, {wire::events, events}});
     }
 };
 
--- a/tests/unit/coordination/replication/replication_fixture.h
+++ b/tests/unit/coordination/replication/replication_fixture.h
@@ -1,5 +1,5 @@
 /// @file
-/// A fixture for tests of what a leader records.
+/// A fixture for tests of the records that a leader writes.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -11,8 +11,8 @@
 
 namespace fawnwheel::coordination {
 
-/// Ignores everything that the replica and the state writer announce.
-class IgnoringObserver final : public ReplicaObserver, public StateWriterObserver {
+/// Ignores all notifications of the replica and the state writer.
+class NullObserver final : public ReplicaObserver, public StateWriterObserver {
   public:
     void onReplicaChanged() override {}
     void onJobTerminal(const std::string&, bool) override {}
@@ -20,13 +20,13 @@
     void onAllocationsDurable(const std::set<std::string>&) override {}
 };
 
-/// Node 0 of three, the leader of partitions 0 and 1, with its records, replica, transaction
-/// pipeline and state writer.
+/// Node 0 of three nodes, which leads partitions 0 and 1, with a state service that holds its
+/// records, and with its replica, transaction pipeline and state writer.
 class ReplicationTest : public ::testing::Test {
   protected:
     explicit ReplicationTest(double valueKb = 16, std::size_t writes = 12)
         : settings_(makeSettings(valueKb, writes)),
-          context(settings_, operators_, timers, state, 1),
+          context(settings_, operatorSettings_, timers, state, 1),
           pipeline(context),
           stateWriter(context, pipeline, observer_),
           replica(context, pipeline, observer_) {
@@ -78,15 +78,16 @@
     void putSlice(const Job& job, const Slice& slice) {
         state.put(storage::keys::slice(job.spec.id, slice.index), storage::sliceValue(slice));
     }
-    /// Applies the records as they stand, without the replica.
+    /// Applies the present records to the cluster state directly, without the replica.
     void loadRecords() {
         auto clusterState = context.clusterState.lock();
         for (const auto& [key, record] : state.records)
             storage::applyEvent(*clusterState, {key, record.value, record.version}, context.now());
         clusterState->applied = state.revision;
     }
-    /// Answers all requests that wait, as often as new ones come; watches only for the first half
-    /// of the rounds, because each answer brings the next one.
+    /// Serves all pending requests in 200 rounds, so that requests sent in response are served too.
+    /// Watches are served only in the first half of the rounds, because each response to a watch
+    /// causes the next watch.
     void serveAll() {
         for (int round = 0; round < 200; ++round) {
             timers.advance(std::chrono::milliseconds(50));
@@ -102,29 +103,31 @@
             for (const auto& request : ready) state.serve(request);
         }
     }
-    /// How many slices of the cluster state cover each task of the job.
+    /// For each task of the job, the number of slices in the cluster state that contain the task.
     std::vector<int> slicesPerTaskInClusterState(const std::string& id) {
         auto clusterState = context.clusterState.lock();
         const Job* job = clusterState->job(id);
         if (job == nullptr) return {};
-        std::vector<int> cover(job->spec.tasks, 0);
+        std::vector<int> sliceCounts(job->spec.tasks, 0);
         for (const auto& slice : job->slices)
-            for (auto task = slice.first; task < slice.range().end(); ++task) ++cover.at(task);
-        return cover;
+            for (auto task = slice.first; task < slice.range().end(); ++task)
+                ++sliceCounts.at(task);
+        return sliceCounts;
     }
-    /// The same by the records, for a reader that has nothing else.
+    /// The same for a cluster state that is built from the records alone.
     std::vector<int> slicesPerTaskInRecords(const std::string& id) {
         storage::ClusterState fresh;
         for (const auto& [key, record] : state.records)
             storage::applyEvent(fresh, {key, record.value, record.version}, context.now());
         const Job* job = fresh.job(id);
         if (job == nullptr) return {};
-        std::vector<int> cover(job->spec.tasks, 0);
+        std::vector<int> sliceCounts(job->spec.tasks, 0);
         for (const auto& slice : job->slices)
-            for (auto task = slice.first; task < slice.range().end(); ++task) ++cover.at(task);
-        return cover;
+            for (auto task = slice.first; task < slice.range().end(); ++task)
+                ++sliceCounts.at(task);
+        return sliceCounts;
     }
-    std::size_t sliceRecords(const std::string& id) {
+    std::size_t sliceRecordCount(const std::string& id) {
         return static_cast<std::size_t>(
             std::count_if(state.records.begin(), state.records.end(), [&id](const auto& entry) {
                 return entry.first.starts_with("live/slice/" + id + "/");
@@ -133,10 +136,10 @@
 
     ManualTimers timers;
     ManualStateService state;
-    config::OperatorSettings operators_;
+    config::OperatorSettings operatorSettings_;
     config::Settings settings_;
     Context context;
-    IgnoringObserver observer_;
+    NullObserver observer_;
     TransactionPipeline pipeline;
     StateWriter stateWriter;
     Replica replica;
--- a/tests/unit/coordination/replication/state_writer_test.cpp
+++ b/tests/unit/coordination/replication/state_writer_test.cpp
@@ -1,4 +1,5 @@
-// What a leader's records hold after its transactions were refused, lost, late or overtaken.
+// What the records and a leader's cluster state hold after the leader's transactions failed, were
+// lost or delayed, or were overtaken by other changes.
 #include "coordination/replication/replication_fixture.h"
 
 namespace fawnwheel::coordination {
@@ -8,20 +9,20 @@
 using storage::keys::partition;
 using storage::keys::slice;
 
-bool allOnce(const std::vector<int>& cover) {
-    return !cover.empty() &&
-           std::all_of(cover.begin(), cover.end(), [](int count) { return count == 1; });
+bool allExactlyOnce(const std::vector<int>& sliceCounts) {
+    return !sliceCounts.empty() && std::all_of(sliceCounts.begin(), sliceCounts.end(),
+                                               [](int count) { return count == 1; });
 }
 
-class FewWrites : public ReplicationTest {
+class SmallTransactionsTest : public ReplicationTest {
   protected:
-    FewWrites() : ReplicationTest(16, 4) {}
+    SmallTransactionsTest() : ReplicationTest(16, 4) {}
 };
 
-// The end of a job of many slices does not fit into one transaction. Its other slices' records were
-// once queued to be deleted before it was known whether the job had ended: refused, it lived on
-// with another leader, its records went, and its running tasks were unknown to every leader.
-TEST_F(FewWrites, ARefusedEndLeavesTheSlicesOfTheJob) {
+// The end of a job with many slices does not fit into one transaction. If the records of the other
+// slices were deleted before the job's end was committed, and that failed, the job would continue
+// under another leader without slice records, and no leader would know its running tasks.
+TEST_F(SmallTransactionsTest, FailedJobCompletionKeepsSliceRecords) {
     Job made = makeJob(40, 4);
     for (auto& piece : made.slices)
         for (auto task = piece.first; task < piece.range().end(); ++task) piece.markDone(task);
@@ -32,26 +33,26 @@
     for (const auto& piece : made.slices) putSlice(made, piece);
     loadRecords();
     {
-        // Ended, as far as this leader has heard from the workers; none of it is recorded yet.
+        // According to the workers' reports the job has ended; this leader has recorded none of it.
         auto clusterState = context.clusterState.lock();
         Job& known = *clusterState->job("run-1");
         clusterState->removeAllocation(known, known.slices[9], 36);
         for (std::uint32_t task = 36; task < 40; ++task) known.slices[9].markDone(task);
     }
     stateWriter.flush(0);
-    // The partition goes to a peer before the end is carried out.
+    // A peer acquires the partition before the job's end is committed.
     putPartition(0, "node-1", 2);
     serveAll();
     ASSERT_TRUE(state.records.contains(job("run-1")));
     stateWriter.flush(1);
     serveAll();
-    EXPECT_EQ(sliceRecords("run-1"), 10U);
+    EXPECT_EQ(sliceRecordCount("run-1"), 10U);
     EXPECT_TRUE(state.records.contains(slice("run-1", 9)));
 }
 
-// Nothing stays of a job that has ended, also if the leader that committed its end stops before it
-// has deleted the rest.
-TEST_F(FewWrites, SlicesOfAnEndedJobGoWhoeverLeadsItsPartitionByThen) {
+// If the leader that committed a job's end stops before it has deleted the job's remaining slice
+// records, a later leader of the partition must delete them. Otherwise they stay for ever.
+TEST_F(SmallTransactionsTest, LaterLeaderDeletesSliceRecordsOfEndedJob) {
     const Job made = makeJob(40, 4);
     for (const auto& piece : made.slices) putSlice(made, piece);
     putJob(makeJob(1, 1));
@@ -62,14 +63,15 @@
         stateWriter.flush(0);
         serveAll();
     }
-    EXPECT_EQ(sliceRecords("run-1"), 0U);
+    EXPECT_EQ(sliceRecordCount("run-1"), 0U);
 }
 
-class SmallValues : public ReplicationTest {
+class SmallValuesTest : public ReplicationTest {
   protected:
-    SmallValues() : ReplicationTest(1, 12) {}
+    SmallValuesTest() : ReplicationTest(1, 12) {}
 
-    // Two slices of one job, each in a partition of its own and too large for a value.
+    // Writes two slices of one job, each in its own partition and too large for a value, and
+    // applies them. One allocation of each is then removed, so that both must be written again.
     void putTwoLargeSlices() {
         Job made = makeJob(80, 40);
         made.slices[1].partition = 1;
@@ -86,11 +88,11 @@
     }
 };
 
-// After a failover one node leads two partitions and divides a slice in each at the same moment.
-// What it read back for the one that was refused once shortened the slice whose division was still
-// unanswered; that one was then cut a second time, beyond its end, and an empty piece was recorded
-// over running tasks.
-TEST_F(SmallValues, TwoDivisionsOfOneJobLeaveEveryTaskInOneSlice) {
+// After a failover one node leads two partitions and divides a slice of one job in each at the same
+// time. The reads after the failed division shorten the slice whose division has no response yet.
+// If that slice were divided a second time, beyond its end, an empty piece would be recorded over
+// running tasks.
+TEST_F(SmallValuesTest, ConcurrentDivisionsOfOneJobKeepEachTaskInOneSlice) {
     putTwoLargeSlices();
     stateWriter.flush(0);
     stateWriter.flush(1);
@@ -99,7 +101,8 @@
     const auto answer = state.execute(first.request);
     const auto second = state.takeTransaction();
     state.serve(second);
-    // The reads that the refused one asks for are answered before the first one's answer arrives.
+    // The reads after the failed transaction are served before the first transaction's response
+    // arrives.
     for (int round = 0; round < 10; ++round) {
         timers.advance(std::chrono::milliseconds(20));
         auto reads = std::exchange(state.pending, {});
@@ -107,18 +110,19 @@
     }
     first.done(answer);
     serveAll();
-    EXPECT_TRUE(allOnce(slicesPerTaskInClusterState("run-1")));
-    EXPECT_TRUE(allOnce(slicesPerTaskInRecords("run-1")));
+    EXPECT_TRUE(allExactlyOnce(slicesPerTaskInClusterState("run-1")));
+    EXPECT_TRUE(allExactlyOnce(slicesPerTaskInRecords("run-1")));
 }
 
-// Beyond some 200 records they are read in pages of different moments. A division that is carried
-// out between two pages shows in the second one alone.
-TEST_F(SmallValues, ADivisionBetweenTwoPagesLeavesEveryTaskInOneSlice) {
+// More than some 200 records are read in several pages, which have different revisions. A division
+// that is committed between two pages is visible only in the second page. Applying the division's
+// outcome to that state must not lose tasks or assign a task to two slices.
+TEST_F(SmallValuesTest, DivisionBetweenSnapshotPagesKeepsEachTaskInOneSlice) {
     putTwoLargeSlices();
     stateWriter.flush(0);
     timers.advance(std::chrono::milliseconds(20));
     const auto division = state.takeTransaction();
-    // Of the keys before it, the divided slice's is the last of the first page.
+    // The first page ends with the key of the divided slice.
     const auto before = std::distance(state.records.upper_bound(storage::keys::activePrefix),
                                       state.records.upper_bound(slice("run-1", 0)));
     state.pageSize = static_cast<std::size_t>(before);
@@ -136,16 +140,18 @@
             if (!request.isWatch()) state.serve(request);
     }
     division.done(answer);
-    EXPECT_TRUE(allOnce(slicesPerTaskInClusterState("run-1")));
+    EXPECT_TRUE(allExactlyOnce(slicesPerTaskInClusterState("run-1")));
     stateWriter.flush(0);
     serveAll();
-    EXPECT_TRUE(allOnce(slicesPerTaskInClusterState("run-1")));
-    EXPECT_TRUE(allOnce(slicesPerTaskInRecords("run-1")));
+    EXPECT_TRUE(allExactlyOnce(slicesPerTaskInClusterState("run-1")));
+    EXPECT_TRUE(allExactlyOnce(slicesPerTaskInRecords("run-1")));
 }
 
-// The records are read again, as they stood before, while a transaction has no outcome. Applied
-// over what was read, its outcome once led to a write that removed the allocations it had recorded.
-TEST_F(ReplicationTest, AReadingBeforeTheOutcomeDoesNotUndoIt) {
+// While a transaction has no outcome, a resync reads the records as they were before the
+// transaction. If the outcome were then applied to that older state, the slice would lack the
+// allocations that the transaction had recorded, and the next write would remove them from the
+// record.
+TEST_F(ReplicationTest, ResyncDuringTransactionDoesNotRevertItsOutcome) {
     Job made = makeJob(4, 4);
     putJob(made);
     putSlice(made, made.slices[0]);
@@ -169,10 +175,11 @@
     EXPECT_EQ(state.records.at(slice("run-1", 0)).value["claims"].size(), 1U);
 }
 
-// The new leader of a migrated slice may record allocations in it before the migrating leader has
-// its answer. What the watch delivers meanwhile was once dropped, and for the leader of the job's
-// partition the tasks had no allocations: cancelled, the job ended while they ran.
-TEST_F(ReplicationTest, AllocationsThatOvertakeTheAnswerToAMigrationAreKnown) {
+// The new leader of a migrated slice may record allocations before the migrating leader receives
+// the response to the migration. If the watch events delivered in between were dropped, the
+// leader of the job's partition would see no allocations and could end a cancelled job while its
+// tasks run.
+TEST_F(ReplicationTest, AllocationsWatchedBeforeMigrationResponseAreApplied) {
     Job made = makeJob(8, 4);
     putJob(made);
     for (const auto& piece : made.slices) putSlice(made, piece);
@@ -193,9 +200,10 @@
     EXPECT_EQ(context.clusterState.lock()->job("run-1")->allocatedTasks(), 1U);
 }
 
-// A cancelled job ends when no task of it has an allocation. The leader of its partition may not
-// judge that by a slice whose record is in flight at that moment.
-TEST_F(ReplicationTest, ACancelledJobDoesNotEndWhileOneOfItsSlicesIsUnderWay) {
+// A cancelled job ends when none of its tasks has an allocation. While a slice's record is in
+// flight, the leader of the job's partition may not know the slice's allocations, and must not end
+// the job.
+TEST_F(ReplicationTest, CancelledJobDoesNotEndWhileSliceIsInFlight) {
     Job made = makeJob(8, 4);
     putJob(made);
     made.slices[1].partition = 1;
@@ -219,12 +227,13 @@
     }
     stateWriter.flush(0);
     timers.advance(std::chrono::milliseconds(20));
-    EXPECT_EQ(state.transactions(), 0U);
+    EXPECT_EQ(state.pendingTransactionCount(), 0U);
 }
 
-// Decided in one term, refused for a while, and sent in the next: what another leader has done
-// between the two is unknown to it.
-TEST_F(ReplicationTest, WhatWasDecidedInAnEarlierTermIsNotSentInALaterOne) {
+// A transaction is decided in one term, fails with status 503, and is retried in a later term of
+// the same node. The decision does not account for what another leader did in between, so the
+// transaction must not be committed.
+TEST_F(ReplicationTest, TransactionDecidedInEarlierTermIsNotCommittedInLaterTerm) {
     Job made = makeJob(4, 4);
     made.slices[0].allocations.push_back(makeAllocation(0, "m-1", 7));
     putJob(made);
@@ -249,9 +258,10 @@
     EXPECT_EQ(context.clusterState.lock()->job("run-1")->allocatedTasks(), 1U);
 }
 
-// Equal values with different versions are not one transaction's: with the later version taken for
-// both, the other slice's writes failed for ever.
-TEST_F(ReplicationTest, EqualValuesOfDifferentRevisionsAreNotOurTransaction) {
+// A transaction of two slices is committed but its response is lost, and one slice is then written
+// again with the same value. If the later version were taken for both slices, later writes of the
+// other slice would fail for ever.
+TEST_F(ReplicationTest, EqualValuesAtDifferentRevisionsAreNotTakenAsCommitted) {
     Job made = makeJob(8, 4);
     putJob(made);
     for (const auto& piece : made.slices) putSlice(made, piece);
@@ -269,7 +279,7 @@
     const auto lost = state.takeTransaction();
     state.execute(lost.request);
     lost.done(std::nullopt);
-    // Written once more, with the same content.
+    // The record of slice 0 is written again with the same content.
     state.put(slice("run-1", 0), Json(state.records.at(slice("run-1", 0)).value));
     serveAll();
     auto clusterState = context.clusterState.lock();
@@ -278,9 +288,10 @@
                   state.records.at(slice("run-1", index)).version);
 }
 
-// A task that runs without a record keeps its allocation here when its first record is refused; a
-// second allocation would let it run twice.
-TEST_F(ReplicationTest, ARefusedRecordDoesNotForgetATaskThatRuns) {
+// A worker reports a task whose allocation is not recorded yet, and the transaction that would
+// record the allocation fails. The allocation must be kept, because a second one would let the task
+// run twice.
+TEST_F(ReplicationTest, ConflictKeepsUnrecordedAllocationOfReportedTask) {
     Job made = makeJob(8, 4);
     putJob(made);
     for (const auto& piece : made.slices) putSlice(made, piece);
@@ -307,22 +318,22 @@
     EXPECT_NE(context.clusterState.lock()->job("run-1")->slices[0].allocationOf(0), nullptr);
 }
 
-// A slice whose job was created between two pages of a reading is no orphan, although its job is
-// not known here yet.
-TEST_F(ReplicationTest, ASliceReadBeforeItsJobIsNoOrphan) {
+// If a job is created between two pages of a snapshot, its slice is known before the job. The
+// slice's record must not be deleted as an orphan.
+TEST_F(ReplicationTest, SliceReadBeforeItsJobIsNotDeletedAsOrphan) {
     const Job made = makeJob(4, 4);
     putSlice(made, made.slices[0]);
     loadRecords();
     putJob(made);
     stateWriter.flush(0);
     serveAll();
-    EXPECT_EQ(sliceRecords("run-1"), 1U);
+    EXPECT_EQ(sliceRecordCount("run-1"), 1U);
 }
 
-// This node leads the job's partition and that of its other slice, whose completion is not
-// recorded. The latter is lost before the job's end is committed: its new leader may have
-// started the task once more.
-TEST_F(ReplicationTest, AnEndThatRestsOnALostPartitionIsRefused) {
+// This node leads the job's partition and the partition of the job's other slice, where the end of
+// a task is not recorded. The node loses the second partition before the job's end is committed.
+// The new leader there may have restarted the task, so the job's end must fail.
+TEST_F(ReplicationTest, JobCompletionFailsAfterLossOfPartitionWithUnrecordedSlice) {
     Job made = makeJob(8, 4);
     made.slices[1].partition = 1;
     for (std::uint32_t task = 0; task < 4; ++task) made.slices[0].markDone(task);
@@ -340,11 +351,12 @@
     putPartition(1, "node-1", 2);
     serveAll();
     EXPECT_TRUE(state.records.contains(job("run-1")));
-    EXPECT_EQ(sliceRecords("run-1"), 2U);
+    EXPECT_EQ(sliceRecordCount("run-1"), 2U);
 }
 
-// An empty page that announces more is not the end: the records behind it are not deleted.
-TEST_F(ReplicationTest, AnEmptyPageThatSaysMoreIsNoEnd) {
+// An empty page that announces more pages is not the end of the snapshot. If it were taken as the
+// end, all records after it would seem to be deleted.
+TEST_F(ReplicationTest, EmptySnapshotPageThatAnnouncesMoreIsRetried) {
     putJob(makeJob(4, 4));
     replica.start();
     timers.advance(std::chrono::milliseconds(20));
