--- a/src/storage/cancellation_log.h
+++ b/src/storage/cancellation_log.h
@@ -1,5 +1,5 @@
 /// @file
-/// The cancellations that this process knows of, in the order in which it learnt of them.
+/// The job cancellations known to this process, in the order in which it learned of them.
 #pragma once
 
 #include <cstdint>
@@ -11,36 +11,38 @@
 
 namespace fawnwheel::storage {
 
-/// A log of cancelled jobs with positions, so that peers can be sent what they have not seen.
+/// A log of cancelled jobs in which each entry has a position, so that each peer can be sent the
+/// entries that it has not received.
 ///
-/// A peer that can't reach the state service learns from here what its records lack: all that this
-/// node may have told users is in the log before they are told. The oldest entries are dropped.
+/// Entries sent from this log inform a peer that can't reach the state service of cancellations
+/// that its replica lacks. Every cancellation is appended before this node confirms it to a user.
+/// The oldest entries are dropped.
 class CancellationLog {
   public:
-    /// Of a cancellation that a peer has told of: certain, but the records' revision of it is not
-    /// known here.
+    /// The revision of a cancellation that a peer reported: the cancellation is certain, but this
+    /// node does not know at which revision the state service recorded it.
     static constexpr std::uint64_t unknownRevision = std::numeric_limits<std::uint64_t>::max();
 
-    /// False if it was known already.
+    /// Returns false if the log already contains the job.
     bool append(const std::string& job, std::uint64_t revision);
-    [[nodiscard]] bool contains(const std::string& job) const { return known_.contains(job); }
+    [[nodiscard]] bool contains(const std::string& job) const { return jobs_.contains(job); }
 
     /// The position after the last entry.
-    [[nodiscard]] std::uint64_t end() const { return first_ + entries_.size(); }
+    [[nodiscard]] std::uint64_t end() const { return firstPosition_ + entries_.size(); }
 
-    /// A part of the log.
-    struct Extract {
+    /// Consecutive entries of the log, filtered for one reader.
+    struct Page {
         std::vector<std::string> jobs;
-        std::uint64_t next = 0;  ///< the position after the last entry looked at
-        bool complete = false;   ///< whether nothing follows
+        std::uint64_t next = 0;  ///< the position after the last entry examined
+        bool complete = false;   ///< whether the log has no entries after these
     };
-    /// The entries from a position on, without those that a reader of the records up to `revision`
-    /// knows.
-    [[nodiscard]] Extract since(std::uint64_t position, std::uint64_t revision,
-                                std::size_t maxJobs) const;
-    /// Whether the log still holds all that such a reader may lack.
+    /// Returns at most `maxJobs` jobs from a position on, and skips those whose cancellation a
+    /// reader that has applied the records up to `revision` knows.
+    [[nodiscard]] Page since(std::uint64_t position, std::uint64_t revision,
+                             std::size_t maxJobs) const;
+    /// Whether the log still holds every cancellation that such a reader may lack.
     [[nodiscard]] bool covers(std::uint64_t position, std::uint64_t revision) const {
-        return position >= first_ || revision >= droppedRevision_;
+        return position >= firstPosition_ || revision >= droppedRevision_;
     }
 
   private:
@@ -51,9 +53,9 @@
     static constexpr std::size_t maxEntries = 10'000;
 
     std::deque<Entry> entries_;
-    std::unordered_set<std::string> known_;
-    std::uint64_t first_ = 0;            // position of the first entry kept
-    std::uint64_t droppedRevision_ = 0;  // the latest of those dropped
+    std::unordered_set<std::string> jobs_;
+    std::uint64_t firstPosition_ = 0;    // position of the oldest entry kept
+    std::uint64_t droppedRevision_ = 0;  // latest known revision of a dropped entry
 };
 
 }  // namespace fawnwheel::storage
--- a/src/storage/cluster_state.cpp
+++ b/src/storage/cluster_state.cpp
@@ -19,10 +19,10 @@
 }
 
 bool ClusterState::recordCancellation(const std::string& id, std::uint64_t revision) {
-    const bool fresh = cancellations.append(id, revision);
+    const bool isNew = cancellations.append(id, revision);
     if (Job* activeJob = job(id); activeJob != nullptr && !activeJob->knownCancelled)
         dependencyGraph.onCancelled(*activeJob);
-    return fresh;
+    return isNew;
 }
 
 void ClusterState::clearRecords() {
@@ -46,29 +46,29 @@
 
 const std::vector<Machine*>& ClusterState::machinesOf(PartitionId partition) const {
     static const std::vector<Machine*> none;
-    const auto found = byPartition_.find(partition);
-    return found == byPartition_.end() ? none : found->second;
+    const auto found = machinesByPartition_.find(partition);
+    return found == machinesByPartition_.end() ? none : found->second;
 }
 
 Machine& ClusterState::addMachine(const std::string& id, PartitionId partition) {
-    const auto [entry, fresh] = machines.try_emplace(id);
+    const auto [entry, isNew] = machines.try_emplace(id);
     Machine& added = entry->second;
-    if (!fresh) {
+    if (!isNew) {
         assignPartition(added, partition);
         return added;
     }
     added.id = id;
     added.partition = partition;
-    deletedMachines.recordCount(machines.size());
-    byPartition_[partition].push_back(&added);
+    deletedMachines.observeMachineCount(machines.size());
+    machinesByPartition_[partition].push_back(&added);
     return added;
 }
 
 void ClusterState::assignPartition(Machine& machine, PartitionId partition) {
     if (machine.partition == partition) return;
-    std::erase(byPartition_[machine.partition], &machine);
+    std::erase(machinesByPartition_[machine.partition], &machine);
     machine.partition = partition;
-    byPartition_[partition].push_back(&machine);
+    machinesByPartition_[partition].push_back(&machine);
 }
 
 std::optional<std::uint32_t> ClusterState::partitionOfAllocationsOn(
@@ -104,7 +104,7 @@
     return {found, slice, allocation};
 }
 
-void ClusterState::attach(const Job& job, const Allocation& allocation) {
+void ClusterState::indexAllocation(const Job& job, const Allocation& allocation) {
     Machine* known = machine(allocation.machine);
     if (known == nullptr) return;
     const TaskRef ref{job.spec.id, allocation.task, allocation.attempt};
@@ -112,16 +112,16 @@
     if (std::find(refs.begin(), refs.end(), ref) != refs.end()) return;
     refs.push_back(ref);
     known->used += job.spec.each;
-    ++imageUse_[job.spec.image][known->partition];
+    ++allocationsByImage_[job.spec.image][known->partition];
 }
 
-void ClusterState::detach(const Job& job, const Allocation& allocation) {
+void ClusterState::unindexAllocation(const Job& job, const Allocation& allocation) {
     Machine* known = machine(allocation.machine);
     if (known == nullptr) return;
     const TaskRef ref{job.spec.id, allocation.task, allocation.attempt};
     if (std::erase(known->allocations, ref) == 0) return;
     known->used -= job.spec.each;
-    // Exact, whatever the rounding of the sums.
+    // Resets rounding errors of the sum.
     if (known->allocations.empty()) known->used = {};
 }
 
@@ -142,7 +142,7 @@
 
 void ClusterState::addAllocation(Job& job, Slice& slice, Allocation allocation) {
     slice.markDirty();
-    attach(job, allocation);
+    indexAllocation(job, allocation);
     slice.allocations.push_back(std::move(allocation));
 }
 
@@ -150,7 +150,7 @@
     const Allocation* allocation = slice.allocationOf(task);
     if (allocation == nullptr) return;
     slice.markDirty();
-    detach(job, *allocation);
+    unindexAllocation(job, *allocation);
     std::erase_if(slice.allocations, [task](const Allocation& c) { return c.task == task; });
 }
 
@@ -158,8 +158,9 @@
     Job* found = job(id);
     if (found == nullptr) return;
     for (const auto& slice : found->slices) {
-        for (const auto& allocation : slice.allocations) detach(*found, allocation);
-        // Those that fitted into the job's last transaction were deleted with it; the watch tells.
+        for (const auto& allocation : slice.allocations) unindexAllocation(*found, allocation);
+        // Slice records that fitted into the job's last transaction were deleted with the job's
+        // record. The watch delivers these deletions and removes the keys from this map.
         if (slice.version > 0)
             orphanedRecords[keys::slice(id, slice.index)] = {id, slice.partition};
     }
@@ -169,26 +170,27 @@
 
 void ClusterState::removeMachine(const std::string& id) {
     if (const auto found = machines.find(id); found != machines.end()) {
-        std::erase(byPartition_[found->second.partition], &found->second);
+        std::erase(machinesByPartition_[found->second.partition], &found->second);
         machines.erase(found);
     }
     deletedMachines.insert(id);
 }
 
-void ClusterState::shortenOthers(Job& job, const Slice& slice, const TaskRange& range) {
-    // Both records of a division have one revision; whichever is seen first, no task is in two.
+void ClusterState::truncateOverlappingSlices(Job& job, const Slice& slice, const TaskRange& range) {
+    // The records of a division have the same revision. Whichever is applied first, no task may be
+    // in two slices.
     for (auto& other : job.slices) {
         if (&other == &slice || other.first >= range.first || other.range().end() <= range.first)
             continue;
         for (const auto& allocation : other.allocations)
-            if (allocation.task >= range.first) detach(job, allocation);
+            if (allocation.task >= range.first) unindexAllocation(job, allocation);
         other = cutSlice(other, {range.first}, 0).front();
     }
 }
 
-TaskRange ClusterState::withoutPieces(const Job& job, const Slice& slice, TaskRange range) {
-    // Ranges only shrink. A record that still covers what a piece of it holds is older than the
-    // division, whichever of the two is read last.
+TaskRange ClusterState::excludeDividedPieces(const Job& job, const Slice& slice, TaskRange range) {
+    // Ranges only shrink. A record that still covers tasks of a piece divided off it is older than
+    // the division, even if it is read after the piece's record.
     for (const auto& other : job.slices)
         if (&other != &slice && other.size() > 0 && other.divided && other.first > range.first &&
             range.contains(other.first))
@@ -196,7 +198,7 @@
     return range;
 }
 
-void ClusterState::carryOverStates(const Job& job, const Slice& slice, SliceContent& content) {
+void ClusterState::keepAllocationStates(const Job& job, const Slice& slice, SliceContent& content) {
     const bool sameLeader = content.partition == slice.partition;
     for (auto& allocation : content.allocations) {
         allocation.durable = true;
@@ -207,24 +209,25 @@
             allocation.durable = true;
             if (!sameLeader) allocation.resetReportedState();
         } else if (Machine* known = machine(allocation.machine)) {
-            // Another leader's placement: whoever acquires its partition then knows where images
-            // are cached. Without that all of them were fetched again after a failover.
+            // Another leader placed this task. Noting its image here lets a node that acquires the
+            // partition know where images are cached; otherwise all images would be fetched again
+            // after a failover.
             addCachedImage(*known, job.spec);
         }
     }
 }
 
 void ClusterState::replaceSlice(Job& job, Slice& slice, SliceContent content) {
-    const auto range = withoutPieces(job, slice, content.range);
+    const auto range = excludeDividedPieces(job, slice, content.range);
     content.divided = content.divided || range != content.range;
     content.range = range;
     content.done.resize(range.count);
     std::erase_if(content.allocations, [&content](const Allocation& allocation) {
         return !content.range.contains(allocation.task);
     });
-    carryOverStates(job, slice, content);
-    shortenOthers(job, slice, content.range);
-    for (const auto& allocation : slice.allocations) detach(job, allocation);
+    keepAllocationStates(job, slice, content);
+    truncateOverlappingSlices(job, slice, content.range);
+    for (const auto& allocation : slice.allocations) unindexAllocation(job, allocation);
     slice.partition = content.partition;
     slice.failures = content.failures;
     job.failures.anyFailure = job.failures.anyFailure || slice.failures > 0;
@@ -234,7 +237,7 @@
     slice.doneCount =
         static_cast<std::uint32_t>(std::count(slice.done.begin(), slice.done.end(), true));
     slice.allocations = std::move(content.allocations);
-    for (const auto& allocation : slice.allocations) attach(job, allocation);
+    for (const auto& allocation : slice.allocations) indexAllocation(job, allocation);
     slice.dirty = false;
     slice.recorded = {};
 }
@@ -258,28 +261,28 @@
 }
 
 void ClusterState::divideSlice(Job& job, std::uint32_t index, const std::vector<Slice>& pieces) {
-    // Allocations stay with their tasks and machines, whichever slice they are in.
+    // The machines' indexes don't change: they refer to tasks, whichever slice contains them.
     job.ensureSlice(index) = pieces.front();
     for (std::size_t i = 1; i < pieces.size(); ++i) job.ensureSlice(pieces[i].index) = pieces[i];
 }
 
 void ClusterState::rebuildIndexes() {
-    byPartition_.clear();
-    imageUse_.clear();
+    machinesByPartition_.clear();
+    allocationsByImage_.clear();
     for (auto& [id, known] : machines) {
         known.allocations.clear();
         known.used = {};
-        byPartition_[known.partition].push_back(&known);
+        machinesByPartition_[known.partition].push_back(&known);
     }
     for (const auto& [id, activeJob] : jobs)
         for (const auto& slice : activeJob.slices)
-            for (const auto& allocation : slice.allocations) attach(activeJob, allocation);
+            for (const auto& allocation : slice.allocations) indexAllocation(activeJob, allocation);
     dependencyGraph.prune();
 }
 
 double ClusterState::cachedFraction(const JobSpec& spec, PartitionId partition) const {
-    const auto image = imageUse_.find(spec.image);
-    if (image == imageUse_.end()) return 0;
+    const auto image = allocationsByImage_.find(spec.image);
+    if (image == allocationsByImage_.end()) return 0;
     const auto uses = image->second.find(partition);
     if (uses == image->second.end()) return 0;
     return std::min(1.0, static_cast<double>(uses->second) / std::max(1U, spec.tasks));
@@ -291,7 +294,7 @@
         if (activeJob.spec.team != team) continue;
         for (const auto& slice : activeJob.slices) {
             if (slice.partition != partition) continue;
-            // Added one by one: a product would round differently.
+            // Adds one by one, because a product would round differently.
             for (std::size_t i = 0; i < slice.allocations.size(); ++i) total += activeJob.spec.each;
         }
     }
--- a/src/storage/deleted_machines.cpp
+++ b/src/storage/deleted_machines.cpp
@@ -6,9 +6,8 @@
     if (!known_.insert(id).second) return;
     order_.push_back(id);
     if (order_.size() <= std::max(minKept, maxMachines_ * 2)) return;
-    // The one that went first, whatever its name: the smallest name was once forgotten instead, and
-    // that could be the one just added, which an outdated list then brought back
-    // (ForgetsTheOneThatWentFirst).
+    // Drops the name inserted first, not the smallest: the smallest name can be the one just
+    // inserted, and an outdated list would then bring that machine back (DropsTheOldestName).
     known_.erase(order_.front());
     order_.pop_front();
 }
--- a/src/storage/dependency_graph.cpp
+++ b/src/storage/dependency_graph.cpp
@@ -24,7 +24,7 @@
     resolve(job);
     static_cast<void>(collectDemand(job));
     propagateDemand(job);
-    // Records are read in the order of their names: a dependent may have come first.
+    // Records are read in the order of their names, so that dependents may have been added first.
     if (isCancelled(job)) cancelDependents(id);
 }
 
@@ -87,41 +87,41 @@
         else
             dependencyCancelled = dependencyCancelled || isCancelled(activeJob->second);
     }
-    const bool fresh = dependencyCancelled && !job.dependencyCancelled;
+    const bool newlyCancelled = dependencyCancelled && !job.dependencyCancelled;
     job.dependencyCancelled = job.dependencyCancelled || dependencyCancelled;
-    return fresh;
+    return newlyCancelled;
 }
 
 void DependencyGraph::cancelDependents(const std::string& job) {
-    std::vector<std::string> open{job};
-    while (!open.empty()) {
-        const auto next = std::move(open.back());
-        open.pop_back();
+    std::vector<std::string> pending{job};
+    while (!pending.empty()) {
+        const auto next = std::move(pending.back());
+        pending.pop_back();
         for (const auto& id : dependents(next)) {
             const auto found = jobs_.find(id);
             if (found == jobs_.end() || found->second.dependencyCancelled) continue;
             found->second.dependencyCancelled = true;
-            open.push_back(id);
+            pending.push_back(id);
         }
     }
 }
 
-void DependencyGraph::add(Demand& total, const Demand& more) {
+void DependencyGraph::mergeDemand(Demand& total, const Demand& more) {
     total.priority = std::min(total.priority, more.priority);
     if (more.latestEnd)
         total.latestEnd =
             total.latestEnd ? std::min(*total.latestEnd, *more.latestEnd) : *more.latestEnd;
 }
 
-DependencyGraph::Demand DependencyGraph::demandOf(const Job& dependent) const {
-    Demand demand = demandOn(dependent);
+DependencyGraph::Demand DependencyGraph::demandFrom(const Job& dependent) const {
+    Demand demand = storedDemand(dependent);
     if (dependent.spec.deadline)
-        add(demand, {demand.priority,
-                     dependent.submitted +
-                         std::chrono::duration_cast<WallTime::duration>(*dependent.spec.deadline)});
+        mergeDemand(demand, {demand.priority,
+                             dependent.submitted + std::chrono::duration_cast<WallTime::duration>(
+                                                       *dependent.spec.deadline)});
     if (demand.latestEnd)
         *demand.latestEnd -=
-            std::chrono::duration_cast<WallTime::duration>(stepTime_(dependent.spec));
+            std::chrono::duration_cast<WallTime::duration>(estimateTurnaround_(dependent.spec));
     return demand;
 }
 
@@ -130,23 +130,23 @@
     for (const auto& id : dependents(job.spec.id)) {
         const auto found = jobs_.find(id);
         if (found != jobs_.end() && !isCancelled(found->second))
-            add(total, demandOf(found->second));
+            mergeDemand(total, demandFrom(found->second));
     }
-    if (total == demandOn(job)) return false;
+    if (total == storedDemand(job)) return false;
     job.priority = total.priority;
     job.latestEnd = total.latestEnd;
     return true;
 }
 
 void DependencyGraph::propagateDemand(const Job& job) {
-    std::vector<const Job*> open{&job};
-    while (!open.empty()) {
-        const Job& next = *open.back();
-        open.pop_back();
+    std::vector<const Job*> pending{&job};
+    while (!pending.empty()) {
+        const Job& next = *pending.back();
+        pending.pop_back();
         for (const auto& dependency : next.spec.dependencies) {
             const auto found = jobs_.find(dependency);
             if (found != jobs_.end() && collectDemand(found->second))
-                open.push_back(&found->second);
+                pending.push_back(&found->second);
         }
     }
 }
--- a/src/storage/job.cpp
+++ b/src/storage/job.cpp
@@ -6,13 +6,13 @@
 
 namespace {
 
-// One faulty machine fails many tasks, and a job may meet two such machines in a row.
-constexpr std::uint32_t failedMachinesOfCrashLoop = 3;
-// A job avoids a machine on which its task failed for this long, and not for ever: it may be the
-// only one that fits.
+// A faulty machine fails many tasks, and a job may be placed on two faulty machines in a row.
+constexpr std::uint32_t minFailedMachinesOfCrashLoop = 3;
+// For this long a job avoids a machine on which one of its tasks failed. The time is limited
+// because no other machine may fit the job.
 constexpr std::chrono::seconds avoidanceDuration{60};
 
-// A pointer to the task's allocation, as const as the list; null: it has none.
+// Returns the task's allocation, const if the list is const, or null if there is none.
 template <typename Allocations>
 auto* findAllocation(Allocations& allocations, std::uint32_t task) {
     const auto found = std::find_if(allocations.begin(), allocations.end(),
@@ -36,8 +36,9 @@
 
 std::uint32_t Slice::waitingTasks() const {
     const auto started = doneCount + allocations.size();
-    const auto elsewhere = migrating ? migrating->count : 0;
-    return size() - static_cast<std::uint32_t>(std::min<std::size_t>(size(), started + elsewhere));
+    const auto migratingTasks = migrating ? migrating->count : 0;
+    return size() -
+           static_cast<std::uint32_t>(std::min<std::size_t>(size(), started + migratingTasks));
 }
 
 TaskRange Slice::trailingUnstarted() const {
@@ -70,9 +71,9 @@
 
 bool Job::complete() const {
     if (spec.kind == protocol::JobKind::service || doneTasks() < spec.tasks) return false;
-    // Each task must be done, not just as many as there are. While the record of a slice that was
-    // divided off is still to be read, those that are known may be done without the job being so;
-    // and where two slices overlap for a moment, a sum would count one task for another.
+    // A job is complete only if each single task is done. The known slices can all be done while
+    // the record of a slice that was divided off has not been read yet. And where two slices
+    // overlap temporarily, the sum of their done tasks counts a task twice.
     std::vector<bool> done(spec.tasks, false);
     for (const auto& slice : slices)
         for (std::uint32_t i = 0; i < slice.size(); ++i)
@@ -101,7 +102,7 @@
     if (!failures.anyFailure || failures.crashLoopDisproved || doneTasks() > 0) return false;
     std::uint32_t machines = 0;
     for (const auto& slice : slices) machines += slice.failures;
-    return machines >= failedMachinesOfCrashLoop;
+    return machines >= minFailedMachinesOfCrashLoop;
 }
 
 bool Job::avoids(const std::string& machine, SteadyTime now) const {
--- a/src/storage/machine.h
+++ b/src/storage/machine.h
@@ -1,5 +1,5 @@
 /// @file
-/// A machine: its durable record, and what its partition's leader has observed of it.
+/// A machine: its durable record, and the observations of its partition's leader.
 #pragma once
 
 #include <cstdint>
@@ -16,7 +16,7 @@
 
 namespace fawnwheel::storage {
 
-/// Names one attempt at a task.
+/// Identifies one attempt at a task.
 struct TaskRef {
     std::string job;
     std::uint32_t task = 0;
@@ -30,77 +30,76 @@
     double size = 0;  ///< GB
 };
 
-/// The durable state of a machine: what its record in the state service holds.
+/// The durable state of a machine: the content of its record in the state service.
 struct MachineRecord {
     std::string id;
     std::string type;
     std::string zone;
     bool spot = false;
     PartitionId partition = 0;
-    std::optional<std::uint32_t> lender;  ///< partition that has lent it to `partition`
-    std::uint64_t minFencingToken = 0;    ///< its worker may have seen this token from a lender
-    std::string transferredBy;    ///< node that last gave it to another partition with its tasks
-    bool decommissioned = false;  ///< a release was or will be sent: never gets work again
-    std::uint64_t version = 0;    ///< 0: no record yet, and so no work
+    std::optional<std::uint32_t> lender;  ///< partition that has lent the machine to `partition`
+    std::uint64_t minFencingToken = 0;    ///< its worker may have accepted this token from a lender
+    std::string transferredBy;            ///< node that last transferred it together with its tasks
+    bool decommissioned = false;  ///< a release was or will be sent: no work is placed on it again
+    std::uint64_t version = 0;    ///< 0: no record yet, so that no work is placed
 };
 
-/// What this process has learnt of a machine from heartbeats and lists, and has decided about it.
-/// None of it is durable: another node that acquires the partition knows none of it.
+/// Observations of a machine from heartbeats and the cloud's lists, and decisions of this process
+/// about it. None of them is durable: another node that acquires the partition starts without them.
 struct MachineObservations {
     // The agent on the machine and its lease.
     std::string address;
     std::uint64_t agentEpoch = 0;
-    std::uint64_t sequence = 0;               ///< of the last heartbeat in this epoch
-    std::uint64_t expiredAgentEpoch = 0;      ///< its lease has surely run out
-    SteadyTime heartbeatRequestedAt{};        ///< when its worker was last made to heartbeat
-    std::optional<SteadyTime> lastHeartbeat;  ///< last newer one, by this process as its leader
-    SteadyTime lastPossibleRenewal{};         ///< leases can't have been renewed after this
-    SteadyTime ignoreHeartbeatsUntil{};       ///< not answered, so that its lease runs out
+    std::uint64_t sequence = 0;           ///< sequence number of the last heartbeat in this epoch
+    std::uint64_t expiredAgentEpoch = 0;  ///< the lease of this epoch has certainly expired
+    SteadyTime heartbeatRequestedAt{};    ///< when a heartbeat was last requested
+    std::optional<SteadyTime> lastHeartbeat;  ///< last fresh one received by this process as leader
+    SteadyTime lastPossibleRenewal{};         ///< the lease can't have been renewed later
+    SteadyTime ignoreHeartbeatsUntil{};  ///< not answered until then, so that the lease expires
 
-    // Fencing. An answer sent is no answer received: only a heartbeat that shows the expected token
-    // proves that the worker has received this leader's answer. Until then the machine gets no
-    // work.
-    std::uint64_t firstFencingToken = 0;  ///< of this leader: a worker that has seen it ignores
-                                          ///< earlier leaders
-    std::uint64_t fencingToken = 0;       ///< what it is answered with; grows within a term
+    // Fencing. A response that was sent may be lost: only a heartbeat with the expected token
+    // proves that the worker has received a response of this leader. No work is placed on the
+    // machine before that.
+    std::uint64_t firstFencingToken = 0;  ///< first token of this leader: a worker that has
+                                          ///< accepted it ignores earlier leaders
+    std::uint64_t fencingToken = 0;       ///< token of the responses; grows within a term
     std::uint64_t expectedToken = 0;
     std::uint64_t acknowledgedToken = 0;
     SteadyTime unacknowledgedSince{};
-    int unacknowledgedResponses =
-        0;  ///< answered heartbeats in a row that don't show the expected token
+    int unacknowledgedResponses = 0;  ///< consecutive, without the expected token
 
-    // The machine's life in the cloud.
-    SteadyTime knownSince{};  ///< when this process first knew of it
+    // The machine's life cycle in the cloud.
+    SteadyTime knownSince{};  ///< when this process first knew of it in this partition
     SteadyTime idleSince{};
-    std::optional<SteadyTime> interruptionAt;  ///< the cloud reclaims it then
-    std::optional<SteadyTime> lastListed;      ///< when the last list that shows it was received
+    std::optional<SteadyTime> interruptionAt;  ///< when the cloud reclaims the machine
+    std::optional<SteadyTime> lastListed;      ///< when a list with the machine was last received
     bool listedAsFailed = false;
 
-    // Moves to another partition.
-    bool transferring = false;  ///< its record is being changed to another partition
-    /// Its record already names this partition, although this process's own transaction on it has
-    /// no outcome yet.
+    // Transfers to another partition.
+    bool transferring = false;  ///< a transaction that changes the record's partition is in flight
+    /// The partition that the machine's record already names while this process's own transaction
+    /// on the record has no outcome yet.
     std::optional<std::uint32_t> departedTo;
 
     // Scheduling.
-    SteadyTime unschedulableUntil{};  ///< no new work before
-    bool consolidating = false;       ///< its tasks move together with others, then it is released
-    std::string reservedFor;  ///< job that capacity is reserved for: others were stopped, or it
+    SteadyTime unschedulableUntil{};  ///< no placement before this time
+    bool consolidating = false;       ///< being drained to consolidate work; released when empty
+    std::string reservedFor;  ///< job with reserved capacity: tasks were preempted for it, or it
                               ///< is a gang
     std::uint32_t reservedTasks = 0;
     Resources reservedCapacity;
     SteadyTime reservedUntil{};
-    std::size_t exitedTasks = 0;       ///< tasks in its last heartbeat that have ended
-    std::set<std::string> failedJobs;  ///< whose tasks have failed here since one was done
+    std::size_t exitedTasks = 0;       ///< number of exited tasks in its last heartbeat
+    std::set<std::string> failedJobs;  ///< jobs with failures here since a task last completed
     std::deque<CachedImage> images;    ///< most recently used first
-    std::vector<TaskRef> allocations;  ///< index of the slices' allocations on it
-    Resources used;                    ///< by these allocations
+    std::vector<TaskRef> allocations;  ///< index of the allocations on this machine
+    Resources used;                    ///< sum over these allocations
 
-    /// Whether its worker has received an answer of the present leader.
+    /// Whether the worker has confirmed the expected token by a heartbeat.
     [[nodiscard]] bool acknowledged() const { return acknowledgedToken >= expectedToken; }
 };
 
-/// A machine as this process knows it.
+/// A machine's durable state together with this process's observations.
 struct Machine : MachineRecord, MachineObservations {
     /// Replaces the durable state and keeps the observations.
     void setRecord(MachineRecord record) { static_cast<MachineRecord&>(*this) = std::move(record); }
--- a/src/storage/partition.h
+++ b/src/storage/partition.h
@@ -7,7 +7,7 @@
 
 namespace fawnwheel::storage {
 
-/// A partition's number: the index of the node that leads it by preference, in the order of names.
+/// A partition's number: the index of its preferred leader among the nodes sorted by name.
 using PartitionId = std::uint32_t;
 
 /// A partition's record.
@@ -23,7 +23,7 @@
     double gpus = 0;
 };
 
-/// Quota that a partition is giving away; the transaction has no outcome yet.
+/// Quota that a partition is transferring to another one in a transaction without an outcome yet.
 struct OutgoingQuota {
     PartitionId partition = 0;
     QuotaShare quota;
--- a/src/storage/record_codec.cpp
+++ b/src/storage/record_codec.cpp
@@ -46,7 +46,8 @@
     return allocations;
 }
 
-/// The tasks that a slice's record covers: those that its index gives, unless it names them.
+/// The tasks that a slice's record covers: the range in the record, or else the initial range of
+/// the slice's index. None if the range is not within the job.
 std::optional<TaskRange> readRange(const Job& job, std::uint32_t index, const Json& value) {
     if (!value.contains(rangeCount)) return job.initialRange(index);
     const auto first = countOf(value, rangeFirst);
--- a/src/storage/record_codec.h
+++ b/src/storage/record_codec.h
@@ -1,6 +1,6 @@
 /// @file
-/// The values of the durable records as JSON. Fields that are not known here are ignored, and
-/// missing ones have their defaults, so that versions can run side by side.
+/// Encodes the values of the durable records as JSON, and decodes them. Unknown fields are ignored
+/// and missing ones have their defaults, so that several versions can run side by side.
 #pragma once
 
 #include <cstdint>
@@ -19,7 +19,7 @@
 
 using protocol::Json;
 
-/// What a job's active record holds.
+/// The content of a job's active record.
 struct JobRecord {
     JobSpec spec;
     PartitionId partition = 0;
@@ -29,20 +29,20 @@
 };
 
 [[nodiscard]] Json jobValue(const Job& job);
-/// None: the record's specification is not valid.
+/// None if the specification in the record is invalid.
 [[nodiscard]] std::optional<JobRecord> readJob(const Json& value);
-/// Whether a job's record says that the job is cancelled.
+/// Whether a job's record marks the job as cancelled.
 [[nodiscard]] bool isCancelledValue(const Json& value);
 
 [[nodiscard]] Json sliceValue(const Slice& slice);
-/// The content of the job's slice with this index by its record; none: the record makes no sense.
+/// Decodes the record of the job's slice with this index; none if its range is invalid.
 [[nodiscard]] std::optional<SliceContent> readSlice(const Job& job, std::uint32_t index,
                                                     const Json& value);
 
 [[nodiscard]] Json machineValue(const MachineRecord& machine);
-/// Whether a machine's record can be read and names partitions that exist.
+/// Whether a machine's record is well-formed and names only partitions that exist.
 [[nodiscard]] bool machineValueValid(const Json& value, std::uint32_t partitionCount);
-/// The record must be valid.
+/// Decodes a record for which `machineValueValid` is true.
 [[nodiscard]] MachineRecord readMachine(const std::string& id, const Json& value,
                                         std::uint64_t version);
 
--- a/src/storage/record_keys.h
+++ b/src/storage/record_keys.h
@@ -1,8 +1,8 @@
 /// @file
 /// The keys under which the durable records are kept in the state service.
 ///
-/// Every active record has one common prefix, so that one watch replicates them all; terminal
-/// records are apart and are kept for ever.
+/// All active records share one prefix, so that one watch replicates them all. Terminal records
+/// have another prefix and are never deleted.
 #pragma once
 
 #include <cstdint>
@@ -24,17 +24,17 @@
 [[nodiscard]] std::string partition(PartitionId partition);
 [[nodiscard]] std::string node(const std::string& name);
 [[nodiscard]] std::string quota(const std::string& team);
-/// Its record says, for ever, that a node has run a version that knows the formats added since the
-/// first one.
+/// The record under this key is never deleted. It states that the node has run a version that
+/// supports the formats added since the first version.
 [[nodiscard]] std::string jobDependenciesGate(const std::string& node);
-/// The same for a version that knows machines which are transferred with their tasks.
+/// The same for a version that supports transferring machines together with their tasks.
 [[nodiscard]] std::string machineTransfersGate(const std::string& node);
 [[nodiscard]] std::string terminal(const std::string& id);
 }  // namespace keys
 
-/// What an active record is about.
+/// The kind of object that an active record describes.
 enum class RecordKind {
-    unknown,  ///< of a version that is not known here
+    unknown,  ///< written by a version with other kinds of records
     catalog,
     term,
     job,
@@ -47,15 +47,15 @@
     machineTransfersGate,
 };
 
-/// An active record's key, taken apart.
+/// The parsed key of an active record.
 struct RecordKey {
     RecordKind kind = RecordKind::unknown;
-    std::string name;  ///< what follows the prefix of the kind
+    std::string name;  ///< the part of the key after the prefix of the kind
 };
 
 [[nodiscard]] RecordKey parseKey(std::string_view key);
 
-/// A decimal number without sign that is the whole text, or none.
+/// Parses a text that consists of an unsigned decimal number; none for any other text.
 [[nodiscard]] std::optional<std::uint32_t> parseNumber(std::string_view text);
 
 }  // namespace fawnwheel::storage
--- a/src/storage/record_replay.cpp
+++ b/src/storage/record_replay.cpp
@@ -39,7 +39,7 @@
 void applySlice(ClusterState& clusterState, const std::string& name, const protocol::Event& event) {
     const auto slash = name.rfind('/');
     if (slash == std::string::npos) return;
-    // The record of a slice is deleted only with its job's or after it.
+    // A slice's record is deleted only together with or after its job's record.
     if (!event.value) {
         clusterState.orphanedRecords.erase(event.key);
         return;
@@ -51,7 +51,7 @@
         return;
     }
     const auto index = parseNumber(std::string_view(name).substr(slash + 1));
-    // Each division leaves at least one task to each piece.
+    // Each division leaves at least one task in each piece, which bounds the indexes.
     if (!index || *index >= std::uint64_t{job->spec.tasks} * 2) return;
     auto content = readSlice(*job, *index, *event.value);
     if (!content) return;
@@ -61,8 +61,8 @@
     slice.version = event.version;
 }
 
-/// What the machine's former leader observed does not hold for the new one.
-void resetAfterMove(Machine& machine, SteadyTime now) {
+/// Resets observations and decisions made while the machine belonged to its former partition.
+void resetAfterPartitionChange(Machine& machine, SteadyTime now) {
     machine.reservedUntil = {};
     machine.unschedulableUntil = {};
     machine.consolidating = false;
@@ -73,14 +73,15 @@
     machine.knownSince = machine.lastPossibleRenewal = machine.idleSince = now;
 }
 
-/// Sets where the fencing tokens of the new leader begin for the machine's worker.
-void startTokens(Machine& machine, SteadyTime now) {
+/// Starts the fencing tokens of the machine's new leader at the minimum that its record gives.
+void resetFencingTokens(Machine& machine, SteadyTime now) {
     if (machine.minFencingToken <= machine.firstFencingToken) return;
     machine.lastHeartbeat = now;
     machine.firstFencingToken = machine.fencingToken = machine.expectedToken =
         machine.minFencingToken;
-    // Lent or returned: the partition it comes from has just had its heartbeat, and it is empty.
-    // With tasks on it nothing is proved until the worker has shown the new leader's token.
+    // A machine that was lent or returned is empty, and the leader that gave it away has just
+    // received its heartbeat. A machine transferred with its tasks counts as unacknowledged until
+    // its worker sends a heartbeat with the new leader's token.
     machine.acknowledgedToken = machine.transferredBy.empty() ? machine.minFencingToken : 0;
     machine.unacknowledgedSince = now;
     machine.unacknowledgedResponses = 0;
@@ -88,17 +89,17 @@
 
 void applyMachineRecord(ClusterState& clusterState, MachineRecord record, SteadyTime now) {
     const Machine* known = clusterState.machine(record.id);
-    const bool fresh = known == nullptr;
-    const bool moved = !fresh && known->partition != record.partition;
+    const bool isNew = known == nullptr;
+    const bool partitionChanged = !isNew && known->partition != record.partition;
     Machine& machine = clusterState.addMachine(record.id, record.partition);
     machine.setRecord(std::move(record));
-    if (fresh) machine.knownSince = machine.lastPossibleRenewal = machine.idleSince = now;
-    if (moved) {
-        resetAfterMove(machine, now);
-        startTokens(machine, now);
+    if (isNew) machine.knownSince = machine.lastPossibleRenewal = machine.idleSince = now;
+    if (partitionChanged) {
+        resetAfterPartitionChange(machine, now);
+        resetFencingTokens(machine, now);
         clusterState.resetTaskStates(machine);
     }
-    if (fresh) clusterState.indexAllocations(machine);
+    if (isNew) clusterState.indexAllocations(machine);
 }
 
 void applyMachine(ClusterState& clusterState, const std::string& id, const protocol::Event& event,
@@ -107,14 +108,14 @@
     if (known != nullptr && known->version >= event.version) return;
     if (!event.value) {
         clusterState.corruptMachines.erase(id);
-        // Version 0: not yet recorded, its first write is in flight.
+        // A machine with version 0 has no record yet: its first write is in flight.
         if (known != nullptr && known->version > 0) clusterState.removeMachine(id);
         return;
     }
     const Json& value = *event.value;
     if (!machineValueValid(value, clusterState.partitionCount)) {
-        // It moves no machine: the leader that had the machine keeps it, and writes the record
-        // again over this version.
+        // A corrupt record doesn't change the machine's partition: the leader that had the machine
+        // keeps it, and overwrites this version with a valid record.
         clusterState.corruptMachines[id] = {event.version, value};
         if (known != nullptr) known->version = event.version;
         return;
--- a/src/storage/record_replay.h
+++ b/src/storage/record_replay.h
@@ -1,5 +1,5 @@
 /// @file
-/// Applies records, as read or watched, to the cluster state.
+/// Applies records that were read or watched to the cluster state.
 #pragma once
 
 #include "protocol/state_client.h"
@@ -7,14 +7,15 @@
 
 namespace fawnwheel::storage {
 
-/// Applies a record, unless the cluster state has it at least as new. An event without value is a
-/// deletion. Records that make no sense are ignored.
+/// Applies a record unless the cluster state already holds the same or a newer version of it. An
+/// event without a value is a deletion. Invalid records are ignored.
 void applyEvent(ClusterState& clusterState, const protocol::Event& event, SteadyTime now);
 
-/// Applies only the cancellation that a job's record shows, and nothing else of it.
+/// Applies only the cancellation from a job's record, and ignores the rest of the record.
 void recordCancellation(ClusterState& clusterState, const protocol::Event& event);
 
-/// Records that a machine's record names another partition, and applies nothing else of it.
+/// Notes in `departedTo` whether a machine's record names another partition, and ignores the rest
+/// of the record.
 void recordDeparture(ClusterState& clusterState, const protocol::Event& event);
 
 }  // namespace fawnwheel::storage
--- a/src/storage/slice_size.h
+++ b/src/storage/slice_size.h
@@ -8,16 +8,16 @@
 
 namespace fawnwheel::storage {
 
-/// What the state service allows.
-struct RecordBounds {
-    double valueKb = 4;           ///< size of one value
-    double writesPerSecond = 20;  ///< of all nodes together
+/// Limits of the state service.
+struct StateServiceLimits {
+    double valueKb = 4;           ///< maximum size of a value
+    double writesPerSecond = 20;  ///< for all nodes together
 };
 
-/// How many tasks a slice may have so that its record, all tasks allocated, stays within a value.
-/// Slices that can be divided later are as large as is practical; others are small enough to be
-/// migrated whole.
-[[nodiscard]] std::uint32_t sliceSizeFor(const JobSpec& spec, const RecordBounds& bounds,
+/// The number of tasks per slice with which a slice's record fits into a value even if all of its
+/// tasks are allocated. Slices that can be divided later are as large as is practical; the others
+/// are small enough to be migrated whole.
+[[nodiscard]] std::uint32_t sliceSizeFor(const JobSpec& spec, const StateServiceLimits& limits,
                                          bool divisible);
 
 }  // namespace fawnwheel::storage
--- a/src/storage/synchronized.h
+++ b/src/storage/synchronized.h
@@ -1,17 +1,18 @@
 /// @file
-/// Shared state that can be reached only through its lock.
+/// Shared state that is accessible only while its lock is held.
 #pragma once
 
 #include <mutex>
 
 namespace fawnwheel::storage {
 
-/// A value behind a recursive mutex, which a callee of its holder may lock again. The lock is held
-/// for a short time: sending only queues bytes for the loop, so a holder never waits for I/O.
+/// A value protected by a recursive mutex: a function called while the lock is held may lock it
+/// again. The lock is held only briefly: sending only queues bytes for the event loop, so the
+/// holder never waits for I/O.
 template <typename T>
 class Synchronized {
   public:
-    /// Holds the lock for as long as it lives.
+    /// Gives access to the value and holds the lock until it is destroyed.
     class Access {
       public:
         Access(T& value, std::recursive_mutex& mutex) : value_(&value), lock_(mutex) {}
--- a/tests/unit/storage/cancellation_log_test.cpp
+++ b/tests/unit/storage/cancellation_log_test.cpp
@@ -5,7 +5,9 @@
 namespace fawnwheel::storage {
 namespace {
 
-TEST(CancellationLogTest, AReaderGetsWhatItsRecordsLackFromWhereItStopped) {
+// A peer must receive each cancellation that its records lack, whether it reads the log at once or
+// in several parts, and also a cancellation whose revision is unknown.
+TEST(CancellationLogTest, ReadersGetTheCancellationsThatTheirRecordsLack) {
     CancellationLog log;
     EXPECT_TRUE(log.append("run-1", 10));
     EXPECT_TRUE(log.append("run-2", 30));
@@ -23,7 +25,9 @@
     EXPECT_EQ(log.since(all.next, 1000, 10).jobs, (std::vector<std::string>{"run-4"}));
 }
 
-TEST(CancellationLogTest, WhoMayLackADroppedOneIsNotCovered) {
+// The log drops its oldest entries. A reader that may lack a dropped cancellation must not be
+// treated as having received all of them.
+TEST(CancellationLogTest, DoesNotCoverReadersThatMayLackADroppedEntry) {
     CancellationLog log;
     for (std::uint64_t i = 1; i <= 10'001; ++i) log.append("run-" + std::to_string(i), i);
     EXPECT_FALSE(log.contains("run-1"));
--- a/tests/unit/storage/deleted_machines_test.cpp
+++ b/tests/unit/storage/deleted_machines_test.cpp
@@ -5,7 +5,10 @@
 namespace fawnwheel::storage {
 namespace {
 
-TEST(DeletedMachines, ForgetsTheOneThatWentFirst) {
+// At capacity, the name inserted first must be dropped. If the smallest name were dropped, that
+// could be the name just inserted, and an outdated list from the cloud would bring the machine
+// back.
+TEST(DeletedMachines, DropsTheOldestName) {
     DeletedMachines gone;
     gone.insert("m-9");
     for (int i = 10'000; i < 13'999; ++i) gone.insert("m-" + std::to_string(i));
--- a/tests/unit/storage/dependency_graph_test.cpp
+++ b/tests/unit/storage/dependency_graph_test.cpp
@@ -10,7 +10,7 @@
 using protocol::Priority;
 using namespace std::chrono_literals;
 
-class Chains : public ::testing::Test {
+class DependencyGraphTest : public ::testing::Test {
   protected:
     Job& add(const std::string& id, const std::vector<std::string>& dependencies,
              Priority priority = Priority::low, std::optional<Seconds> deadline = std::nullopt) {
@@ -34,7 +34,9 @@
     const WallTime start{1000s};
 };
 
-TEST_F(Chains, OnlyATerminalRecordReleasesAJob) {
+// A deleted active record doesn't show whether the job completed or was cancelled. A dependent must
+// stay blocked until the terminal records of all its dependencies have been read.
+TEST_F(DependencyGraphTest, OnlyTerminalRecordsUnblockADependent) {
     add("run-a", {});
     add("run-b", {});
     const Job& last = add("run-c", {"run-a", "run-b"});
@@ -42,7 +44,7 @@
     EXPECT_TRUE(last.blockedOnDependencies);
     end("run-a", false, start + 20s);
     EXPECT_TRUE(last.blockedOnDependencies);
-    // Its active record is gone, but nobody has read yet how it ended.
+    // The active record of run-b is deleted, but its terminal record has not been read.
     clusterState.removeJob("run-b");
     EXPECT_TRUE(last.blockedOnDependencies);
     EXPECT_EQ(clusterState.dependencyGraph.unresolved(), std::set<std::string>{"run-b"});
@@ -53,14 +55,18 @@
     EXPECT_TRUE(clusterState.dependencyGraph.unresolved().empty());
 }
 
-TEST_F(Chains, ATimeThatARecordLacksIsTheSubmission) {
+// Terminal records of the first version lack the time of the end. The dependent then counts as
+// ready since its submission.
+TEST_F(DependencyGraphTest, ReadySinceSubmissionIfTheTerminalRecordLacksATime) {
     const Job& job = add("run-b", {"run-a"});
     clusterState.dependencyGraph.recordTerminal("run-a", {false, std::nullopt});
     EXPECT_TRUE(clusterState.schedulable(job));
     EXPECT_EQ(job.readySince, start);
 }
 
-TEST_F(Chains, ACancellationCancelsAllThatFollowsInAnyOrderOfReading) {
+// Records are read in the order of their names, so that dependents can be added before their
+// dependencies. A cancellation must reach all transitive dependents, including those added later.
+TEST_F(DependencyGraphTest, CancellationReachesAllDependentsInAnyReadOrder) {
     add("run-z", {"run-y"});
     add("run-x", {"run-w"});
     add("run-y", {"run-x"});
@@ -74,7 +80,9 @@
     EXPECT_TRUE(add("run-late", {"run-z"}).dependencyCancelled);
 }
 
-TEST_F(Chains, ACancelledTerminalRecordCancelsToo) {
+// A dependency may be cancelled and ended before its cancellation was seen: its terminal record
+// must cancel all transitive dependents as well.
+TEST_F(DependencyGraphTest, CancelledTerminalRecordCancelsDependents) {
     add("run-b", {"run-a"});
     add("run-c", {"run-b"});
     clusterState.dependencyGraph.recordTerminal("run-a", {true, start});
@@ -83,14 +91,18 @@
     EXPECT_TRUE(clusterState.job("run-b")->blockedOnDependencies);
 }
 
-TEST_F(Chains, ToldOfBeforeItsRecordIsRead) {
+// A peer can report a cancellation before this node has read the job's record. The cancellation
+// must still reach the job's dependents when the record is read.
+TEST_F(DependencyGraphTest, CancellationKnownBeforeTheRecordCancelsDependents) {
     clusterState.recordCancellation("run-a", 7);
     add("run-b", {"run-a"});
     add("run-a", {});
     EXPECT_TRUE(clusterState.job("run-b")->dependencyCancelled);
 }
 
-TEST_F(Chains, PriorityAndSlackFlowBack) {
+// A job on which an urgent job depends, directly or transitively, must get that priority and an end
+// that leaves time for its dependents. Cancelled dependents must not count.
+TEST_F(DependencyGraphTest, DependentsRaisePriorityAndSetTheLatestEnd) {
     add("run-a", {});
     add("run-b", {"run-a"});
     add("run-c", {"run-b"});
@@ -98,20 +110,22 @@
     EXPECT_FALSE(clusterState.job("run-a")->latestEnd);
     add("run-d", {"run-c"}, Priority::high, Seconds(100));
     EXPECT_EQ(clusterState.job("run-a")->priority, Priority::high);
-    // Leaves the 10 s of each dependent.
+    // Leaves 10 s for each dependent on the way to run-d's deadline.
     EXPECT_EQ(*clusterState.job("run-c")->latestEnd, start + 90s);
     EXPECT_EQ(*clusterState.job("run-a")->latestEnd, start + 70s);
     add("run-e", {"run-b"}, Priority::production, Seconds(50));
     EXPECT_EQ(clusterState.job("run-a")->priority, Priority::production);
     EXPECT_EQ(*clusterState.job("run-b")->latestEnd, start + 40s);
     EXPECT_EQ(clusterState.job("run-c")->priority, Priority::high);
-    // A cancelled dependent demands nothing any more.
+    // A cancelled dependent has no demand.
     clusterState.recordCancellation("run-e", 9);
     EXPECT_EQ(clusterState.job("run-a")->priority, Priority::high);
     EXPECT_EQ(*clusterState.job("run-a")->latestEnd, start + 70s);
 }
 
-TEST_F(Chains, ReadAgainInAnotherOrderTheyAreTheSame) {
+// The order in which records are read must not change priorities and latest ends. Clearing the
+// records must leave no demand of former dependents.
+TEST_F(DependencyGraphTest, ReadOrderDoesNotChangeDemandAndClearingRemovesIt) {
     add("run-d", {"run-c"}, Priority::high, Seconds(100));
     add("run-c", {"run-b"});
     add("run-a", {});
@@ -124,7 +138,8 @@
     EXPECT_EQ(clusterState.job("run-a")->priority, Priority::low);
 }
 
-TEST_F(Chains, TerminalStatesAreKeptOnlyForWhoNeedsThem) {
+// Terminal states must be kept only while an active job depends on them, or they would accumulate.
+TEST_F(DependencyGraphTest, KeepsTerminalStatesOnlyForActiveDependents) {
     add("run-b", {"run-a"});
     clusterState.dependencyGraph.recordTerminal("run-a", {false, start});
     clusterState.dependencyGraph.recordTerminal("run-unasked", {false, start});
@@ -134,7 +149,8 @@
     EXPECT_FALSE(clusterState.dependencyGraph.isTerminalKnown("run-a"));
 }
 
-TEST_F(Chains, DeepAndWideOnesAreKeptUpAlongTheirEdges) {
+// Demand and cancellations must propagate through a chain of 400 jobs and to 400 direct dependents.
+TEST_F(DependencyGraphTest, PropagatesThroughDeepAndWideGraphs) {
     add("run-0", {});
     constexpr int depth = 400;
     for (int i = 1; i <= depth; ++i)
--- a/tests/unit/storage/shared_formats_test.cpp
+++ b/tests/unit/storage/format_compatibility_test.cpp
@@ -1,6 +1,6 @@
-// What the version in production reads and writes, byte for byte: while an upgrade runs, both
-// versions work on the same records and exchange the same frames. These texts were written by that
-// version. A test here that fails means that the two no longer understand each other.
+// Compatibility with the version in production, byte for byte: during an upgrade both versions use
+// the same records and exchange the same frames. That version wrote the texts below. A failure here
+// means that the two versions can no longer read each other's records or frames.
 #include <gtest/gtest.h>
 
 #include "protocol/peer_codec.h"
@@ -27,7 +27,7 @@
     R"("mem_gb":768.0,"name":"g8","price":12.0,"pull_gb_per_s":1.0,"ready_s":45.0}]})";
 constexpr auto finalText = R"({"cancelled":true})";
 
-class SharedRecords : public ::testing::Test {
+class RecordCompatibility : public ::testing::Test {
   protected:
     void put(const std::string& key, const std::string& text, std::uint64_t version) {
         applyEvent(clusterState, {key, Json::parse(text), version}, {});
@@ -37,7 +37,7 @@
     ClusterState clusterState;
 };
 
-TEST_F(SharedRecords, KeysAreThoseOfProduction) {
+TEST_F(RecordCompatibility, KeysMatchProduction) {
     EXPECT_STREQ(keys::activePrefix, "live/");
     EXPECT_STREQ(keys::term, "live/term");
     EXPECT_STREQ(keys::catalog, "live/catalog");
@@ -50,7 +50,7 @@
     EXPECT_EQ(keys::terminal("run-1"), "final/run-1");
 }
 
-TEST_F(SharedRecords, AJobIsReadAndRewrittenAsItWas) {
+TEST_F(RecordCompatibility, JobRoundTripsUnchanged) {
     putJob();
     const Job* job = clusterState.job("run-000412");
     ASSERT_NE(job, nullptr);
@@ -61,7 +61,7 @@
     EXPECT_EQ(jobValue(*job).dump(), jobText);
 }
 
-TEST_F(SharedRecords, ASliceIsReadAndRewrittenAsItWas) {
+TEST_F(RecordCompatibility, SliceRoundTripsUnchanged) {
     putJob();
     put("live/slice/run-000412/1", sliceText, 6);
     const Slice& slice = clusterState.job("run-000412")->slices[1];
@@ -74,7 +74,7 @@
     EXPECT_EQ(sliceValue(slice).dump(), sliceText);
 }
 
-TEST_F(SharedRecords, MachinesAreReadAndRewrittenAsTheyWere) {
+TEST_F(RecordCompatibility, MachinesRoundTripUnchanged) {
     put("live/machine/m-000231", machineText, 7);
     put("live/machine/m-000232", lentMachineText, 8);
     EXPECT_EQ(machineValue(*clusterState.machine("m-000231")).dump(), machineText);
@@ -84,7 +84,7 @@
     EXPECT_TRUE(clusterState.machine("m-000232")->decommissioned);
 }
 
-TEST_F(SharedRecords, PartitionsQuotasTermsCatalogAndTerminalsAreReadAndRewrittenAsTheyWere) {
+TEST_F(RecordCompatibility, PartitionsQuotasTermsCatalogAndTerminalsRoundTripUnchanged) {
     put("live/part/2", partitionText, 9);
     put("live/share/vision", quotaText, 10);
     put("live/term", R"({"term":11})", 11);
@@ -100,9 +100,10 @@
     EXPECT_FALSE(readTerminal(Json::parse(R"({"cancelled":false})")).cancelled);
 }
 
-// What production does with what it does not know. The new version relies on it.
+// The version in production ignores keys, fields and slices that it does not know. Newer versions
+// rely on that.
 
-TEST_F(SharedRecords, UnknownKeysAreIgnored) {
+TEST_F(RecordCompatibility, IgnoresUnknownKeys) {
     putJob();
     put("live/upgraded/spoke-1", R"({"formats":1})", 6);
     put("live/unheard-of", R"([1,2])", 7);
@@ -111,7 +112,7 @@
     EXPECT_TRUE(clusterState.nodes.empty());
 }
 
-TEST_F(SharedRecords, UnknownFieldsAreIgnored) {
+TEST_F(RecordCompatibility, IgnoresUnknownFields) {
     auto value = Json::parse(jobText);
     value["more"] = "text";
     value["spec"]["unheard_of"] = {"run-1"};
@@ -124,8 +125,8 @@
     EXPECT_TRUE(readTerminal(Json::parse(R"({"cancelled":true,"at":1700000000123})")).cancelled);
 }
 
-TEST_F(SharedRecords, SlicesBeyondThoseOfTheJobAreIgnored) {
-    // As production writes them: without a range of their own.
+TEST_F(RecordCompatibility, IgnoresSlicesBeyondTheJob) {
+    // The version in production writes slices without a range.
     putJob();
     put("live/slice/run-000412/3", sliceText, 6);
     EXPECT_EQ(clusterState.job("run-000412")->slices.size(), 3U);
@@ -148,21 +149,22 @@
     return hex;
 }
 
-struct SharedFrame {
+struct EncodedFrame {
     const char* name;
     const char* hex;
 };
 
-constexpr SharedFrame frames[] = {
-    {"status", "01000773706f6b652d31ac0207010009ac020b0c01000d0f020572756e2d340572756e2d35"},
-    {"move ask", "01010773706f6b652d31ac02020572756e2d310701a08d06"},
-    {"move answer", "01020773706f6b652d31ac0201"},
-    {"no capacity", "01030773706f6b652d31026738016101c03e"},
-    {"loan ask", "01040773706f6b652d3101040572756e2d3201620c"},
-    {"share ask", "01050773706f6b652d3103000572756e2d33"},
+constexpr EncodedFrame frames[] = {
+    {"peer heartbeat",
+     "01000773706f6b652d31ac0207010009ac020b0c01000d0f020572756e2d340572756e2d35"},
+    {"migration request", "01010773706f6b652d31ac02020572756e2d310701a08d06"},
+    {"migration response", "01020773706f6b652d31ac0201"},
+    {"capacity exhausted", "01030773706f6b652d31026738016101c03e"},
+    {"loan request", "01040773706f6b652d3101040572756e2d3201620c"},
+    {"quota request", "01050773706f6b652d3103000572756e2d33"},
 };
 
-TEST(SharedFrames, AreReadAndRewrittenAsTheyWere) {
+TEST(PeerFrameCompatibility, FramesRoundTripUnchanged) {
     for (const auto& [name, hex] : frames) {
         const auto envelope = protocol::decodePeer(fromHex(hex));
         ASSERT_TRUE(envelope.has_value()) << name;
@@ -171,7 +173,8 @@
     }
 }
 
-TEST(SharedFrames, OfUnknownKindOrWithMoreFieldsAreDropped) {
+// Frames with additional bytes, an unknown message index or another codec version must be rejected.
+TEST(PeerFrameCompatibility, RejectsUnknownMessagesVersionsAndExtraBytes) {
     for (const auto& [name, hex] : frames)
         EXPECT_FALSE(protocol::decodePeer(fromHex(std::string(hex) + "00"))) << name;
     EXPECT_FALSE(protocol::decodePeer(fromHex("01630773706f6b652d3101")));
--- a/tests/unit/storage/record_keys_test.cpp
+++ b/tests/unit/storage/record_keys_test.cpp
@@ -11,7 +11,8 @@
     EXPECT_EQ(parsed.name, name) << key;
 }
 
-TEST(RecordKeys, AreParsedAsTheyAreMade) {
+// Each key must be parsed as the kind and the name from which it was built.
+TEST(RecordKeys, RoundTrip) {
     expectKey(keys::catalog, RecordKind::catalog, "");
     expectKey(keys::term, RecordKind::term, "");
     expectKey(keys::job("run-1"), RecordKind::job, "run-1");
@@ -24,14 +25,16 @@
     expectKey(keys::machineTransfersGate("node-0"), RecordKind::machineTransfersGate, "node-0");
 }
 
-TEST(RecordKeys, OthersAreUnknown) {
+// Keys of terminal records and keys that only resemble those of active records must not be applied.
+TEST(RecordKeys, OtherKeysAreUnknown) {
     expectKey(keys::terminal("run-1"), RecordKind::unknown, "");
     expectKey("live/terms", RecordKind::unknown, "");
     expectKey("live/job", RecordKind::unknown, "");
     expectKey("", RecordKind::unknown, "");
 }
 
-TEST(RecordKeys, NumbersAreTheWholeText) {
+// Signs, spaces, further characters and numbers above 32 bits must be rejected.
+TEST(RecordKeys, NumbersMustBeTheWholeText) {
     EXPECT_EQ(parseNumber("0"), 0U);
     EXPECT_EQ(parseNumber("4294967295"), 4294967295U);
     for (const auto* text : {"", "-1", "+1", " 1", "1 ", "1/2", "4294967296"})
--- a/tests/unit/storage/records_test.cpp
+++ b/tests/unit/storage/records_test.cpp
@@ -1,4 +1,4 @@
-// How records are applied to the cluster state, and how large slices may be.
+// Tests of how records are applied to the cluster state, and of the sizes of slices.
 #include "storage/records.h"
 
 #include <gtest/gtest.h>
@@ -6,7 +6,7 @@
 namespace fawnwheel::storage {
 namespace {
 
-class Records : public ::testing::Test {
+class RecordsTest : public ::testing::Test {
   protected:
     void put(const std::string& key, const Json& value, std::uint64_t version) {
         applyEvent(clusterState, {key, value, version}, {});
@@ -38,7 +38,9 @@
     ClusterState clusterState;
 };
 
-TEST_F(Records, MirrorsAJobWithItsSlicesAndAllocations) {
+// The replica must hold a job's slices and allocations as recorded, and index an allocation also if
+// its machine's record is read later.
+TEST_F(RecordsTest, ReplicatesAJobWithItsSlicesAndAllocations) {
     const Job job = makeJob(10);
     put(keys::job("run-1"), jobValue(job), 5);
     ASSERT_NE(clusterState.job("run-1"), nullptr);
@@ -64,13 +66,15 @@
     EXPECT_EQ(read.allocations[0].attempt, 1ULL << 40U);
     EXPECT_TRUE(read.allocations[0].durable);
 
-    // The machine's record comes after the allocation's.
+    // The machine's record is read after the slice's.
     putMachine("m-1", 9);
     EXPECT_EQ(clusterState.machine("m-1")->allocations.size(), 1U);
     EXPECT_DOUBLE_EQ(clusterState.machine("m-1")->used.cpus, 2);
 }
 
-TEST_F(Records, IgnoresWhatIsOlder) {
+// An event can be delivered after a newer one for the same key. An older version or deletion must
+// not replace the newer record.
+TEST_F(RecordsTest, IgnoresOlderEvents) {
     Job job = makeJob(2);
     job.cancelled = true;
     put(keys::job("run-1"), jobValue(job), 9);
@@ -83,7 +87,9 @@
     EXPECT_EQ(clusterState.job("run-1"), nullptr);
 }
 
-TEST_F(Records, ATransferOfTheJobTakesAlongOnlySlicesWithoutRecords) {
+// When a job's record names another partition, slices with records of their own must stay where
+// those records place them.
+TEST_F(RecordsTest, TransferOfAJobMovesOnlySlicesWithoutRecords) {
     Job job = makeJob(8);
     put(keys::job("run-1"), jobValue(job), 2);
     put(keys::slice("run-1", 0), sliceValue(job.slices[0]), 3);
@@ -93,7 +99,9 @@
     EXPECT_EQ(clusterState.job("run-1")->slices[1].partition, 2U);
 }
 
-TEST_F(Records, SlicesStayWithinAValue) {
+// The state service rejects values above its size limit. A slice with all tasks allocated and long
+// names must fit into a value.
+TEST_F(RecordsTest, SlicesFitIntoAValue) {
     Job job = makeJob(100'000);
     job.spec.id = "run-000000000001";
     for (const double kb : {4.0, 16.0}) {
@@ -116,16 +124,20 @@
     }
 }
 
-TEST_F(Records, SlicesOfAHugeArrayFollowTheWriteRate) {
+// With small slices, recording a huge array takes more writes than the state service allows. The
+// slices must grow with the array and with a lower write rate, up to the size of a value.
+TEST_F(RecordsTest, SlicesOfAHugeArrayDependOnTheWriteRate) {
     Job job = makeJob(20'000);
     EXPECT_EQ(sliceSizeFor(job.spec, {16, 80}, true), 50U);
     EXPECT_EQ(sliceSizeFor(job.spec, {16, 20}, true), 200U);
-    EXPECT_EQ(sliceSizeFor(job.spec, {4, 20}, true), 78U);  // as many as a value holds
+    EXPECT_EQ(sliceSizeFor(job.spec, {4, 20}, true), 78U);  // limited by the size of a value
     job.spec.tasks = 100;
     EXPECT_EQ(sliceSizeFor(job.spec, {16, 20}, true), 40U);
 }
 
-TEST_F(Records, ADividedSliceIsOneSliceLessAndOneMore) {
+// The records of a division have the same revision and can be applied in either order. Each task,
+// done flag and allocation must then be in exactly one slice.
+TEST_F(RecordsTest, DivisionPutsEachTaskIntoOneSliceInEitherOrder) {
     const Job job = makeJob(10);
     put(keys::job("run-1"), jobValue(job), 5);
     putMachine("m-1", 6);
@@ -141,7 +153,7 @@
 
     const auto pieces = cutSlice(whole, {6, 7}, 3);
     ASSERT_EQ(pieces.size(), 3U);
-    // Both orders: the records of a division have one revision.
+    // Applies the records of the division, which have the same revision, in both orders.
     for (const bool backwards : {false, true}) {
         clusterState.clearRecords();
         clusterState.rebuildIndexes();
@@ -167,7 +179,9 @@
     }
 }
 
-TEST_F(Records, AJobIsNotDoneWhileAPieceOfItIsUnread) {
+// After a division, the first piece's record shortens the slice before the other piece's record is
+// read. The job must not count as complete if only the tasks read so far are done.
+TEST_F(RecordsTest, JobIsNotCompleteWhileAPieceIsUnread) {
     Job job = makeJob(4);
     put(keys::job("run-1"), jobValue(job), 5);
     auto pieces = cutSlice(job.slices[0], {2}, 1);
@@ -181,7 +195,9 @@
     EXPECT_TRUE(clusterState.job("run-1")->complete());
 }
 
-TEST_F(Records, AnOlderRecordDoesNotCoverAPieceDividedOffIt) {
+// A slice's record from before its division can be read after the record of a piece. The older
+// range must be truncated, so that no task is in two slices.
+TEST_F(RecordsTest, OlderRecordDoesNotCoverADividedPiece) {
     const Job job = makeJob(4);
     put(keys::job("run-1"), jobValue(job), 5);
     Slice whole = job.slices[0];
@@ -195,7 +211,9 @@
     EXPECT_EQ(read.doneTasks(), 1U);
 }
 
-TEST_F(Records, AJobIsDoneByItsTasksAndNotByTheirNumber) {
+// Overlapping slices count done tasks twice. A job must be complete only if each task is done, not
+// if the sum over the slices reaches the number of tasks.
+TEST_F(RecordsTest, JobIsCompleteOnlyIfEachTaskIsDone) {
     Job job = makeJob(4);
     job.slices[0].markDone(0);
     job.slices[0].markDone(1);
@@ -204,7 +222,9 @@
     EXPECT_FALSE(job.complete());
 }
 
-TEST_F(Records, UnrecordedChangesCanBeDiscarded) {
+// A leader that may have lost its partition must return its slices and the machines' indexes to the
+// recorded content.
+TEST_F(RecordsTest, DiscardsUnrecordedChanges) {
     Job job = makeJob(8);
     Slice first = job.slices[0];
     Allocation allocation;
@@ -228,7 +248,9 @@
     EXPECT_EQ(clusterState.machine("m-1")->allocations, (std::vector<TaskRef>{{"run-1", 1, 7}}));
 }
 
-TEST_F(Records, RangesOutsideTheJobAreIgnored) {
+// Corrupt slice records with ranges or indexes outside the job must not change the job's slices or
+// overflow.
+TEST_F(RecordsTest, IgnoresRangesOutsideTheJob) {
     put(keys::job("run-1"), jobValue(makeJob(4)), 5);
     for (const auto* range :
          {R"({"first":3,"count":2})", R"({"first":4,"count":1})", R"({"first":0,"count":0})",
@@ -240,20 +262,26 @@
     EXPECT_LE(clusterState.job("run-1")->slices.size(), 2U);
 }
 
-TEST_F(Records, FeatureGatesStayRecorded) {
+// A node that has run a newer version must not be downgraded. Deleting the record of its feature
+// gate must not make the node count as never upgraded.
+TEST_F(RecordsTest, FeatureGatesSurviveDeletion) {
     put(keys::jobDependenciesGate("node-1"), featureGateValue(), 5);
     drop(keys::jobDependenciesGate("node-1"), 6);
     EXPECT_TRUE(clusterState.nodesWithJobDependencies.contains("node-1"));
 }
 
-TEST_F(Records, TellsGoneMachinesFromNewOnes) {
+// A machine whose record was deleted can still be in an outdated list from the cloud. Its name must
+// be kept, so that the machine isn't taken for a new one.
+TEST_F(RecordsTest, KeepsTheNamesOfDeletedMachines) {
     putMachine("m-1", 3);
     drop(keys::machine("m-1"), 4);
     EXPECT_EQ(clusterState.machine("m-1"), nullptr);
     EXPECT_TRUE(clusterState.deletedMachines.contains("m-1"));
 }
 
-TEST_F(Records, RecordingACancellationAppliesNothingElse) {
+// While a transaction on a job's record is in flight, a newer event may apply only its
+// cancellation: the job's record and version must stay unchanged.
+TEST_F(RecordsTest, RecordingACancellationAppliesNothingElse) {
     auto job = makeJob(3);
     job.cancelled = true;
     const protocol::Event event{keys::job(job.spec.id), jobValue(job), 9};
