--- a/src/coordination/controller.cpp
+++ b/src/coordination/controller.cpp
@@ -14,9 +14,10 @@
 
 }  // namespace
 
-Controller::Controller(const config::Settings& settings, const config::OperatorSettings& tuning,
-                       transport::Timers& timers, transport::Network& network, std::uint64_t seed)
-    : context_(settings, tuning, timers, network, seed),
+Controller::Controller(const config::Settings& settings,
+                       const config::OperatorSettings& operatorSettings, transport::Timers& timers,
+                       transport::Network& network, std::uint64_t seed)
+    : context_(settings, operatorSettings, timers, network, seed),
       pipeline_(context_),
       replica_(context_, pipeline_, *this),
       reachability_(context_, *this),
@@ -37,7 +38,7 @@
       preemption_(context_, queueOrder_),
       consolidation_(context_),
       quotas_(context_, membership_, pipeline_, teamQuotas_, queueOrder_),
-      transfers_(context_, pipeline_, stateWriter_.writer(), quotas_, heartbeats_, *this),
+      transfers_(context_, pipeline_, stateWriter_.sliceWriter(), quotas_, heartbeats_, *this),
       lending_(context_, membership_, placement_, transfers_),
       rebalancer_(context_, membership_, pipeline_, placement_, transfers_, *this),
       migrator_(context_, membership_, pipeline_, stateWriter_, placement_),
@@ -48,7 +49,7 @@
       peers_({membership_, migrator_, autoscaler_, lending_, quotas_, completionNotifier_,
               rebalancer_}) {
     context_.clusterState.lock()->dependencyGraph.setTurnaroundEstimator(
-        [this](const protocol::JobSpec& spec) { return queueOrder_.stepTime(spec); });
+        [this](const protocol::JobSpec& spec) { return queueOrder_.estimatedTurnaround(spec); });
 }
 
 void Controller::onJobAccepted() {
@@ -70,7 +71,7 @@
 
 void Controller::onJobTerminal(const std::string& id, bool cancelled) {
     statusReader_.recordTerminal(id, cancelled);
-    completionNotifier_.announce(id);
+    completionNotifier_.notifyDependents(id);
     stopping_.erase(id);
 }
 
@@ -125,7 +126,7 @@
 
 void Controller::onPartitionAcquired(PartitionId partition) {
     heartbeats_.onPartitionAcquired(partition);
-    reachability_.expectHeartbeats();
+    reachability_.restartSilenceTimeout();
     scheduleRound();
 }
 
@@ -164,7 +165,7 @@
         reconciler_.reconcileMachines(partition);
         if (membership_.isLeaseValid()) lending_.returnIdleLoans(partition);
         if (membership_.isLeaseValid() && warmPool_.mayConsolidate(partition))
-            if (const auto machine = consolidation_.consolidateOne(partition))
+            if (const auto machine = consolidation_.consolidateOneMachine(partition))
                 heartbeats_.sendPendingStops(*machine);
     }
     std::erase_if(stopping_, [this](const std::string& id) {
--- a/src/coordination/membership/peer_heartbeats.cpp
+++ b/src/coordination/membership/peer_heartbeats.cpp
@@ -27,7 +27,7 @@
 
 }  // namespace
 
-std::uint64_t PeerHeartbeats::appliedBy(const std::string& peer) const {
+std::uint64_t PeerHeartbeats::appliedRevisionOf(const std::string& peer) const {
     const auto found = peers_.find(peer);
     return found == peers_.end() ? 0 : found->second.applied;
 }
@@ -139,7 +139,7 @@
     protocol::PeerHeartbeat status;
     status.sentAt = micros(context_.now());
     status.echo = peer.sentAt;
-    status.stateReachable = context_.state.reachable();
+    status.stateReachable = context_.stateClient.reachable();
     status.ready = isReady();
     status.incarnation = incarnation_;
     status.acknowledgedIncarnation = peer.incarnation;
--- a/src/coordination/migration/work_migrator.cpp
+++ b/src/coordination/migration/work_migrator.cpp
@@ -36,10 +36,11 @@
             running += static_cast<double>(machine->allocations.size());
     }
     QueueAverage::Tuning tuning;
-    tuning.weight = context_.tuning.weight;
-    tuning.probability = context_.tuning.probability;
-    tuning.low = std::min(context_.tuning.low, std::max(1.0, running * lowFractionOfRunning));
-    tuning.high = std::min(context_.tuning.high, std::max(tuning.low + 1, running));
+    tuning.weight = context_.operatorSettings.weight;
+    tuning.probability = context_.operatorSettings.probability;
+    tuning.low =
+        std::min(context_.operatorSettings.low, std::max(1.0, running * lowFractionOfRunning));
+    tuning.high = std::min(context_.operatorSettings.high, std::max(tuning.low + 1, running));
     return tuning;
 }
 
@@ -49,7 +50,7 @@
     auto clusterState = context_.clusterState.lock();
     const auto& machines = clusterState->machinesOf(partition);
     const bool cached = std::any_of(machines.begin(), machines.end(), [&](const Machine* machine) {
-        return placement_.takesWork(*machine) &&
+        return placement_.acceptsTasks(*machine) &&
                std::any_of(machine->images.begin(), machine->images.end(),
                            [&](const auto& i) { return i.name == job.spec.image; });
     });
@@ -59,7 +60,8 @@
 
 void WorkMigrator::sampleAll() {
     for (const auto partition : membership_.ledPartitions()) samplePartition(partition);
-    context_.timers.after(ticks(context_.tuning.samplePeriod), [this] { sampleAll(); });
+    context_.timers.after(toSteadyDuration(context_.operatorSettings.samplePeriod),
+                          [this] { sampleAll(); });
 }
 
 void WorkMigrator::samplePartition(PartitionId partition) {
@@ -309,10 +311,10 @@
         [this, requestId, target, key, value](CommitResult result, std::uint64_t revision) {
             // As the record that it is: the job may have been migrated on, or be over,
             // by now.
-            if (result == CommitResult::done)
+            if (result == CommitResult::committed)
                 storage::applyEvent(*context_.clusterState.lock(), {key, value, revision},
                                     context_.now());
-            finishMigration(requestId, target, result == CommitResult::done);
+            finishMigration(requestId, target, result == CommitResult::committed);
         });
 }
 
--- a/src/coordination/provisioning/machine_catalog.cpp
+++ b/src/coordination/provisioning/machine_catalog.cpp
@@ -22,7 +22,7 @@
 }
 
 void MachineCatalog::load() {
-    context_.cloud.catalog([this](std::optional<std::vector<MachineType>> types) {
+    context_.cloudClient.catalog([this](std::optional<std::vector<MachineType>> types) {
         if (types && !types->empty()) {
             if (!loaded_) spdlog::info("inventory: catalog_loaded types={}", types->size());
             context_.catalog = std::move(*types);
@@ -57,7 +57,7 @@
     pipeline_.commit(
         0, {{{storage::keys::catalog, version}}, {{storage::keys::catalog, std::move(value), 0}}},
         [this, types](CommitResult result, std::uint64_t revision) {
-            if (result != CommitResult::done) return;
+            if (result != CommitResult::committed) return;
             auto clusterState = context_.clusterState.lock();
             if (clusterState->catalogVersion >= revision) return;
             clusterState->catalog = types;
--- a/src/coordination/scheduling/capacity_estimator.cpp
+++ b/src/coordination/scheduling/capacity_estimator.cpp
@@ -19,15 +19,15 @@
     const auto guard =
         context_.isBestEffort(job) ? FragmentationGuard(*clusterState) : FragmentationGuard();
     for (const auto* machine : clusterState->machinesOf(partition)) {
-        if (machine->decommissioned || (own && !takesWork(context_, *machine)) ||
+        if (machine->decommissioned || (own && !acceptsTasks(context_, *machine)) ||
             !mayUseLoan(context_, job, *machine))
             continue;
-        const auto* type = context_.type(machine->type);
+        const auto* type = context_.findMachineType(machine->type);
         if (type == nullptr || !typeAllowed(job.spec, *type, machine->zone, machine->spot))
             continue;
         Resources free = type->capacity;
         free -= machine->used;
-        const auto fits = countThatFit(job, free, limit - capacity);
+        const auto fits = countFittingTasks(job, free, limit - capacity);
         for (std::uint32_t i = 0; i < fits; ++i, free -= job.spec.each, ++capacity)
             if (!guard.empty() &&
                 guard.slotsLost({*type, machine->zone, machine->spot, free}, job).ofEntitled > 0)
@@ -43,16 +43,16 @@
     const bool own = membership_.isLeader(partition);
     std::map<std::string, std::uint32_t> zones;  // tasks that fit
     for (const auto* machine : clusterState.machinesOf(partition)) {
-        const auto* type = context_.type(machine->type);
-        if (machine->decommissioned || (own && !takesWork(context_, *machine)) || type == nullptr ||
-            !typeAllowed(job.spec, *type, machine->zone, machine->spot))
+        const auto* type = context_.findMachineType(machine->type);
+        if (machine->decommissioned || (own && !acceptsTasks(context_, *machine)) ||
+            type == nullptr || !typeAllowed(job.spec, *type, machine->zone, machine->spot))
             continue;
         Resources free = type->capacity;
         free -= machine->used;
         if (context_.now() < machine->reservedUntil && machine->reservedFor != job.spec.id)
             free -= machine->reservedCapacity;
         zones[job.spec.oneZone ? machine->zone : std::string()] +=
-            countThatFit(job, free, job.spec.tasks);
+            countFittingTasks(job, free, job.spec.tasks);
     }
     const bool fits = std::any_of(zones.begin(), zones.end(), [&](const auto& entry) {
         return entry.second >= job.spec.tasks;
@@ -64,7 +64,7 @@
     auto clusterState = context_.clusterState.lock();
     const auto& machines = clusterState->machinesOf(partition);
     return std::any_of(machines.begin(), machines.end(), [&](const Machine* machine) {
-        const auto* type = context_.type(machine->type);
+        const auto* type = context_.findMachineType(machine->type);
         return !machine->decommissioned && type != nullptr &&
                typeAllowed(job.spec, *type, machine->zone, machine->spot);
     });
--- a/src/coordination/scheduling/placement.cpp
+++ b/src/coordination/scheduling/placement.cpp
@@ -134,7 +134,7 @@
                   Seconds(context_.timers.wallNow() - job.submitted).count());
     // The guard looks at the capacity before this task takes its part.
     if (array.bestEffort)
-        run.guard.useSpareSlots(*context_.type(machine.type), *machineCapacity, job);
+        run.guard.useSpareSlots(*context_.findMachineType(machine.type), *machineCapacity, job);
     allocate(run, job, slice, task, attempt, *machineCapacity);
     ++array.placed;
     return TaskResult::next;
@@ -171,7 +171,7 @@
     double slots = 0;
     for (const auto& pool : capacityIndex.pools()) {
         if (!pool.allows(job, {})) continue;
-        const auto each = countThatFit(job, pool.type->capacity, job.spec.tasks);
+        const auto each = countFittingTasks(job, pool.type->capacity, job.spec.tasks);
         for (const auto& machineCapacity : pool.machines)
             if (std::any_of(machineCapacity.machine->images.begin(),
                             machineCapacity.machine->images.end(),
--- a/src/coordination/workers/fault_attribution.cpp
+++ b/src/coordination/workers/fault_attribution.cpp
@@ -87,8 +87,8 @@
 
 void FaultAttribution::onTaskRunning(Job& job, Slice& slice, const Allocation& allocation) {
     if (!job.failures.anyFailure || !job.crashLooping() || !allocation.runningSince) return;
-    const auto proof =
-        job.failures.longestFailedRun * 2 + ticks(context_.settings.heartbeatInterval * 2);
+    const auto proof = job.failures.longestFailedRun * 2 +
+                       toSteadyDuration(context_.settings.heartbeatInterval * 2);
     if (context_.now() - *allocation.runningSince <= proof) return;
     spdlog::info("fault_attribution: job_recovered job={}", job.spec.id);
     job.failures.crashLoopDisproved = true;
