--- a/src/storage/cluster_state.h
+++ b/src/storage/cluster_state.h
@@ -65,8 +65,7 @@
     /// By machine. A machine with a corrupt record keeps its partition until the partition's leader
     /// has overwritten the record.
     std::map<std::string, CorruptRecord> corruptMachines;
-    DeletedMachines
-        deletedMachines;  ///< records deleted after proof of the end; names are never reused
+    DeletedMachines deletedMachines;  ///< records deleted after proof; names are never reused
     std::vector<protocol::MachineType> catalog;  ///< as in its latest record
     std::uint64_t catalogVersion = 0;
 
@@ -98,7 +97,7 @@
     /// Adds a job whose active record was read for the first time.
     void addJob(Job job);
     void removeJob(const std::string& id);
-    /// Adds a certain cancellation to the log, with the revision at which the state service holds
+    /// Adds a confirmed cancellation to the log, with the revision at which the state service holds
     /// it (`CancellationLog::unknownRevision` if a peer reported it). Returns false if the log
     /// already contains it.
     bool recordCancellation(const std::string& id, std::uint64_t revision);
@@ -178,8 +177,8 @@
     void unindexAllocation(const Job& job, const Allocation& allocation);
 
     std::map<PartitionId, std::vector<Machine*>> machinesByPartition_;
-    std::map<std::string, std::map<std::uint32_t, std::uint32_t>>
-        allocationsByImage_;  // image, then partition
+    /// Number of allocations made, by image and then by partition.
+    std::map<std::string, std::map<std::uint32_t, std::uint32_t>> allocationsByImage_;
 };
 
 }  // namespace fawnwheel::storage
--- a/src/storage/job.h
+++ b/src/storage/job.h
@@ -32,7 +32,7 @@
 
     // Not durable.
     bool durable = false;              ///< whether the fields above are in the slice's record
-    bool startCancelled = false;       ///< not to be started; kept until proof that it does not run
+    bool startCancelled = false;       ///< not to be started; removed on proof that it does not run
     bool reported = false;             ///< a heartbeat has shown the task at least once
     int unconfirmedStarts = 0;         ///< start commands sent without a heartbeat showing the task
     std::optional<Seconds> stopGrace;  ///< set: stop the task, with this time for its checkpoint
@@ -148,7 +148,8 @@
     bool blockedOnDependencies = false;  ///< a dependency is not known to be done
     bool dependencyCancelled = false;    ///< a direct or transitive dependency is cancelled
     WallTime readySince;                 ///< end of its last dependency, or its submission if later
-    protocol::Priority priority = protocol::Priority::normal;  ///< highest of it and its dependents
+    /// The highest priority of the job itself and of its dependents.
+    protocol::Priority priority = protocol::Priority::normal;
     std::optional<WallTime> latestEnd;  ///< leaves time for all dependents before their deadlines
 
     /// Whether each task is done. A task covered by two slices counts once.
--- a/src/storage/machine.h
+++ b/src/storage/machine.h
@@ -66,7 +66,8 @@
     std::uint64_t expectedToken = 0;
     std::uint64_t acknowledgedToken = 0;
     SteadyTime unacknowledgedSince{};
-    int unacknowledgedResponses = 0;  ///< consecutive, without the expected token
+    /// Consecutive answered heartbeats that did not show the expected token.
+    int unacknowledgedResponses = 0;
 
     // The machine's life cycle in the cloud.
     SteadyTime knownSince{};  ///< when this process first knew of it in this partition
--- a/src/storage/slice_size.cpp
+++ b/src/storage/slice_size.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr double bytesPerTask = 52;  // an allocation with long names and a done range
+constexpr double bytesPerTask = 52;  // an allocation with long names plus a done range
 constexpr std::uint32_t minSliceSize = 4;
 constexpr std::uint32_t divisibleSliceSize = 40;  // small enough to be rewritten often
 constexpr std::uint32_t targetSliceCount = 16;
--- a/tests/unit/storage/dependency_graph_test.cpp
+++ b/tests/unit/storage/dependency_graph_test.cpp
@@ -80,8 +80,8 @@
     EXPECT_TRUE(add("run-late", {"run-z"}).dependencyCancelled);
 }
 
-// A dependency may be cancelled and ended before its cancellation was seen: its terminal record
-// must cancel all transitive dependents as well.
+// A node may learn of a dependency's cancellation only from the terminal record. That must cancel
+// all transitive dependents as well.
 TEST_F(DependencyGraphTest, CancelledTerminalRecordCancelsDependents) {
     add("run-b", {"run-a"});
     add("run-c", {"run-b"});
