--- a/src/coordination/api/admission.cpp
+++ b/src/coordination/api/admission.cpp
@@ -20,7 +20,7 @@
 constexpr int maxTries = 4;
 constexpr int retryAfterSeconds = 1;
 constexpr double quotaTolerance = 1e-9;
-constexpr std::size_t ownCompares = 2;  // of a job that is created
+constexpr std::size_t comparesPerNewJob = 2;  // the absence of its active and terminal records
 
 HttpResponse unavailable() {
     return {503, {}, retryAfterSeconds};
@@ -32,39 +32,42 @@
 
 }  // namespace
 
-HttpReply Admission::limited(ConcurrencyLimiter& limiter, HttpReply reply) {
-    limiter.begin();
-    return
-        [this, &limiter, began = context_.now(), reply = std::move(reply)](HttpResponse response) {
-            limiter.end(context_.now() - began);
-            reply(std::move(response));
-        };
+HttpReply Admission::withConcurrencyLimit(ConcurrencyLimiter& limiter, HttpReply reply) {
+    limiter.onRequestStarted();
+    return [this, &limiter, startedAt = context_.now(),
+            reply = std::move(reply)](HttpResponse response) {
+        limiter.onRequestFinished(context_.now() - startedAt);
+        reply(std::move(response));
+    };
 }
 
-bool Admission::fitsSomeType(const protocol::JobSpec& spec) const {
+bool Admission::fitsSomeMachineType(const protocol::JobSpec& spec) const {
     return std::any_of(
         context_.catalog.begin(), context_.catalog.end(), [&spec](const MachineType& type) {
-            const bool zoneKnown = !spec.zone || std::find(type.zones.begin(), type.zones.end(),
-                                                           *spec.zone) != type.zones.end();
-            return zoneKnown && Placement::typeAllowed(spec, type, spec.zone.value_or(""), false);
+            const bool offeredInZone = !spec.zone || std::find(type.zones.begin(), type.zones.end(),
+                                                               *spec.zone) != type.zones.end();
+            return offeredInZone &&
+                   Placement::typeAllowed(spec, type, spec.zone.value_or(""), false);
         });
 }
 
-std::optional<HttpResponse> Admission::check(const protocol::JobSpec& spec) const {
+std::optional<HttpResponse> Admission::validateSpec(const protocol::JobSpec& spec) const {
     const auto* team = context_.findTeam(spec.team);
     if (team == nullptr && !context_.settings.teams.empty()) return HttpResponse{422, {}, 0};
     if (context_.catalog.empty()) return unavailable();
-    if (!fitsSomeType(spec)) return HttpResponse{422, {}, 0};
+    if (!fitsSomeMachineType(spec)) return HttpResponse{422, {}, 0};
     if (team != nullptr) {
-        const double at = spec.kind == protocol::JobKind::array ? 1 : spec.tasks;
-        if ((team->cpusMax > 0 && spec.each.cpus * at > team->cpusMax + quotaTolerance) ||
-            (team->gpusMax > 0 && spec.each.gpus * at > team->gpusMax + quotaTolerance))
+        const double concurrentTasks = spec.kind == protocol::JobKind::array ? 1 : spec.tasks;
+        if ((team->cpusMax > 0 &&
+             spec.each.cpus * concurrentTasks > team->cpusMax + quotaTolerance) ||
+            (team->gpusMax > 0 &&
+             spec.each.gpus * concurrentTasks > team->gpusMax + quotaTolerance))
             return HttpResponse{422, {}, 0};
     }
     return std::nullopt;
 }
 
-Job Admission::newJob(const protocol::JobSpec& spec) const {
+Job Admission::makeJob(const protocol::JobSpec& spec) const {
     Job job;
     job.spec = spec;
     job.submitted = context_.timers.wallNow();
@@ -74,11 +77,12 @@
     return job;
 }
 
-bool Admission::recordable(const protocol::JobSpec& spec) const {
-    Job job = newJob(spec);
+bool Admission::fitsRecordLimits(const protocol::JobSpec& spec) const {
+    Job job = makeJob(spec);
     job.partition = context_.partitionCount();
     return storage::jobValue(job).dump().size() <= context_.settings.valueBytes() &&
-           spec.dependencies.size() + ownCompares <= context_.settings.transactionConditions();
+           spec.dependencies.size() + comparesPerNewJob <=
+               context_.settings.transactionConditions();
 }
 
 void Admission::submit(const std::string& body, HttpReply reply) {
@@ -87,125 +91,132 @@
     auto parsed = protocol::parseJobSpec(*map);
     if (!std::holds_alternative<protocol::JobSpec>(parsed)) return reply({400, {}, 0});
     auto& spec = std::get<protocol::JobSpec>(parsed);
-    if (const auto terminal = statusReader_.knownTerminal(spec.id))
-        return reply(stateOf(spec.id, *terminal, true));
-    if (!recordable(spec)) return reply({400, {}, 0});
-    // Answered at once when we can't take it: the user is told when to come again.
-    if (!replica_.synced() || !context_.stateClient.reachable() || submissions_.full())
+    if (const auto terminal = statusReader_.cachedTerminalStatus(spec.id))
+        return reply(makeStatusResponse(spec.id, *terminal, true));
+    if (!fitsRecordLimits(spec)) return reply({400, {}, 0});
+    // If the node cannot accept jobs now, it responds at once and tells the user when to retry.
+    if (!replica_.synced() || !context_.stateClient.reachable() || submissions_.isFull())
         return reply(unavailable());
-    reply = limited(submissions_, std::move(reply));
-    // A job that was accepted once is known, whatever the catalog or the teams say by now.
-    if (context_.clusterState.lock()->job(spec.id) != nullptr) return respondKnown(spec.id, reply);
-    if (auto refusal = check(spec))
-        return statusReader_.find(spec.id, ReadPurpose::decision,
-                                  [this, id = spec.id, refusal, reply](JobStatus status) {
-                                      if (status == JobStatus::noAnswer)
-                                          return reply(unavailable());
-                                      if (status == JobStatus::unknownJob) return reply(*refusal);
-                                      respond(id, status, true, reply);
-                                  });
+    reply = withConcurrencyLimit(submissions_, std::move(reply));
+    // An accepted job stays accepted, even if the catalog or the teams' settings no longer allow
+    // it.
+    if (context_.clusterState.lock()->job(spec.id) != nullptr)
+        return respondForExistingJob(spec.id, reply);
+    if (auto rejection = validateSpec(spec))
+        return statusReader_.readStatus(spec.id, ReadPurpose::decision,
+                                        [this, id = spec.id, rejection, reply](JobStatus status) {
+                                            if (status == JobStatus::undetermined)
+                                                return reply(unavailable());
+                                            if (status == JobStatus::unknownJob)
+                                                return reply(*rejection);
+                                            respond(id, status, true, reply);
+                                        });
     accept(std::make_shared<Submission>(
         Submission{std::move(spec), std::move(reply), 0, std::map<std::string, bool>{}}));
 }
 
-void Admission::respondKnown(const std::string& id, const HttpReply& reply) {
-    statusReader_.find(id, ReadPurpose::decision, [this, id, reply](JobStatus status) {
+void Admission::respondForExistingJob(const std::string& id, const HttpReply& reply) {
+    statusReader_.readStatus(id, ReadPurpose::decision, [this, id, reply](JobStatus status) {
         if (status == JobStatus::unknownJob) return reply(unavailable());
         respond(id, status, true, reply);
     });
 }
 
-Admission::Judgement Admission::judge(ClusterState& clusterState,
-                                      const Submission& submission) const {
-    Judgement judgement;
-    // While a node of the version before may come back, nobody would keep the order for sure.
+Admission::DependencyCheck Admission::checkDependencies(ClusterState& clusterState,
+                                                        const Submission& submission) const {
+    DependencyCheck dependencyCheck;
+    // While a node of the previous version may come back, no node can guarantee that jobs run in
+    // the order of their dependencies.
     if (!submission.spec.dependencies.empty() && !context_.jobDependenciesEnabled(clusterState))
-        judgement.refusal = unavailable();
+        dependencyCheck.rejection = unavailable();
     for (const auto& id : submission.spec.dependencies)
-        judgeDependency(clusterState, submission, id, judgement);
-    return judgement;
+        checkDependency(clusterState, submission, id, dependencyCheck);
+    return dependencyCheck;
 }
 
-void Admission::judgeDependency(ClusterState& clusterState, const Submission& submission,
-                                const std::string& id, Judgement& judgement) const {
-    if (const auto terminal = submission.terminals.find(id);
-        terminal != submission.terminals.end()) {
-        judgement.cancelled = judgement.cancelled || terminal->second;
+void Admission::checkDependency(ClusterState& clusterState, const Submission& submission,
+                                const std::string& id, DependencyCheck& dependencyCheck) const {
+    if (const auto terminal = submission.terminalDependencies.find(id);
+        terminal != submission.terminalDependencies.end()) {
+        dependencyCheck.cancelled = dependencyCheck.cancelled || terminal->second;
         return;
     }
-    if (const auto terminal = statusReader_.knownTerminal(id)) {
-        judgement.cancelled = judgement.cancelled || terminal == JobStatus::terminalCancelled;
+    if (const auto terminal = statusReader_.cachedTerminalStatus(id)) {
+        dependencyCheck.cancelled =
+            dependencyCheck.cancelled || terminal == JobStatus::terminalCancelled;
         return;
     }
     const Job* active = clusterState.job(id);
     if (active == nullptr) {
-        judgement.unknown.push_back(id);
+        dependencyCheck.unresolved.push_back(id);
         return;
     }
-    // A service never ends; and who needs a cancelled job is cancelled first.
+    // A service never ends, so no job may depend on it. A job that is going to be cancelled, but
+    // whose record does not say so yet, has to be recorded as cancelled before its dependents.
     if (active->spec.kind == protocol::JobKind::service)
-        judgement.refusal = HttpResponse{422, {}, 0};
+        dependencyCheck.rejection = HttpResponse{422, {}, 0};
     else if (!active->cancelled &&
              (active->dependencyCancelled || clusterState.knownCancelled(*active)))
-        judgement.refusal = unavailable();
-    judgement.cancelled = judgement.cancelled || active->cancelled;
-    judgement.compares.push_back({storage::keys::job(id), active->version});
+        dependencyCheck.rejection = unavailable();
+    dependencyCheck.cancelled = dependencyCheck.cancelled || active->cancelled;
+    dependencyCheck.compares.push_back({storage::keys::job(id), active->version});
 }
 
 void Admission::accept(const SubmissionPtr& submission) {
     if (submission->tries++ >= maxTries) return submission->reply(unavailable());
-    const auto judgement = judge(*context_.clusterState.lock(), *submission);
-    if (judgement.refusal) return submission->reply(*judgement.refusal);
-    if (!judgement.unknown.empty()) return lookUp(submission, judgement.unknown);
-    if (judgement.cancelled)
-        createCancelled(submission, judgement);
+    const auto dependencyCheck = checkDependencies(*context_.clusterState.lock(), *submission);
+    if (dependencyCheck.rejection) return submission->reply(*dependencyCheck.rejection);
+    if (!dependencyCheck.unresolved.empty())
+        return readDependencies(submission, dependencyCheck.unresolved);
+    if (dependencyCheck.cancelled)
+        createCancelled(submission, dependencyCheck);
     else
-        create(submission, judgement);
+        create(submission, dependencyCheck);
 }
 
-void Admission::lookUp(const SubmissionPtr& submission,
-                       const std::vector<std::string>& dependencies) {
+void Admission::readDependencies(const SubmissionPtr& submission,
+                                 const std::vector<std::string>& dependencies) {
     struct PendingReads {
-        std::size_t left = 0;
-        std::optional<HttpResponse> refusal;
+        std::size_t remaining = 0;
+        std::optional<HttpResponse> rejection;
     };
     auto pending = std::make_shared<PendingReads>();
-    pending->left = dependencies.size();
+    pending->remaining = dependencies.size();
     for (const auto& id : dependencies)
-        statusReader_.find(
+        statusReader_.readStatus(
             id, ReadPurpose::decision, [this, submission, pending, id](JobStatus status) {
                 if (status == JobStatus::terminalDone || status == JobStatus::terminalCancelled)
-                    submission->terminals[id] = status == JobStatus::terminalCancelled;
-                // Only the state service itself can say that a job was never accepted.
-                if (status == JobStatus::unknownJob) pending->refusal = HttpResponse{422, {}, 0};
-                if (status == JobStatus::noAnswer && !pending->refusal)
-                    pending->refusal = unavailable();
-                if (--pending->left > 0) return;
-                if (pending->refusal) return submission->reply(*pending->refusal);
+                    submission->terminalDependencies[id] = status == JobStatus::terminalCancelled;
+                // Only the state service itself can confirm that a job was never accepted.
+                if (status == JobStatus::unknownJob) pending->rejection = HttpResponse{422, {}, 0};
+                if (status == JobStatus::undetermined && !pending->rejection)
+                    pending->rejection = unavailable();
+                if (--pending->remaining > 0) return;
+                if (pending->rejection) return submission->reply(*pending->rejection);
                 accept(submission);
             });
 }
 
-void Admission::create(const SubmissionPtr& submission, const Judgement& judgement) {
+void Admission::create(const SubmissionPtr& submission, const DependencyCheck& dependencyCheck) {
     const auto& spec = submission->spec;
-    Job job = newJob(spec);
+    Job job = makeJob(spec);
     job.partition = migrator_.mapJob(job);
     const auto key = storage::keys::job(spec.id);
     const auto value = storage::jobValue(job);
-    // Also if this is carried out late it can't revive a job: its end is a record as well. Nor can
-    // it follow a job that has been called off or has ended meanwhile: that changes its active
-    // record.
-    protocol::CompareAndSwap transaction{judgement.compares, {{key, value, 0}}};
+    // A late execution of this transaction cannot revive a job, because the terminal record of an
+    // ended job makes it fail. Nor can it create a job whose dependency has been cancelled or has
+    // ended meanwhile, because both change the dependency's active record.
+    protocol::CompareAndSwap transaction{dependencyCheck.compares, {{key, value, 0}}};
     transaction.compares.push_back({key, 0});
     transaction.compares.push_back({storage::keys::terminal(spec.id), 0});
     context_.stateClient.transact(
         std::move(transaction), protocol::RequestPriority::userRequest,
-        [this, submission, key, value](const protocol::CompareAndSwapResponse& answer) {
-            if (answer.result == StateResult::conflict) return onRefused(submission, answer);
-            if (answer.result != StateResult::ok) return submission->reply(unavailable());
+        [this, submission, key, value](const protocol::CompareAndSwapResponse& response) {
+            if (response.result == StateResult::conflict) return onConflict(submission, response);
+            if (response.result != StateResult::ok) return submission->reply(unavailable());
             {
                 auto clusterState = context_.clusterState.lock();
-                storage::applyEvent(*clusterState, {key, value, answer.revision}, context_.now());
+                storage::applyEvent(*clusterState, {key, value, response.revision}, context_.now());
             }
             submission->reply(ok(
                 protocol::encodeJobState(submission->spec.id, protocol::wire::stateQueued), 201));
@@ -213,41 +224,44 @@
         });
 }
 
-void Admission::createCancelled(const SubmissionPtr& submission, const Judgement& judgement) {
-    // It is accepted all the same, and ends there and then.
+void Admission::createCancelled(const SubmissionPtr& submission,
+                                const DependencyCheck& dependencyCheck) {
+    // The job is accepted although a dependency is cancelled; it gets a terminal record at once.
     const auto& id = submission->spec.id;
     const auto terminal = storage::keys::terminal(id);
     protocol::CompareAndSwap transaction{
-        judgement.compares,
+        dependencyCheck.compares,
         {{terminal, storage::terminalValue({true, context_.timers.wallNow()}), 0}}};
     transaction.compares.push_back({storage::keys::job(id), 0});
     transaction.compares.push_back({terminal, 0});
     context_.stateClient.transact(
         std::move(transaction), protocol::RequestPriority::userRequest,
-        [this, submission](const protocol::CompareAndSwapResponse& answer) {
-            if (answer.result == StateResult::conflict) return onRefused(submission, answer);
-            if (answer.result != StateResult::ok) return submission->reply(unavailable());
-            statusReader_.recordTerminal(submission->spec.id, true);
+        [this, submission](const protocol::CompareAndSwapResponse& response) {
+            if (response.result == StateResult::conflict) return onConflict(submission, response);
+            if (response.result != StateResult::ok) return submission->reply(unavailable());
+            statusReader_.cacheTerminalStatus(submission->spec.id, true);
             submission->reply(
                 ok(protocol::encodeJobState(submission->spec.id, protocol::wire::stateCancelled),
                    201));
         });
 }
 
-void Admission::onRefused(const SubmissionPtr& submission,
-                          const protocol::CompareAndSwapResponse& answer) {
+void Admission::onConflict(const SubmissionPtr& submission,
+                           const protocol::CompareAndSwapResponse& response) {
     const auto& id = submission->spec.id;
-    std::vector<std::string> changed;  // dependencies whose records are others by now
+    std::vector<std::string> changedDependencies;  // whose records have changed
     for (const auto& dependency : submission->spec.dependencies)
-        if (std::find(answer.failed.begin(), answer.failed.end(), storage::keys::job(dependency)) !=
-            answer.failed.end())
-            changed.push_back(dependency);
-    const auto failedOwn = answer.failed.size() > changed.size();
-    if (failedOwn || changed.empty()) return respondKnown(id, submission->reply);
-    lookUp(submission, changed);
+        if (std::find(response.failed.begin(), response.failed.end(),
+                      storage::keys::job(dependency)) != response.failed.end())
+            changedDependencies.push_back(dependency);
+    const auto ownCompareFailed = response.failed.size() > changedDependencies.size();
+    if (ownCompareFailed || changedDependencies.empty())
+        return respondForExistingJob(id, submission->reply);
+    readDependencies(submission, changedDependencies);
 }
 
-HttpResponse Admission::stateOf(const std::string& id, JobStatus status, bool brief) {
+HttpResponse Admission::makeStatusResponse(const std::string& id, JobStatus status,
+                                           bool withoutCounts) {
     namespace wire = protocol::wire;
     const char* state = wire::stateQueued;
     std::uint32_t done = 0;
@@ -255,7 +269,7 @@
     switch (status) {
         case JobStatus::unknownJob:
             return {404, {}, 0};
-        case JobStatus::noAnswer:
+        case JobStatus::undetermined:
             return unavailable();
         case JobStatus::terminalDone:
             state = wire::stateDone;
@@ -273,39 +287,40 @@
             }
         }
     }
-    return ok(brief ? protocol::encodeJobState(id, state)
-                    : protocol::encodeJobState(id, state, done, running));
+    return ok(withoutCounts ? protocol::encodeJobState(id, state)
+                            : protocol::encodeJobState(id, state, done, running));
 }
 
-void Admission::respond(const std::string& id, JobStatus status, bool brief,
+void Admission::respond(const std::string& id, JobStatus status, bool withoutCounts,
                         const HttpReply& reply) {
-    auto answer = stateOf(id, status, brief);
-    if (status != JobStatus::cancelled) return reply(std::move(answer));
-    // Also where it was read only: the transaction may have been carried out late, unanswered, and
-    // this is then the first that anybody is told of it.
-    observer_.onJobCancelled([reply, answer = std::move(answer)] { reply(answer); });
+    auto response = makeStatusResponse(id, status, withoutCounts);
+    if (status != JobStatus::cancelled) return reply(std::move(response));
+    // Peers are notified even if the cancellation was only read. Its transaction may have been
+    // executed late and without a response, so that no node has announced the cancellation yet.
+    observer_.onJobCancelled([reply, response = std::move(response)] { reply(response); });
 }
 
 void Admission::getStatus(const std::string& id, HttpReply reply) {
     if (!protocol::validJobId(id)) return reply({404, {}, 0});
-    if (const auto terminal = statusReader_.knownTerminal(id))
-        return reply(stateOf(id, *terminal, false));
-    if (!replica_.synced() || statusRequests_.full()) return reply(unavailable());
-    reply = limited(statusRequests_, std::move(reply));
-    statusReader_.find(id, ReadPurpose::statusRequest,
-                       [this, id, reply](JobStatus status) { respond(id, status, false, reply); });
+    if (const auto terminal = statusReader_.cachedTerminalStatus(id))
+        return reply(makeStatusResponse(id, *terminal, false));
+    if (!replica_.synced() || statusRequests_.isFull()) return reply(unavailable());
+    reply = withConcurrencyLimit(statusRequests_, std::move(reply));
+    statusReader_.readStatus(id, ReadPurpose::statusRequest, [this, id, reply](JobStatus status) {
+        respond(id, status, false, reply);
+    });
 }
 
 void Admission::cancel(const std::string& id, HttpReply reply) {
     if (!protocol::validJobId(id)) return reply({404, {}, 0});
-    if (const auto terminal = statusReader_.knownTerminal(id))
-        return reply(stateOf(id, *terminal, true));
-    if (!replica_.synced() || cancellations_.full()) return reply(unavailable());
-    tryCancel(id, 0, limited(cancellations_, std::move(reply)));
+    if (const auto terminal = statusReader_.cachedTerminalStatus(id))
+        return reply(makeStatusResponse(id, *terminal, true));
+    if (!replica_.synced() || cancellations_.isFull()) return reply(unavailable());
+    tryCancel(id, 0, withConcurrencyLimit(cancellations_, std::move(reply)));
 }
 
 void Admission::tryCancel(const std::string& id, int tries, const HttpReply& reply) {
-    statusReader_.find(id, ReadPurpose::decision, [this, id, tries, reply](JobStatus status) {
+    statusReader_.readStatus(id, ReadPurpose::decision, [this, id, tries, reply](JobStatus status) {
         if (status != JobStatus::active) return respond(id, status, true, reply);
         protocol::CompareAndSwap transaction;
         protocol::Json value;
@@ -314,20 +329,20 @@
             auto clusterState = context_.clusterState.lock();
             const Job* job = clusterState->job(id);
             if (job == nullptr) return reply(unavailable());
-            Job next = *job;
-            next.cancelled = true;
-            value = storage::jobValue(next);
+            Job cancelledJob = *job;
+            cancelledJob.cancelled = true;
+            value = storage::jobValue(cancelledJob);
             transaction = {{{key, job->version}}, {{key, value, 0}}};
         }
         context_.stateClient.transact(
             std::move(transaction), protocol::RequestPriority::userRequest,
-            [this, id, key, value, tries, reply](const protocol::CompareAndSwapResponse& answer) {
-                if (answer.result == StateResult::conflict && tries + 1 < maxTries)
+            [this, id, key, value, tries, reply](const protocol::CompareAndSwapResponse& response) {
+                if (response.result == StateResult::conflict && tries + 1 < maxTries)
                     return tryCancel(id, tries + 1, reply);
-                if (answer.result != StateResult::ok) return reply(unavailable());
+                if (response.result != StateResult::ok) return reply(unavailable());
                 {
                     auto clusterState = context_.clusterState.lock();
-                    storage::applyEvent(*clusterState, {key, value, answer.revision},
+                    storage::applyEvent(*clusterState, {key, value, response.revision},
                                         context_.now());
                 }
                 spdlog::debug("admission: job_cancelled job={}", id);
--- a/src/coordination/api/admission.h
+++ b/src/coordination/api/admission.h
@@ -1,8 +1,8 @@
 /// @file
-/// Users' requests: submissions, status requests and cancellations.
+/// Handles users' requests: submissions, status requests and cancellations.
 ///
-/// Any node serves any job. Every response rests on the state service at the time of the request,
-/// so that none is older than another node's.
+/// Any node handles requests for any job. Every response is based on the state service at the time
+/// of the request, so that it is never older than an earlier response of another node.
 #pragma once
 
 #include <map>
@@ -18,7 +18,7 @@
 
 namespace fawnwheel::coordination {
 
-/// Learns what users' requests have changed.
+/// Receives events that users' requests cause.
 class AdmissionObserver {
   public:
     AdmissionObserver() = default;
@@ -28,8 +28,8 @@
 
     /// A job's record has been written.
     virtual void onJobAccepted() = 0;
-    /// A cancellation is durable. The user is answered by `respond`, to be called exactly once,
-    /// when the peers have been told.
+    /// A cancellation is durable. `respond` answers the user; it must be called exactly once, after
+    /// the peers have been notified.
     virtual void onJobCancelled(std::function<void()> respond) = 0;
 };
 
@@ -44,68 +44,79 @@
           migrator_(migrator),
           observer_(observer) {}
 
-    /// POST of a job, CBOR. 201 when its record is written, 200 when it was known, 400 when
-    /// malformed, 422 when it can never run, 503 with a time to retry when nothing can be decided
-    /// now.
+    /// Submits a job (POST, CBOR). 201 when its record has been written, 200 when the job already
+    /// exists, 400 when the request is malformed or too large, 422 when the job can never run, 503
+    /// with a retry time when no decision is possible now.
     void submit(const std::string& body, transport::HttpReply reply);
-    /// GET of a job's state: 200, 404 when it was never accepted, 503 when nothing can be told now.
+    /// Reads a job's state (GET). 200, 404 when the job was never accepted, 503 when the state
+    /// cannot be confirmed now.
     void getStatus(const std::string& id, transport::HttpReply reply);
-    /// Cancels a job: 200 with its state once the cancellation is durable, 404, or 503.
+    /// Cancels a job. 200 with its state once the cancellation is durable, 404 when the job was
+    /// never accepted, 503 when the cancellation cannot be confirmed now.
     void cancel(const std::string& id, transport::HttpReply reply);
 
   private:
-    /// A submission that may have to be judged more than once.
+    /// A submission whose dependencies may have to be checked more than once.
     struct Submission {
         protocol::JobSpec spec;
         transport::HttpReply reply;
         int tries = 0;
-        std::map<std::string, bool> terminals;  // dependencies that have ended; cancelled?
+        // Dependencies that have ended, and whether each was cancelled.
+        std::map<std::string, bool> terminalDependencies;
     };
     using SubmissionPtr = std::shared_ptr<Submission>;
-    /// What is known of a submission's dependencies.
-    struct Judgement {
-        std::vector<std::string> unknown;         // to be looked up
-        std::vector<protocol::Compare> compares;  // active records as they were judged
-        std::optional<transport::HttpResponse> refusal;
-        bool cancelled = false;  // one of them is
+    /// The result of checking a submission's dependencies against the cluster state and the cache.
+    struct DependencyCheck {
+        std::vector<std::string> unresolved;      // status has to be read
+        std::vector<protocol::Compare> compares;  // the active records that were checked
+        std::optional<transport::HttpResponse> rejection;
+        bool cancelled = false;  // whether any dependency is cancelled
     };
 
-    [[nodiscard]] transport::HttpResponse stateOf(const std::string& id, JobStatus status,
-                                                  bool brief);
-    void respond(const std::string& id, JobStatus status, bool brief,
+    /// The response for a job with this status. `withoutCounts` omits the numbers of done and
+    /// running tasks.
+    [[nodiscard]] transport::HttpResponse makeStatusResponse(const std::string& id,
+                                                             JobStatus status, bool withoutCounts);
+    void respond(const std::string& id, JobStatus status, bool withoutCounts,
                  const transport::HttpReply& reply);
-    /// For a job whose record exists: reads its state before answering.
-    void respondKnown(const std::string& id, const transport::HttpReply& reply);
+    /// Responds to a submission whose job exists: reads its state first.
+    void respondForExistingJob(const std::string& id, const transport::HttpReply& reply);
     void tryCancel(const std::string& id, int tries, const transport::HttpReply& reply);
-    /// The reply, counted in the limiter from now until it is called.
-    [[nodiscard]] transport::HttpReply limited(ConcurrencyLimiter& limiter,
-                                               transport::HttpReply reply);
-    /// Why the job can't be accepted by what is known of teams and machine types; none: it can.
-    [[nodiscard]] std::optional<transport::HttpResponse> check(const protocol::JobSpec& spec) const;
-    /// Whether any machine type could run one of its tasks.
-    [[nodiscard]] bool fitsSomeType(const protocol::JobSpec& spec) const;
-    /// Whether the job's record, and the conditions for creating it, are within the limits.
-    [[nodiscard]] bool recordable(const protocol::JobSpec& spec) const;
-    [[nodiscard]] Job newJob(const protocol::JobSpec& spec) const;
+    /// Returns a reply that counts as a request in progress in the limiter until it is called.
+    [[nodiscard]] transport::HttpReply withConcurrencyLimit(ConcurrencyLimiter& limiter,
+                                                            transport::HttpReply reply);
+    /// Returns the rejection of a job that the teams' settings or the catalog do not allow, or
+    /// none.
+    [[nodiscard]] std::optional<transport::HttpResponse> validateSpec(
+        const protocol::JobSpec& spec) const;
+    /// Whether any machine type can run one of the job's tasks.
+    [[nodiscard]] bool fitsSomeMachineType(const protocol::JobSpec& spec) const;
+    /// Whether the job's record and the conditions for creating it are within the state service's
+    /// limits.
+    [[nodiscard]] bool fitsRecordLimits(const protocol::JobSpec& spec) const;
+    [[nodiscard]] Job makeJob(const protocol::JobSpec& spec) const;
 
-    [[nodiscard]] Judgement judge(ClusterState& clusterState, const Submission& submission) const;
-    /// Adds what is known of one dependency to the judgement.
-    void judgeDependency(ClusterState& clusterState, const Submission& submission,
-                         const std::string& id, Judgement& judgement) const;
+    [[nodiscard]] DependencyCheck checkDependencies(ClusterState& clusterState,
+                                                    const Submission& submission) const;
+    /// Adds the state of one dependency to the result.
+    void checkDependency(ClusterState& clusterState, const Submission& submission,
+                         const std::string& id, DependencyCheck& dependencyCheck) const;
     void accept(const SubmissionPtr& submission);
-    /// Reads the status of these dependencies, then judges the submission again.
-    void lookUp(const SubmissionPtr& submission, const std::vector<std::string>& dependencies);
-    void create(const SubmissionPtr& submission, const Judgement& judgement);
-    void createCancelled(const SubmissionPtr& submission, const Judgement& judgement);
-    void onRefused(const SubmissionPtr& submission, const protocol::CompareAndSwapResponse& answer);
+    /// Reads the status of these dependencies, then tries again to accept the submission.
+    void readDependencies(const SubmissionPtr& submission,
+                          const std::vector<std::string>& dependencies);
+    void create(const SubmissionPtr& submission, const DependencyCheck& dependencyCheck);
+    void createCancelled(const SubmissionPtr& submission, const DependencyCheck& dependencyCheck);
+    void onConflict(const SubmissionPtr& submission,
+                    const protocol::CompareAndSwapResponse& response);
 
     Context& context_;
     const Replica& replica_;
     JobStatusReader& statusReader_;
     WorkMigrator& migrator_;
     AdmissionObserver& observer_;
-    // Each its own: with a common limit users who poll took the places of those who submit or
-    // cancel (poll_storm).
+    // Separate limits: with a common one, users who poll would take the slots of users who submit
+    // or cancel (scenario poll_storm).
     ConcurrencyLimiter submissions_;
     ConcurrencyLimiter statusRequests_;
     ConcurrencyLimiter cancellations_;
--- a/src/coordination/api/concurrency_limiter.cpp
+++ b/src/coordination/api/concurrency_limiter.cpp
@@ -6,18 +6,21 @@
 
 namespace {
 
-constexpr double toleratedSlowdown = 3.0;  // times the fastest
-constexpr double slackSeconds = 0.1;
-constexpr double fastestGrowth = 1.002;  // per request
-constexpr double decrease = 0.95;
+// The limit shrinks when the latency exceeds the fastest one by this factor and the tolerance.
+constexpr double maxLatencyRatio = 3.0;
+constexpr double latencyToleranceSeconds = 0.1;
+constexpr double fastestLatencyGrowth = 1.002;  // factor per request
+constexpr double decreaseFactor = 0.95;
 
 }  // namespace
 
-void ConcurrencyLimiter::end(transport::Duration latency) {
+void ConcurrencyLimiter::onRequestFinished(transport::Duration latency) {
     const double seconds = std::chrono::duration<double>(latency).count();
-    fastest_ = fastest_ <= 0 ? seconds : std::min(fastest_ * fastestGrowth, seconds);
-    if (seconds > fastest_ * toleratedSlowdown + slackSeconds)
-        limit_ = std::max(minLimit, limit_ * decrease);
+    fastestLatencySeconds_ = fastestLatencySeconds_ <= 0
+                                 ? seconds
+                                 : std::min(fastestLatencySeconds_ * fastestLatencyGrowth, seconds);
+    if (seconds > fastestLatencySeconds_ * maxLatencyRatio + latencyToleranceSeconds)
+        limit_ = std::max(minLimit, limit_ * decreaseFactor);
     else if (static_cast<double>(active_) > limit_ / 2)
         limit_ = std::min(maxLimit, limit_ + 1);
     if (active_ > 0) --active_;
--- a/src/coordination/api/concurrency_limiter.h
+++ b/src/coordination/api/concurrency_limiter.h
@@ -1,5 +1,5 @@
 /// @file
-/// Limits how many users' requests are in progress by their measured latency.
+/// Limits the number of users' requests in progress according to their measured latency.
 #pragma once
 
 #include "transport/interfaces.h"
@@ -7,15 +7,15 @@
 namespace fawnwheel::coordination {
 
 /// An additive-increase, multiplicative-decrease limit: it grows while responses are fast and
-/// shrinks when they take several times as long as the fastest seen lately.
+/// shrinks when they take several times as long as the fastest recent one.
 class ConcurrencyLimiter {
   public:
-    /// Whether another request has to be turned away.
-    [[nodiscard]] bool full() const { return static_cast<double>(active_) >= limit_; }
-    /// A request has been let in; each call is followed by one call of `end`.
-    void begin() { ++active_; }
-    /// A request has been answered after this long.
-    void end(transport::Duration latency);
+    /// Whether another request has to be rejected.
+    [[nodiscard]] bool isFull() const { return static_cast<double>(active_) >= limit_; }
+    /// A request has been admitted. Each call must be followed by one call of `onRequestFinished`.
+    void onRequestStarted() { ++active_; }
+    /// A request has been answered after this latency.
+    void onRequestFinished(transport::Duration latency);
     [[nodiscard]] double limit() const { return limit_; }
 
   private:
@@ -24,7 +24,7 @@
 
     std::size_t active_ = 0;
     double limit_ = 64;
-    double fastest_ = 0;  // seconds; rises slowly, so that it follows a change of conditions
+    double fastestLatencySeconds_ = 0;  // rises slowly to follow changes of conditions
 };
 
 }  // namespace fawnwheel::coordination
--- a/src/coordination/api/http_router.cpp
+++ b/src/coordination/api/http_router.cpp
@@ -57,8 +57,8 @@
     if (!heartbeat) return reply({400, {}, 0});
     reachability_.onHeartbeat();
     if (!replica_.synced()) return reply({503, {}, 0});
-    auto answer = heartbeats_.handleHeartbeat(*heartbeat);
-    reply({answer.httpStatus(), std::move(answer.body), 0});
+    auto response = heartbeats_.handleHeartbeat(*heartbeat);
+    reply({response.httpStatus(), std::move(response.body), 0});
 }
 
 }  // namespace fawnwheel::coordination
--- a/src/coordination/api/http_router.h
+++ b/src/coordination/api/http_router.h
@@ -12,8 +12,8 @@
 
 namespace fawnwheel::coordination {
 
-/// Maps method and path to the module that answers. Unknown paths get 404, known ones with another
-/// method 405. Keeps references only; all modules outlive it.
+/// Maps method and path to the module that handles the request. Unknown paths get 404, known paths
+/// with another method 405. Holds references only; all modules outlive the router.
 class HttpRouter {
   public:
     HttpRouter(const Replica& replica, const Membership& membership,
--- a/src/coordination/api/job_status_reader.h
+++ b/src/coordination/api/job_status_reader.h
@@ -1,8 +1,8 @@
 /// @file
 /// Linearizable reads of jobs' states.
 ///
-/// Many requests share one compare-only transaction with the state service, so that every answer is
-/// as new as the records and none costs a request of its own.
+/// Many requests share one compare-only transaction with the state service. So every response is as
+/// current as the records, without a separate transaction for each request.
 #pragma once
 
 #include <deque>
@@ -16,62 +16,63 @@
 
 namespace fawnwheel::coordination {
 
-/// What the state service confirms about a job at the time of the request.
+/// The state of a job that the state service confirms at the time of the request.
 enum class JobStatus {
     unknownJob,  // neither an active nor a terminal record
     active,
-    cancelled,  // its tasks may not all be gone
+    cancelled,  // some of its tasks may still run
     terminalDone,
     terminalCancelled,
-    noAnswer,  // can't be told now
+    undetermined,  // cannot be confirmed now
 };
 
-/// What a status is needed for; decides the order in which requests are sent.
+/// The purpose of a read; determines the order in which requests are sent.
 enum class ReadPurpose {
-    decision,       // a submission or a cancellation waits for it: before all status requests
-    statusRequest,  // a user polls
+    decision,       // needed for a submission or a cancellation; sent before all status requests
+    statusRequest,  // a user polls the state
 };
 
-/// Reads jobs' states, batched, with a cache of terminal states.
+/// Reads jobs' states in batches, and caches terminal states.
 class JobStatusReader {
   public:
-    using Done = std::function<void(JobStatus)>;
+    using Callback = std::function<void(JobStatus)>;
 
     JobStatusReader(Context& context, const Replica& replica)
         : context_(context), replica_(replica) {}
 
-    /// Calls `done` exactly once. Callers bound how many are in progress (`ConcurrencyLimiter`).
-    void find(const std::string& id, ReadPurpose purpose, Done done) {
-        enqueue({id, purpose, std::move(done), 0});
+    /// Calls `callback` exactly once. Callers limit the number of reads in progress
+    /// (`ConcurrencyLimiter`).
+    void readStatus(const std::string& id, ReadPurpose purpose, Callback callback) {
+        enqueue({id, purpose, std::move(callback), 0});
     }
-    /// Caches a terminal state that was read or written. It never changes; the cache is bounded,
-    /// and older ones are read again.
-    void recordTerminal(const std::string& id, bool cancelled);
-    /// The cached terminal state; none: not cached.
-    [[nodiscard]] std::optional<JobStatus> knownTerminal(const std::string& id) const;
+    /// Caches a terminal state that was read or written. A terminal state never changes. The cache
+    /// is bounded; evicted states are read again.
+    void cacheTerminalStatus(const std::string& id, bool cancelled);
+    /// Returns the cached terminal state, or none if it is not cached.
+    [[nodiscard]] std::optional<JobStatus> cachedTerminalStatus(const std::string& id) const;
 
   private:
     struct StatusRequest {
         std::string id;
         ReadPurpose purpose = ReadPurpose::statusRequest;
-        Done done;
+        Callback callback;
         int tries = 0;
     };
-    struct Sent {
+    struct SentRequest {
         StatusRequest statusRequest;
-        bool active = false;  // the cluster state has its record
+        bool active = false;  // whether the cluster state has an active record of the job
     };
 
     void enqueue(StatusRequest statusRequest);
     void retry(const StatusRequest& statusRequest);
     void flush();
     void flushQueue(std::deque<StatusRequest>& queue, protocol::RequestPriority priority);
-    [[nodiscard]] static bool failed(const protocol::CompareAndSwapResponse& answer,
-                                     const std::string& id);
-    void settle(const Sent& sent, const protocol::CompareAndSwapResponse& answer);
+    [[nodiscard]] static bool compareFailed(const protocol::CompareAndSwapResponse& response,
+                                            const std::string& id);
+    void handleResponse(const SentRequest& sent, const protocol::CompareAndSwapResponse& response);
     void readTerminal(const StatusRequest& statusRequest);
     void readActive(const StatusRequest& statusRequest);
-    /// Of a job whose active record is current.
+    /// The status of a job whose active record is current.
     [[nodiscard]] JobStatus statusOf(const Job& job) const;
 
     Context& context_;
@@ -79,8 +80,8 @@
     std::deque<StatusRequest> decisions_;
     std::deque<StatusRequest> statusRequests_;
     bool flushing_ = false;
-    std::unordered_map<std::string, bool> terminals_;  // cancelled?
-    std::deque<std::string> terminalOrder_;            // oldest first
+    std::unordered_map<std::string, bool> terminalCache_;  // whether each ended job was cancelled
+    std::deque<std::string> terminalCacheOrder_;           // oldest first
 };
 
 }  // namespace fawnwheel::coordination
--- a/src/coordination/context.h
+++ b/src/coordination/context.h
@@ -1,6 +1,6 @@
 /// @file
-/// What the modules of the coordination layer share: settings, clock, network, clients, topology,
-/// feature gates and the cluster state.
+/// State shared by the modules of the coordination layer: settings, clock, network, clients,
+/// topology, feature gates and the cluster state.
 #pragma once
 
 #include <algorithm>
@@ -28,17 +28,17 @@
 using transport::Duration;
 using transport::SteadyTime;
 
-/// Rounded down to ticks of the steady clock.
-inline Duration toSteadyDuration(Seconds s) {
-    return std::chrono::duration_cast<Duration>(s);
+/// Converts seconds to the steady clock's duration type, rounded towards zero.
+inline Duration toSteadyDuration(Seconds seconds) {
+    return std::chrono::duration_cast<Duration>(seconds);
 }
 
-inline transport::WallTime addSeconds(transport::WallTime at, Seconds by) {
-    return at + std::chrono::duration_cast<transport::WallTime::duration>(by);
+inline transport::WallTime addSeconds(transport::WallTime time, Seconds seconds) {
+    return time + std::chrono::duration_cast<transport::WallTime::duration>(seconds);
 }
 
-/// Built once by the controller and outlives all modules. Used on the loop's thread only, but for
-/// `clusterState`, which has its own lock.
+/// Created once by the controller; outlives all modules. Used on the event loop's thread only,
+/// except for `clusterState`, which has its own lock.
 struct Context {
     Context(const config::Settings& platform, const config::OperatorSettings& operators,
             transport::Timers& clock, transport::Network& net, std::uint64_t seed)
@@ -48,8 +48,9 @@
           network(net),
           nodes(platform.nodeNames()),
           stateClient(clock, net, platform.state, stateLimits()),
-          cloudClient(clock, net, platform.cloud,
-                      platform.cloudCalls * fractionOfLimits / static_cast<double>(nodes.size())),
+          cloudClient(
+              clock, net, platform.cloud,
+              platform.cloudCalls * usableFractionOfRateLimit / static_cast<double>(nodes.size())),
           rng(seed) {
         for (std::uint32_t i = 0; i < nodes.size(); ++i)
             if (nodes[i] == settings.name) preferredPartition = i;
@@ -60,50 +61,55 @@
     [[nodiscard]] std::uint32_t partitionCount() const {
         return static_cast<std::uint32_t>(nodes.size());
     }
-    /// The catalog's entry; null: no such type, or the catalog is not known yet.
+    /// Returns the catalog's entry, or null if the type does not exist or the catalog is not known
+    /// yet.
     [[nodiscard]] const MachineType* findMachineType(const std::string& name) const {
-        for (const auto& t : catalog)
-            if (t.name == name) return &t;
+        for (const auto& type : catalog)
+            if (type.name == name) return &type;
         return nullptr;
     }
-    /// The team's settings; null: no such team.
+    /// Returns the team's settings, or null if the team does not exist.
     [[nodiscard]] const config::Team* findTeam(const std::string& name) const {
-        for (const auto& t : settings.teams)
-            if (t.name == name) return &t;
+        for (const auto& team : settings.teams)
+            if (team.name == name) return &team;
         return nullptr;
     }
-    /// An array of the lowest priority, of a team without a guarantee: it uses what is left over.
+    /// Whether the job is an array of the lowest priority whose team has no guaranteed quota. Such
+    /// a job uses only capacity that is left over.
     [[nodiscard]] bool isBestEffort(const Job& job) const {
         const auto* teamSettings = findTeam(job.spec.team);
         return job.priority == protocol::Priority::low &&
                job.spec.kind == protocol::JobKind::array &&
                (teamSettings == nullptr || (teamSettings->cpus <= 0 && teamSettings->gpus <= 0));
     }
-    /// Whether records and frames may have the formats that the first version doesn't know: no node
-    /// runs that version any more, nor ever will.
+    /// Whether records and peer frames may use formats that the first version cannot read: no node
+    /// runs that version any more, and none will again.
     [[nodiscard]] bool jobDependenciesEnabled(const ClusterState& cluster) const {
         return std::all_of(nodes.begin(), nodes.end(), [&cluster](const std::string& node) {
             return cluster.nodesWithJobDependencies.contains(node);
         });
     }
-    /// Whether machines may change hands with their tasks: every node knows how to read it.
+    /// Whether machines may be transferred to another partition together with their tasks: every
+    /// node can read the records and frames of such a transfer.
     [[nodiscard]] bool machineTransfersEnabled(const ClusterState& cluster) const {
         return jobDependenciesEnabled(cluster) &&
                std::all_of(nodes.begin(), nodes.end(), [&cluster](const std::string& node) {
                    return cluster.nodesWithMachineTransfers.contains(node);
                });
     }
-    /// The partition that a machine belongs to while no record says otherwise; every node agrees on
-    /// it. `zone` is the machine's, `id` ends with its number.
+    /// The partition of a machine that has no record yet; all nodes compute the same one. `zone` is
+    /// the machine's zone, and `id` ends with its number.
     [[nodiscard]] PartitionId defaultPartition(const std::string& zone,
                                                const std::string& id) const;
-    /// How old the cancellations known here may be when a worker's lease is renewed: a lease later
-    /// its tasks are gone, and that has to be within `cancel_s`. Not above zero: no time is left.
+    /// Maximum age of the cancellations known to this node when it renews a worker's lease. Tasks
+    /// can run until the renewed lease expires, and that has to be within `cancel_s` of their
+    /// cancellation. A result of zero or less means that `cancel_s` leaves no time besides the
+    /// lease.
     [[nodiscard]] Duration cancellationSlack() const {
-        return toSteadyDuration(settings.cancel * shortenedByDrift -
-                                settings.lease * prolongedByDrift - cancelMargin);
+        return toSteadyDuration(settings.cancel * minClockRatio - settings.lease * maxClockRatio -
+                                cancelMargin);
     }
-    /// A duration spread by plus or minus a quarter, so that nodes don't act in step.
+    /// Varies a duration at random by up to a quarter, so that nodes do not act simultaneously.
     Duration jittered(Duration around) {
         return toSteadyDuration(Seconds(around) *
                                 std::uniform_real_distribution<>(0.75, 1.25)(rng));
@@ -113,18 +119,19 @@
     const config::OperatorSettings& operatorSettings;
     transport::Timers& timers;
     transport::Network& network;
-    std::vector<std::string> nodes;      // by the number of the partition that each prefers
-    PartitionId preferredPartition = 0;  // that this node leads by preference
+    std::vector<std::string> nodes;      // names, by the partition that each node prefers to lead
+    PartitionId preferredPartition = 0;  // the partition that this node prefers to lead
     protocol::StateClient stateClient;
     protocol::CloudClient cloudClient;
     storage::Synchronized<ClusterState> clusterState;
-    std::vector<MachineType> catalog;  // empty: not known yet
+    std::vector<MachineType> catalog;  // empty until it is known
     std::mt19937_64 rng;
 
   private:
-    static constexpr double fractionOfLimits = 0.92;
-    static constexpr double shortenedByDrift = 0.998;  // of two clocks
-    static constexpr double prolongedByDrift = 1.002;
+    static constexpr double usableFractionOfRateLimit = 0.92;
+    // Bounds of the ratio between the rates of two clocks.
+    static constexpr double minClockRatio = 0.998;
+    static constexpr double maxClockRatio = 1.002;
     static constexpr Seconds cancelMargin{1};
 
     [[nodiscard]] protocol::StateLimits stateLimits() const {
--- a/src/coordination/controller.cpp
+++ b/src/coordination/controller.cpp
@@ -6,9 +6,11 @@
 
 using namespace std::chrono_literals;
 
-constexpr auto roundDelay = 30ms;    // collects the changes of many events into one round
-constexpr int roundPauseFactor = 3;  // pause between rounds, times what the last round took
-// Upper bound of a round's duration in that product: what took longer was a pause of the process.
+constexpr auto roundDelay = 30ms;  // collects the changes of many events into one round
+// The pause between rounds, as a multiple of the last round's duration.
+constexpr int roundPauseFactor = 3;
+// Upper bound of the round duration in that product; a longer round means that the process was
+// suspended.
 constexpr auto maxRoundDuration = 150ms;
 constexpr auto maintenanceInterval = 500ms;
 
@@ -70,9 +72,9 @@
 }
 
 void Controller::onJobTerminal(const std::string& id, bool cancelled) {
-    statusReader_.recordTerminal(id, cancelled);
+    statusReader_.cacheTerminalStatus(id, cancelled);
     completionNotifier_.notifyDependents(id);
-    stopping_.erase(id);
+    jobsWithStopsSent_.erase(id);
 }
 
 void Controller::onDependentsCancelled() {
@@ -97,20 +99,21 @@
 void Controller::scheduleRound() {
     if (roundScheduled_) return;
     roundScheduled_ = true;
-    // Heartbeats, renewals and users' requests need most of a small share of a core: the longer a
-    // round takes, the longer the next one waits.
+    // The process has a small share of a core, and heartbeats, lease renewals and user requests
+    // need most of it. The longer a round takes, the longer the next one is delayed.
     const auto pause = std::max<Duration>(roundDelay, lastRoundDuration_ * roundPauseFactor);
     context_.timers.after(pause, [this] {
         roundScheduled_ = false;
-        const auto began = context_.now();
+        const auto startedAt = context_.now();
         runRound();
-        lastRoundDuration_ = std::min<Duration>(context_.now() - began, maxRoundDuration);
+        lastRoundDuration_ = std::min<Duration>(context_.now() - startedAt, maxRoundDuration);
     });
 }
 
 void Controller::runRound() {
     for (const auto partition : membership_.ledPartitions()) {
-        // Starts would reach nobody: what waits is left to the next leader.
+        // Without a valid lease or reachable workers no start would take effect, so waiting work is
+        // left to the next leader.
         if (membership_.isLeaseValid() && !reachability_.isUnreachable()) {
             const auto unschedulable = placement_.run(partition);
             rebalancer_.recordUnschedulable(partition, unschedulable);
@@ -136,11 +139,13 @@
 }
 
 void Controller::onPartitionLost(PartitionId partition) {
-    // Kept over a loss, an allocation that this leader had seen ended, and a successor had started
-    // once more by its record, was written off when the partition came back: the task then ran
-    // unknown to anybody, and once more elsewhere (scenario unrecorded_over_terms).
+    // Conclusions that are not recorded must not survive the loss of a partition. Otherwise this
+    // leader could see an allocation end without recording it, and a successor could start the task
+    // again from the record. When the partition came back, this leader would remove the allocation:
+    // the task would run untracked, and a second time elsewhere (scenario unrecorded_over_terms).
     if (pipeline_.busy(partition)) {
-        // The outcome of what is under way is unknown: only the records tell.
+        // The outcome of the transactions in flight is unknown, so the records have to be read
+        // again.
         pipeline_.abandon(partition);
         return replica_.resync();
     }
@@ -148,27 +153,27 @@
 }
 
 void Controller::stopCancelledJobs() {
-    std::vector<std::string> fresh;
+    std::vector<std::string> newlyCancelled;
     {
         auto clusterState = context_.clusterState.lock();
         for (const auto& [id, job] : clusterState->jobs)
             if (clusterState->knownCancelled(job) && job.anyAllocation() &&
-                stopping_.insert(id).second)
-                fresh.push_back(id);
+                jobsWithStopsSent_.insert(id).second)
+                newlyCancelled.push_back(id);
     }
-    for (const auto& id : fresh) heartbeats_.stopJob(id);
+    for (const auto& id : newlyCancelled) heartbeats_.stopJob(id);
 }
 
 void Controller::runMaintenance() {
     for (const auto partition : membership_.ledPartitions()) {
-        if (membership_.isLeaseValid()) heartbeats_.expireSilent(partition);
+        if (membership_.isLeaseValid()) heartbeats_.expireSilentWorkers(partition);
         reconciler_.reconcileMachines(partition);
         if (membership_.isLeaseValid()) lending_.returnIdleLoans(partition);
         if (membership_.isLeaseValid() && warmPool_.mayConsolidate(partition))
             if (const auto machine = consolidation_.consolidateOneMachine(partition))
                 heartbeats_.sendPendingStops(*machine);
     }
-    std::erase_if(stopping_, [this](const std::string& id) {
+    std::erase_if(jobsWithStopsSent_, [this](const std::string& id) {
         return context_.clusterState.lock()->job(id) == nullptr;
     });
     completionNotifier_.resolveDependencies();
--- a/src/coordination/controller.h
+++ b/src/coordination/controller.h
@@ -1,5 +1,6 @@
 /// @file
-/// One controller: owns all modules of the coordination layer and runs the scheduling rounds.
+/// The controller of one node: owns all modules of the coordination layer and runs the scheduling
+/// rounds.
 #pragma once
 
 #include "coordination/api/admission.h"
@@ -20,12 +21,12 @@
 
 namespace fawnwheel::coordination {
 
-/// Owns all modules, connects them as each other's observers, and runs them in turn on the thread
-/// of the event loop.
+/// Owns all modules, connects them as each other's observers, and runs them on the event loop's
+/// thread.
 ///
-/// A round places what can start, preempts, requests loans and quota, scales out and writes what
-/// has changed, for each partition that this node leads. Maintenance runs at a fixed interval and
-/// looks for expired workers, idle machines and unneeded loans.
+/// For each partition that this node leads, a round places tasks, preempts, requests loans and
+/// quota, scales out and writes the changes. Maintenance runs at a fixed interval and handles
+/// expired workers, idle machines and loans that are no longer needed.
 class Controller final : private RoundScheduler,
                          private ReplicaObserver,
                          private ReachabilityObserver,
@@ -38,16 +39,17 @@
     Controller(const config::Settings& settings, const config::OperatorSettings& operatorSettings,
                transport::Timers& timers, transport::Network& network, std::uint64_t seed);
 
-    /// Starts all modules; to be called once, on the loop's thread.
+    /// Starts all modules. Must be called once, on the event loop's thread.
     void start();
-    /// A request of a user, a worker or a health check. Calls `reply` exactly once, now or later.
+    /// Handles a request of a user, a worker or a health check. Calls `reply` exactly once, now or
+    /// later.
     void onRequest(const transport::HttpRequest& request, transport::HttpReply reply);
-    /// A frame from a peer.
+    /// Handles a frame from a peer.
     void onFrame(const std::string& frame);
 
-    /// Whether this node can take requests.
+    /// Whether users should be sent to this node.
     [[nodiscard]] bool healthy() const { return membership_.healthy(); }
-    /// For audits: what this process knows.
+    /// The cluster state of this process, for audits in tests.
     [[nodiscard]] storage::Synchronized<ClusterState>& clusterState() {
         return context_.clusterState;
     }
@@ -74,7 +76,7 @@
 
     void runRound();
     void runMaintenance();
-    /// Sends stops for jobs that have become known as cancelled.
+    /// Sends stops for cancelled jobs that have allocations, once per job.
     void stopCancelledJobs();
 
     Context context_;
@@ -108,7 +110,7 @@
     PeerDispatcher peers_;
     bool roundScheduled_ = false;
     Duration lastRoundDuration_{};
-    std::set<std::string> stopping_;  // cancelled jobs whose stops have been sent
+    std::set<std::string> jobsWithStopsSent_;  // cancelled jobs
 };
 
 }  // namespace fawnwheel::coordination
--- a/src/coordination/peer_dispatcher.h
+++ b/src/coordination/peer_dispatcher.h
@@ -1,5 +1,5 @@
 /// @file
-/// Dispatches messages of peers to the modules that handle them.
+/// Dispatches messages from peers to the modules that handle them.
 #pragma once
 
 #include <string>
@@ -16,7 +16,7 @@
 class Rebalancer;
 class WorkMigrator;
 
-/// The module for each kind of message. All modules outlive the dispatcher.
+/// The modules that handle messages. All of them outlive the dispatcher.
 struct PeerHandlers {
     Membership& membership;
     WorkMigrator& migrator;
@@ -27,12 +27,12 @@
     Rebalancer& rebalancer;
 };
 
-/// Decodes frames from peers and hands each message to its module.
+/// Decodes frames from peers and passes each message to its module.
 class PeerDispatcher {
   public:
     explicit PeerDispatcher(const PeerHandlers& handlers) : handlers_(handlers) {}
 
-    /// A frame that can't be decoded is logged and dropped.
+    /// Dispatches one frame. A frame that cannot be decoded is logged and dropped.
     void dispatch(const std::string& frame);
 
   private:
--- a/src/coordination/round_scheduler.h
+++ b/src/coordination/round_scheduler.h
@@ -1,11 +1,10 @@
 /// @file
-/// Asks the controller for a scheduling round.
+/// Interface for requesting a scheduling round from the controller.
 #pragma once
 
 namespace fawnwheel::coordination {
 
-/// Implemented by the controller; modules call it when something has changed that may let work
-/// start.
+/// Implemented by the controller. Modules call it after a change that may allow tasks to start.
 class RoundScheduler {
   public:
     RoundScheduler() = default;
@@ -13,7 +12,7 @@
     RoundScheduler& operator=(const RoundScheduler&) = delete;
     virtual ~RoundScheduler() = default;
 
-    /// Plans one round a little later. Calls until then are covered by that round.
+    /// Schedules one round after a short delay. Further calls before that round are covered by it.
     virtual void scheduleRound() = 0;
 };
 
--- a/src/coordination/workers/command_sender.cpp
+++ b/src/coordination/workers/command_sender.cpp
@@ -11,14 +11,16 @@
 using protocol::CommandKind;
 
 constexpr auto commandTimeout = 2s;
-constexpr int httpConflict = 409;               // the token is too low, or the agent epoch another
-constexpr auto minTimeToNextHeartbeat = 1s;     // that makes a request for one worth it
-constexpr double requestIntervalLeases = 0.55;  // times a worker's lease
+constexpr int httpConflict = 409;  // the worker rejects the fencing token or the agent epoch
+// No heartbeat is requested if the next one is due in less than this.
+constexpr auto minTimeToNextHeartbeat = 1s;
+// The minimum interval between two requests to one worker, as a fraction of its lease.
+constexpr double requestIntervalLeaseFraction = 0.55;
 
 }  // namespace
 
-protocol::Command CommandSender::stopCommand(const ClusterState& clusterState, const Job& job,
-                                             const Allocation& allocation) {
+protocol::Command CommandSender::makeStopCommand(const ClusterState& clusterState, const Job& job,
+                                                 const Allocation& allocation) {
     const bool withGrace = allocation.stopGrace && !clusterState.knownCancelled(job);
     return {CommandKind::stop, job.spec.id, allocation.task, allocation.attempt,
             withGrace ? *allocation.stopGrace : Seconds(0)};
@@ -34,7 +36,7 @@
         for (const auto& allocation : slice.allocations)
             if (allocation.durable)
                 commandsByMachine[allocation.machine].push_back(
-                    stopCommand(*clusterState, *job, allocation));
+                    makeStopCommand(*clusterState, *job, allocation));
     }
     for (const auto& [name, commands] : commandsByMachine)
         if (const Machine* machine = clusterState->machine(name)) send(*machine, commands);
@@ -63,7 +65,7 @@
     const auto nextDue =
         *machine.lastHeartbeat + toSteadyDuration(context_.settings.heartbeatInterval);
     return now - machine.heartbeatRequested >=
-               toSteadyDuration(context_.settings.lease * requestIntervalLeases) &&
+               toSteadyDuration(context_.settings.lease * requestIntervalLeaseFraction) &&
            nextDue - now >= minTimeToNextHeartbeat;
 }
 
@@ -73,9 +75,9 @@
     for (const auto& id : machines) {
         Machine* machine = clusterState->machine(id);
         if (machine == nullptr || !shouldRequestHeartbeat(*machine)) continue;
-        // A higher token is a change for which the worker sends a heartbeat; it does so once in
-        // half a lease. Late, this raises the token to no more than heartbeats are answered with by
-        // then, and commands nothing.
+        // A worker that receives a higher token sends a heartbeat, at most once in half a lease. A
+        // request that arrives late is harmless: its token is no higher than the token of later
+        // heartbeat responses, and it contains no commands.
         machine->heartbeatRequested = context_.now();
         ++machine->fencingToken;
         send(*machine, {});
@@ -85,13 +87,13 @@
 void CommandSender::redirectWorker(const std::string& name) {
     auto clusterState = context_.clusterState.lock();
     const Machine* machine = clusterState->machine(name);
-    // The request carries the token with which the machine's new leader begins.
+    // The request carries the first fencing token of the machine's new leader.
     if (machine != nullptr) send(*machine, {});
 }
 
 void CommandSender::send(const Machine& machine, const std::vector<Command>& commands) {
     if (machine.address.empty() || !machine.lastHeartbeat) return;
-    send(machine.id, machine.agentEpoch, commands, OnEpochMismatch::repeat);
+    send(machine.id, machine.agentEpoch, commands, OnEpochMismatch::retry);
 }
 
 void CommandSender::send(const std::string& id, std::uint64_t agentEpoch,
@@ -111,9 +113,9 @@
         address, {"POST", protocol::wire::pathCommands, protocol::encodeCbor(body)}, commandTimeout,
         [this, id, agentEpoch, commands,
          onMismatch](const std::optional<transport::HttpResponse>& response) {
-            // The agent epoch of a machine that has just come from another leader is not known here
-            // yet. Without the repeat, stops of a job cancelled at that moment waited for its
-            // heartbeat.
+            // This node does not yet know the agent epoch of a machine that has just been
+            // transferred to it. Without the retry, stops of a job cancelled at that moment would
+            // wait for the machine's next heartbeat.
             if (!response || response->status != httpConflict ||
                 onMismatch == OnEpochMismatch::drop || commands.empty())
                 return;
--- a/src/coordination/workers/fault_attribution.cpp
+++ b/src/coordination/workers/fault_attribution.cpp
@@ -8,12 +8,14 @@
 
 using namespace std::chrono_literals;
 
+// A machine is quarantined once tasks of this many jobs have failed on it since a task last
+// succeeded there.
 constexpr std::size_t failedJobsToQuarantine = 2;
 constexpr auto quarantineDuration = 10min;
-constexpr auto pauseAfterError = 3s;
-constexpr auto firstBackoff = 2s;
+constexpr auto machinePauseAfterError = 3s;
+constexpr auto initialBackoff = 2s;
 constexpr auto maxBackoff = 60s;
-constexpr int maxDoublings = 5;
+constexpr int maxBackoffDoublings = 5;
 
 }  // namespace
 
@@ -30,25 +32,25 @@
         ++slice.failures;
     }
     if (job.crashLooping())
-        blameJob(clusterState, job, slice.partition);
+        attributeToJob(clusterState, job, slice.partition);
     else
-        blameMachine(machine, job);
+        attributeToMachine(machine, job);
 }
 
 void FaultAttribution::backOff(Job& job) {
     const auto now = context_.now();
-    // Once for each probe, not for each task that was under way.
+    // The backoff grows once per failed probe, not once for each task that was in progress.
     if (now < job.notBefore) return;
-    const auto doublings = std::min(job.failures.probes, maxDoublings);
-    job.notBefore = now + std::min<Duration>(maxBackoff, firstBackoff * (1 << doublings));
+    const auto doublings = std::min(job.failures.probes, maxBackoffDoublings);
+    job.notBefore = now + std::min<Duration>(maxBackoff, initialBackoff * (1 << doublings));
     ++job.failures.probes;
 }
 
-void FaultAttribution::blameJob(ClusterState& clusterState, Job& job, PartitionId partition) {
-    // Attributed to the machines, the failures of one such job after the other had dozens of them
-    // replaced, with all that ran there (incident inc-59fe).
+void FaultAttribution::attributeToJob(ClusterState& clusterState, Job& job, PartitionId partition) {
+    // If these failures were attributed to the machines, a series of crash-looping jobs would get
+    // dozens of machines replaced, together with all other tasks on them (incident inc-59fe).
     spdlog::info("fault_attribution: job_crash_looping job={}", job.spec.id);
-    job.notBefore = context_.now() + firstBackoff;
+    job.notBefore = context_.now() + initialBackoff;
     job.failures.machines.clear();
     job.failures.probes = 1;
     for (auto& [id, machine] : clusterState.machines) machine.failedJobs.erase(job.spec.id);
@@ -59,12 +61,12 @@
     }
 }
 
-void FaultAttribution::blameMachine(Machine& machine, const Job& job) {
+void FaultAttribution::attributeToMachine(Machine& machine, const Job& job) {
     machine.failedJobs.insert(job.spec.id);
     if (job.doneTasks() > 0 || machine.failedJobs.size() >= failedJobsToQuarantine)
         quarantine(machine);
     else
-        machine.notBefore = std::max(machine.notBefore, context_.now() + pauseAfterError);
+        machine.notBefore = std::max(machine.notBefore, context_.now() + machinePauseAfterError);
 }
 
 void FaultAttribution::quarantine(Machine& machine) {
@@ -74,7 +76,8 @@
 
 void FaultAttribution::onTaskDone(ClusterState& clusterState, Machine& machine, Job& job) {
     machine.failedJobs.clear();
-    // The job is sound: those that failed its tasks, and have done none since, are faulty.
+    // The job can succeed, so machines that have failed its tasks and completed no task since are
+    // faulty.
     for (const auto& [id, when] : job.failures.machines)
         if (Machine* other = clusterState.machine(id);
             other != nullptr && other->failedJobs.contains(job.spec.id))
@@ -84,9 +87,9 @@
 
 void FaultAttribution::onTaskRunning(Job& job, Slice& slice, const Allocation& allocation) {
     if (!job.failures.any || !job.crashLooping() || !allocation.ran) return;
-    const auto proof =
+    const auto minHealthyRun =
         job.failures.longestRun * 2 + toSteadyDuration(context_.settings.heartbeatInterval * 2);
-    if (context_.now() - *allocation.ran <= proof) return;
+    if (context_.now() - *allocation.ran <= minHealthyRun) return;
     spdlog::info("fault_attribution: job_recovered job={}", job.spec.id);
     job.failures.disproved = true;
     for (auto& other : job.slices) {
--- a/src/coordination/workers/fencing.h
+++ b/src/coordination/workers/fencing.h
@@ -1,34 +1,35 @@
 /// @file
-/// What a machine's fencing tokens prove about its worker.
+/// What the fencing tokens that a worker has seen prove about it.
 #pragma once
 
 #include "coordination/context.h"
 
 namespace fawnwheel::coordination {
 
-/// After so many answers without any effect the worker is taken not to receive them.
-constexpr int maxIneffectiveAnswers = 3;
+/// Number of responses without any effect after which the worker is assumed not to receive them.
+constexpr int maxIneffectiveResponses = 3;
 
-/// The worker has seen a fencing token of this leader: it accepts no older leader's answers.
+/// Whether the worker has seen a fencing token of this leader. Such a worker rejects the responses
+/// of earlier leaders.
 [[nodiscard]] inline bool isFenced(const Machine& machine) {
     return machine.acknowledgedToken >= machine.firstFencingToken;
 }
 
-/// The heartbeat itself shows a token of this leader. Any other may be a late copy, or from before
-/// this leader's time.
+/// Whether this heartbeat itself carries a fencing token of this leader. Any other heartbeat may be
+/// a late copy or may have been sent before this leader's term.
 [[nodiscard]] inline bool isFenced(const Machine& machine, const protocol::Heartbeat& heartbeat) {
     return heartbeat.fencingToken >= machine.firstFencingToken;
 }
 
-/// Nothing shows any more that the worker receives answers: it has to prove it by a heartbeat with
-/// this token.
+/// Discards the proof that the worker receives responses. A heartbeat that carries `expectedToken`
+/// has to prove it again.
 inline void requireAcknowledgement(Machine& machine, std::uint64_t expectedToken, SteadyTime now) {
     machine.expectedToken = expectedToken;
     machine.unacknowledgedSince = now;
     machine.unacknowledged = 0;
 }
 
-/// The heartbeat's status of the task in this attempt; null if it has none.
+/// Returns the status of this attempt at the task in the heartbeat, or null.
 [[nodiscard]] inline const protocol::TaskStatus* findStatus(const protocol::Heartbeat& heartbeat,
                                                             const storage::TaskRef& ref) {
     for (const auto& task : heartbeat.tasks)
--- a/src/coordination/workers/heartbeat_handler.h
+++ b/src/coordination/workers/heartbeat_handler.h
@@ -1,5 +1,6 @@
 /// @file
-/// Workers' heartbeats: what they prove, and the commands that they are answered with.
+/// Handles workers' heartbeats: applies them to the cluster state and chooses the commands of the
+/// response.
 #pragma once
 
 #include "coordination/workers/command_sender.h"
@@ -11,7 +12,7 @@
 
 namespace fawnwheel::coordination {
 
-/// Facade of the module: owns its parts and answers heartbeats.
+/// Facade of the module: owns its parts and responds to heartbeats.
 class HeartbeatHandler {
   public:
     HeartbeatHandler(Context& context, const Membership& membership, HeartbeatObserver& observer)
@@ -25,10 +26,11 @@
 
     [[nodiscard]] HeartbeatResponse handleHeartbeat(const protocol::Heartbeat& heartbeat);
 
-    /// This process now leads the partition: what was known of its machines must be proved anew.
+    /// Must be called when this process has become the partition's leader. Discards the observed
+    /// state of the partition's machines, which heartbeats to this process have to establish again.
     void onPartitionAcquired(PartitionId partition) { expiry_.resetPartition(partition); }
     /// See `WorkerExpiry`.
-    void expireSilent(PartitionId partition) { expiry_.expireSilent(partition); }
+    void expireSilentWorkers(PartitionId partition) { expiry_.expireSilentWorkers(partition); }
     void releaseAllocations(Machine& machine, std::string_view reason) {
         expiry_.releaseAllocations(machine, reason);
     }
--- a/src/coordination/workers/heartbeat_observer.h
+++ b/src/coordination/workers/heartbeat_observer.h
@@ -1,19 +1,19 @@
 /// @file
-/// The interface through which the handling of heartbeats reports what others have to react to.
+/// Interface through which heartbeat handling reports events to other modules.
 #pragma once
 
 #include "protocol/messages.h"
 
 namespace fawnwheel::coordination {
 
-/// Told by `HeartbeatHandler` of changes.
+/// Receives events from `HeartbeatHandler`.
 class HeartbeatObserver {
   public:
     virtual ~HeartbeatObserver() = default;
 
-    /// A heartbeat has arrived of a machine that no record has assigned to a partition yet.
+    /// A heartbeat has arrived from a machine that no record assigns to a partition yet.
     virtual void onUnassignedHeartbeat(const protocol::Heartbeat& heartbeat) = 0;
-    /// Machines or tasks have changed, so that scheduling may have something to do.
+    /// The state of machines or tasks has changed in a way that may require a scheduling round.
     virtual void onWorkersChanged() = 0;
 };
 
--- a/src/coordination/workers/heartbeat_response.h
+++ b/src/coordination/workers/heartbeat_response.h
@@ -1,16 +1,16 @@
 /// @file
-/// The answer to a worker's heartbeat.
+/// The response to a worker's heartbeat.
 #pragma once
 
 #include <string>
 
 namespace fawnwheel::coordination {
 
-/// HTTP status codes of answers to heartbeats.
+/// HTTP status codes of heartbeat responses.
 enum class HeartbeatStatus : int {
-    ok = 200,           // with commands
-    misdirected = 421,  // with the node to which the worker shall go
-    unavailable = 503,  // proves nothing to the worker, whose lease goes on running out
+    ok = 200,           // the body holds commands
+    misdirected = 421,  // the body names the node that the worker must report to
+    unavailable = 503,  // does not renew the worker's lease
 };
 
 /// Status and body of the HTTP response.
--- a/src/coordination/workers/heartbeat_validator.cpp
+++ b/src/coordination/workers/heartbeat_validator.cpp
@@ -12,29 +12,29 @@
 
 }  // namespace
 
-HeartbeatResponse HeartbeatValidator::redirectTo(const ClusterState& clusterState,
-                                                 const std::string& leader) const {
+HeartbeatResponse HeartbeatValidator::redirectToLeader(const ClusterState& clusterState,
+                                                       const std::string& leader) const {
     if (leader == context_.settings.name || !clusterState.nodes.contains(leader))
         return unavailable();
     return {HeartbeatStatus::misdirected, protocol::encodeCbor(protocol::encodeRedirect(leader))};
 }
 
-HeartbeatResponse HeartbeatValidator::answerUnknown(ClusterState& clusterState,
-                                                    const protocol::Heartbeat& heartbeat) {
+HeartbeatResponse HeartbeatValidator::respondToUnknownMachine(
+    ClusterState& clusterState, const protocol::Heartbeat& heartbeat) {
     const auto partition = context_.defaultPartition(heartbeat.zone, heartbeat.machine);
     const auto& leader = clusterState.partitions[partition].leader;
-    if (!membership_.isLeader(partition)) return redirectTo(clusterState, leader);
+    if (!membership_.isLeader(partition)) return redirectToLeader(clusterState, leader);
     observer_.onUnassignedHeartbeat(heartbeat);
     return unavailable();
 }
 
 std::optional<HeartbeatResponse> HeartbeatValidator::validate(
     ClusterState& clusterState, Machine* machine, const protocol::Heartbeat& heartbeat) {
-    if (machine == nullptr) return answerUnknown(clusterState, heartbeat);
+    if (machine == nullptr) return respondToUnknownMachine(clusterState, heartbeat);
     const auto& leader = clusterState.partitions[machine->partition].leader;
-    if (leader != context_.settings.name) return redirectTo(clusterState, leader);
+    if (leader != context_.settings.name) return redirectToLeader(clusterState, leader);
     if (machine->departedTo)
-        return redirectTo(clusterState, clusterState.partitions[*machine->departedTo].leader);
+        return redirectToLeader(clusterState, clusterState.partitions[*machine->departedTo].leader);
     if (!membership_.isLeader(machine->partition) ||
         !membership_.canAnswerWorkers(machine->partition))
         return unavailable();
@@ -46,10 +46,11 @@
                                       const protocol::Heartbeat& heartbeat) const {
     refreshToken(machine);
     if (heartbeat.fencingToken <= machine.fencingToken) return true;
-    // An earlier leader of the machine had a later term. While this node's lease is valid nobody
-    // else leads its partition, so that this leader may go beyond that token. While the machine
-    // changes hands its token stands still: raised to the one with which its next leader begins,
-    // two leaders once answered the worker with the same token (rebalancing_troubles).
+    // The worker has seen a higher token of an earlier leader, which had a later term. While this
+    // node's lease is valid no other node leads the partition, so this leader may continue above
+    // that token. The token must not change while the machine is being transferred: raised to the
+    // first token of the next leader, it would let two leaders respond to the worker with the same
+    // token (scenario rebalancing_troubles).
     if (!membership_.isLeaseValid() || machine.transferring) return false;
     machine.firstFencingToken = machine.fencingToken = heartbeat.fencingToken + 1;
     requireAcknowledgement(machine, machine.fencingToken, context_.now());
@@ -67,9 +68,10 @@
 bool HeartbeatValidator::isStale(const Machine& machine,
                                  const protocol::Heartbeat& heartbeat) const {
     if (context_.now() < machine.unansweredUntil) return true;
-    // The lease ran out: what was held back on the way speaks of tasks that are gone.
+    // The worker's lease in this epoch has expired. A delayed heartbeat of that epoch reports tasks
+    // that have ended.
     if (heartbeat.agentEpoch <= machine.expiredAgentEpoch) return true;
-    // A repeat or a late copy proves nothing new, and its sender waits no more.
+    // A repeated or delayed copy proves nothing new, and its sender no longer waits for a response.
     return machine.lastHeartbeat && std::pair(heartbeat.agentEpoch, heartbeat.sequence) <=
                                         std::pair(machine.agentEpoch, machine.sequence);
 }
--- a/src/coordination/workers/machine_status_applier.cpp
+++ b/src/coordination/workers/machine_status_applier.cpp
@@ -11,17 +11,17 @@
 
 void MachineStatusApplier::apply(ClusterState& clusterState, Machine& machine,
                                  const protocol::Heartbeat& heartbeat) {
-    recordContact(machine, heartbeat);
+    recordHeartbeat(machine, heartbeat);
     if (heartbeat.interruptionNotice && !machine.interruptionAt)
         applyInterruptionNotice(clusterState, machine, *heartbeat.interruptionNotice);
     applyAcknowledgement(machine, heartbeat);
-    // Once the worker has seen a token of this leader, it accepts no older leader's answers any
-    // more, and it has one heartbeat in flight at a time: what this heartbeat lacks is not on the
-    // machine and can only come to it by an answer of this leader from now on.
-    if (isFenced(machine, heartbeat)) removeMissing(clusterState, machine, heartbeat);
+    // A worker that has seen a token of this leader rejects the responses of earlier leaders, and
+    // it has one heartbeat in flight at a time. So a task that is not in this heartbeat is not on
+    // the machine, and only a later response of this leader can start it.
+    if (isFenced(machine, heartbeat)) removeMissingAllocations(clusterState, machine, heartbeat);
 }
 
-void MachineStatusApplier::recordContact(Machine& machine, const protocol::Heartbeat& heartbeat) {
+void MachineStatusApplier::recordHeartbeat(Machine& machine, const protocol::Heartbeat& heartbeat) {
     const auto now = context_.now();
     if (!machine.lastHeartbeat) {
         spdlog::debug("heartbeat: first_heartbeat machine={} partition={}", machine.id,
@@ -43,7 +43,7 @@
     spdlog::info("heartbeat: interruption_notice machine={} seconds={:.1f}", machine.id,
                  notice.count());
     machine.interruptionAt = context_.now() + toSteadyDuration(notice);
-    // The time left may be half as long as the notice says: checkpoint at once.
+    // The machine may be reclaimed after half of the announced time, so checkpoint at once.
     for (const auto& ref : machine.allocations) {
         const auto [job, slice, allocation] = clusterState.findAllocation(ref);
         if (allocation == nullptr) continue;
@@ -61,11 +61,12 @@
         machine.unacknowledged = 0;
         return;
     }
-    if (++machine.unacknowledged < maxIneffectiveAnswers || machine.allocations.empty() ||
+    if (++machine.unacknowledged < maxIneffectiveResponses || machine.allocations.empty() ||
         isFenced(machine, heartbeat))
         return;
-    // Its heartbeats arrive, or late copies of them, but no answer reaches it, and without a token
-    // of this leader they prove no end of a task. Unanswered from here on, its lease runs out.
+    // The worker's heartbeats, or late copies of them, arrive, but it receives no responses.
+    // Without a token of this leader its heartbeats cannot prove that a task has ended. From now on
+    // they are not answered, so that the worker's lease expires.
     spdlog::info("heartbeat: lease_abandoned machine={} reason=\"answers not received\"",
                  machine.id);
     machine.unansweredUntil = context_.now() + maxWorkerLease(context_) + workerLeaseMargin;
@@ -77,17 +78,17 @@
            !machine.decommissioned;
 }
 
-void MachineStatusApplier::removeMissing(ClusterState& clusterState, Machine& machine,
-                                         const protocol::Heartbeat& heartbeat) {
+void MachineStatusApplier::removeMissingAllocations(ClusterState& clusterState, Machine& machine,
+                                                    const protocol::Heartbeat& heartbeat) {
     const auto allocations = machine.allocations;
     for (const auto& ref : allocations) {
         if (findStatus(heartbeat, ref) != nullptr) continue;
         const auto [job, slice, allocation] = clusterState.findAllocation(ref);
         if (allocation == nullptr || !allocation->durable) continue;
-        // Starts that don't arrive would keep the allocation waiting for ever; what this heartbeat
-        // lacks no earlier answer can start any more.
+        // Starts that never arrive would keep the allocation waiting forever. No response sent
+        // before this heartbeat can still start a task that is not in it.
         if (isStartPending(clusterState, machine, *job, *allocation)) {
-            if (allocation->startsSent < maxIneffectiveAnswers || machine.transferring) continue;
+            if (allocation->startsSent < maxIneffectiveResponses || machine.transferring) continue;
             if (machine.acknowledged()) {
                 spdlog::info(
                     "heartbeat: tasks_reassigned machine={} reason=\"starts not received\"",
--- a/src/coordination/workers/machine_status_applier.h
+++ b/src/coordination/workers/machine_status_applier.h
@@ -1,5 +1,5 @@
 /// @file
-/// Takes in what a valid heartbeat says of its machine.
+/// Applies the machine-level content of a valid heartbeat.
 #pragma once
 
 #include "coordination/context.h"
@@ -7,8 +7,8 @@
 
 namespace fawnwheel::coordination {
 
-/// Updates a machine by a heartbeat: address, interruption notices, acknowledgement of this
-/// leader's answers, and allocations that are surely not on the machine.
+/// Updates a machine from a heartbeat: address, interruption notice, acknowledgement of this
+/// leader's responses. Removes allocations whose tasks are proven not to be on the machine.
 class MachineStatusApplier {
   public:
     MachineStatusApplier(Context& context, HeartbeatObserver& observer)
@@ -17,12 +17,12 @@
     void apply(ClusterState& clusterState, Machine& machine, const protocol::Heartbeat& heartbeat);
 
   private:
-    void recordContact(Machine& machine, const protocol::Heartbeat& heartbeat);
+    void recordHeartbeat(Machine& machine, const protocol::Heartbeat& heartbeat);
     void applyInterruptionNotice(ClusterState& clusterState, Machine& machine, Seconds notice);
     void applyAcknowledgement(Machine& machine, const protocol::Heartbeat& heartbeat) const;
-    void removeMissing(ClusterState& clusterState, Machine& machine,
-                       const protocol::Heartbeat& heartbeat);
-    /// A start may still bring the task to the machine.
+    void removeMissingAllocations(ClusterState& clusterState, Machine& machine,
+                                  const protocol::Heartbeat& heartbeat);
+    /// Whether the task is still waiting for its start to take effect.
     [[nodiscard]] bool isStartPending(const ClusterState& clusterState, const Machine& machine,
                                       const Job& job, const Allocation& allocation) const;
 
--- a/src/coordination/workers/start_policy.cpp
+++ b/src/coordination/workers/start_policy.cpp
@@ -8,13 +8,15 @@
 
 using protocol::CommandKind;
 
-// Times what a task of a gang waits for the others.
-constexpr double maxGangWaits = 4;
+// A gang's task may wait again until its allocation reaches this age, as a multiple of the time for
+// which a task waits for the rest of its gang.
+constexpr double maxGangWaitFactor = 4;
 
 }  // namespace
 
 bool StartPolicy::mayStartOn(const Machine& machine) const {
-    // Without the state service a start would rest on records that may have changed.
+    // Without a valid lease with the state service, the records that a start depends on may have
+    // changed.
     return membership_.isLeaseValid() && !machine.decommissioned && !machine.interruptionAt &&
            isFenced(machine);
 }
@@ -25,7 +27,7 @@
         !clusterState.startable(job))
         return false;
     if (job.spec.kind != protocol::JobKind::gang) return true;
-    // A gang is started only when every task has its durable allocation.
+    // A gang starts only when each of its tasks has a durable allocation.
     std::size_t allocated = 0;
     for (const auto& slice : job.slices)
         for (const auto& other : slice.allocations)
@@ -47,11 +49,11 @@
     }
 }
 
-bool StartPolicy::mayKeepWaiting(const ClusterState& clusterState, const Machine& machine,
-                                 const Job& job, const Allocation& allocation) const {
+bool StartPolicy::mayExtendGangWait(const ClusterState& clusterState, const Machine& machine,
+                                    const Job& job, const Allocation& allocation) const {
     if (!mayStartOn(machine) || !isStartable(clusterState, job, allocation) ||
         context_.now() - allocation.made >
-            toSteadyDuration(context_.settings.gangWait * maxGangWaits))
+            toSteadyDuration(context_.settings.gangWait * maxGangWaitFactor))
         return false;
     return std::all_of(job.slices.begin(), job.slices.end(), [](const Slice& slice) {
         return std::none_of(slice.allocations.begin(), slice.allocations.end(),
--- a/src/coordination/workers/start_policy.h
+++ b/src/coordination/workers/start_policy.h
@@ -1,12 +1,12 @@
 /// @file
-/// Which allocated tasks may be started on a machine, by the answer to its heartbeat.
+/// Decides which allocated tasks may be started by the response to a heartbeat.
 #pragma once
 
 #include "coordination/membership/membership.h"
 
 namespace fawnwheel::coordination {
 
-/// Chooses the start commands of an answer to a heartbeat.
+/// Chooses the start commands of a heartbeat response.
 class StartPolicy {
   public:
     StartPolicy(const Context& context, const Membership& membership)
@@ -17,10 +17,10 @@
     void addStarts(ClusterState& clusterState, const Machine& machine,
                    const protocol::Heartbeat& heartbeat,
                    std::vector<protocol::Command>& commands) const;
-    /// A gang's task has waited for the others in vain and may do so once more, since all of them
-    /// have their allocations and none has run.
-    [[nodiscard]] bool mayKeepWaiting(const ClusterState& clusterState, const Machine& machine,
-                                      const Job& job, const Allocation& allocation) const;
+    /// Whether a gang's task that has timed out waiting for the others may wait again: all tasks of
+    /// the gang have durable allocations, none has run, and the allocation is not too old.
+    [[nodiscard]] bool mayExtendGangWait(const ClusterState& clusterState, const Machine& machine,
+                                         const Job& job, const Allocation& allocation) const;
 
   private:
     [[nodiscard]] bool mayStartOn(const Machine& machine) const;
--- a/src/coordination/workers/task_status_applier.cpp
+++ b/src/coordination/workers/task_status_applier.cpp
@@ -14,9 +14,9 @@
 using protocol::ExitCause;
 using protocol::TaskState;
 
-constexpr auto pauseAfterRefusal = 3s;  // a machine without capacity, or that knew no such job
+constexpr auto pauseAfterRefusal = 3s;  // after a worker had no capacity or did not know the job
 
-Command commandFor(CommandKind kind, const protocol::TaskStatus& task, Seconds grace = {}) {
+Command makeCommand(CommandKind kind, const protocol::TaskStatus& task, Seconds grace = {}) {
     return {kind, task.job, task.index, task.attempt, grace};
 }
 
@@ -34,43 +34,43 @@
     allocation->state = task.state;
     if (task.state == TaskState::exited) {
         if (task.cause != ExitCause::alone ||
-            !startPolicy_.mayKeepWaiting(clusterState, machine, *job, *allocation))
+            !startPolicy_.mayExtendGangWait(clusterState, machine, *job, *allocation))
             return applyExit(clusterState, machine, *job, *slice, *allocation, task);
-        // The others still fetch. The allocation stands, and under the same attempt the task waits
-        // on there: whole gangs lost their allocations because one machine fetched longer than they
-        // may wait.
+        // Other tasks of the gang are still fetching. The allocation is kept and the task waits
+        // again in the same attempt. Otherwise the whole gang would lose its allocations because
+        // one machine fetches for longer than the other tasks may wait.
         spdlog::debug("heartbeat: gang_task_keeps_waiting task={}/{} machine={}", task.job,
                       task.index, machine.id);
         allocation->state = TaskState::fetching;
-        commands.push_back(commandFor(CommandKind::forget, task));
-        commands.push_back(commandFor(CommandKind::start, task));
+        commands.push_back(makeCommand(CommandKind::forget, task));
+        commands.push_back(makeCommand(CommandKind::start, task));
         return;
     }
     applyProgress(clusterState, machine, *job, *slice, *allocation, task);
     if (clusterState.knownCancelled(*job) || machine.decommissioned)
-        commands.push_back(commandFor(CommandKind::stop, task));
+        commands.push_back(makeCommand(CommandKind::stop, task));
     else if (allocation->stopGrace && task.state != TaskState::saving)
-        commands.push_back(commandFor(CommandKind::stop, task, *allocation->stopGrace));
+        commands.push_back(makeCommand(CommandKind::stop, task, *allocation->stopGrace));
 }
 
 void TaskStatusApplier::applyUnallocated(ClusterState& clusterState, Machine& machine, Job* job,
                                          Slice* slice, const protocol::TaskStatus& task,
                                          std::vector<Command>& commands) {
-    // Forgetting lets a repeated start run the task once more; no start of this leader can follow,
-    // since the allocation is gone, durably.
+    // After the worker has forgotten the task, a repeated start would run it again. This leader
+    // sends no such start, because the removal of the allocation is durable.
     if (task.state == TaskState::exited) {
         if (slice == nullptr || slice->partition != machine.partition || !slice->dirty)
-            commands.push_back(commandFor(CommandKind::forget, task));
+            commands.push_back(makeCommand(CommandKind::forget, task));
         return;
     }
-    // A late copy of a heartbeat, or one from before this leader's time, shows what may be over by
-    // now.
+    // A late copy of a heartbeat, or a heartbeat sent before this leader's term, may show a task
+    // that has since ended.
     const bool cancelled = job != nullptr && clusterState.knownCancelled(*job);
     if (!isFenced(machine) && !cancelled) return;
     if (isAdoptable(clusterState, machine, job, slice, task))
         adopt(clusterState, machine, *job, *slice, task);
     else
-        commands.push_back(commandFor(CommandKind::stop, task));
+        commands.push_back(makeCommand(CommandKind::stop, task));
 }
 
 bool TaskStatusApplier::isAdoptable(const ClusterState& clusterState, const Machine& machine,
@@ -85,14 +85,14 @@
 void TaskStatusApplier::adopt(ClusterState& clusterState, const Machine& machine, Job& job,
                               Slice& slice, const protocol::TaskStatus& task) {
     spdlog::info("heartbeat: task_adopted task={}/{} machine={}", task.job, task.index, machine.id);
-    Allocation found;
-    found.task = task.index;
-    found.machine = machine.id;
-    found.attempt = task.attempt;
-    found.seen = true;
-    found.state = task.state;
-    found.made = context_.now();
-    clusterState.addAllocation(job, slice, std::move(found));
+    Allocation adopted;
+    adopted.task = task.index;
+    adopted.machine = machine.id;
+    adopted.attempt = task.attempt;
+    adopted.seen = true;
+    adopted.state = task.state;
+    adopted.made = context_.now();
+    clusterState.addAllocation(job, slice, std::move(adopted));
     observer_.onWorkersChanged();
 }
 
@@ -113,8 +113,7 @@
 void TaskStatusApplier::applyExit(ClusterState& clusterState, Machine& machine, Job& job,
                                   Slice& slice, const Allocation& allocation,
                                   const protocol::TaskStatus& task) {
-    if (!allocation.durable)
-        return;  // its record is being written; the next heartbeat will say it again
+    if (!allocation.durable) return;  // not recorded yet; the next heartbeat reports the exit again
     spdlog::debug("heartbeat: task_exited task={}/{} machine={} cause={}", task.job, task.index,
                   machine.id, static_cast<int>(task.cause));
     applyExitCause(clusterState, machine, job, slice, allocation, task);
@@ -154,7 +153,8 @@
     // The tasks of a gang complete together.
     for (auto& other : job.slices) {
         other.touch();
-        for (auto t = other.first; t < other.first + other.done.size(); ++t) other.markDone(t);
+        for (auto otherTask = other.first; otherTask < other.first + other.done.size(); ++otherTask)
+            other.markDone(otherTask);
     }
 }
 
--- a/src/coordination/workers/task_status_applier.h
+++ b/src/coordination/workers/task_status_applier.h
@@ -1,5 +1,5 @@
 /// @file
-/// Takes in what a valid heartbeat says of each task, and chooses the answer to it.
+/// Applies the task statuses of a valid heartbeat and chooses the commands that respond to them.
 #pragma once
 
 #include "coordination/workers/fault_attribution.h"
@@ -8,8 +8,9 @@
 
 namespace fawnwheel::coordination {
 
-/// Applies the task statuses of a heartbeat to the allocations, and adds the commands that a
-/// status calls for: stops, and permission to forget a task that has ended.
+/// Applies the task statuses of a heartbeat to the allocations, and adds the commands that a status
+/// requires: stops, and permission to forget a task that has ended. A gang's task may also be
+/// started again to extend its wait.
 class TaskStatusApplier {
   public:
     TaskStatusApplier(Context& context, const StartPolicy& startPolicy, HeartbeatObserver& observer)
@@ -22,12 +23,13 @@
                std::vector<protocol::Command>& commands);
 
   private:
-    /// The task has no allocation on this machine in this attempt. `job` and `slice` are null if
-    /// they are unknown.
+    /// Handles a task without an allocation on this machine in this attempt. `job` and `slice` are
+    /// null if this node does not know them.
     void applyUnallocated(ClusterState& clusterState, Machine& machine, Job* job, Slice* slice,
                           const protocol::TaskStatus& task,
                           std::vector<protocol::Command>& commands);
-    /// The task may get an allocation where it runs, since it has none anywhere and is to be done.
+    /// Whether the running task may get an allocation on its machine: it has none on any machine,
+    /// still has to be done, and is not part of a gang.
     [[nodiscard]] static bool isAdoptable(const ClusterState& clusterState, const Machine& machine,
                                           Job* job, const Slice* slice,
                                           const protocol::TaskStatus& task);
--- a/src/coordination/workers/worker_expiry.cpp
+++ b/src/coordination/workers/worker_expiry.cpp
@@ -40,41 +40,45 @@
 
 bool WorkerExpiry::isTransferConfirmed(const ClusterState& clusterState,
                                        const Machine& machine) const {
-    // Until the node that transferred the machine knows the outcome of its own transaction, it goes
-    // on renewing the worker's lease, also through an outage of the state service. Counted from
-    // when the change was seen here, the lease once would have seemed to end in such an outage.
+    // The node that transferred the machine keeps renewing the worker's lease until it knows the
+    // outcome of its own transaction, even during an outage of the state service. If the lease were
+    // counted from the time at which this node saw the transfer, it would seem to expire during
+    // such an outage although it is still renewed.
     return machine.transferredBy.empty() || machine.transferredBy == context_.settings.name ||
            !clusterState.nodes.contains(machine.transferredBy) ||
            membership_.appliedRevisionOf(machine.transferredBy) >= machine.version;
 }
 
-void WorkerExpiry::expireSilent(PartitionId partition) {
+void WorkerExpiry::expireSilentWorkers(PartitionId partition) {
     const auto now = context_.now();
     const auto maxLease = maxWorkerLease(context_);
     auto clusterState = context_.clusterState.lock();
     for (auto* machine : clusterState->machinesOf(partition)) {
-        // `silentSince` is the last moment at which anybody entitled could have renewed its lease.
+        // `silentSince` is the last time at which an entitled leader could have renewed the lease.
         if (!machine->allocations.empty() && !isTransferConfirmed(*clusterState, *machine))
             machine->silentSince = now + outageConfirmationValidity;
         if (machine->allocations.empty() || now - machine->silentSince <= maxLease) continue;
         releaseAllocations(*machine, "lease expired");
         machine->expiredAgentEpoch = machine->agentEpoch;
     }
-    releaseWithoutMachine(*clusterState, partition);
+    releaseAllocationsWithoutMachine(*clusterState, partition);
 }
 
-void WorkerExpiry::releaseWithoutMachine(ClusterState& clusterState, PartitionId partition) {
-    // A machine's record is deleted only after proof that the machine is gone; a leader that ended
-    // between that and recording the end of its allocations leaves them without a machine.
+void WorkerExpiry::releaseAllocationsWithoutMachine(ClusterState& clusterState,
+                                                    PartitionId partition) {
+    // A machine's record is deleted only after proof that the machine no longer exists. If a leader
+    // fails after the deletion but before it records the release of the machine's allocations,
+    // these allocations refer to a machine without a record.
     for (auto& [id, job] : clusterState.jobs) {
         for (auto& slice : job.slices) {
             if (slice.partition != partition) continue;
-            std::vector<std::uint32_t> lost;
+            std::vector<std::uint32_t> tasksWithoutMachine;
             for (const auto& allocation : slice.allocations)
                 if (allocation.durable && clusterState.machine(allocation.machine) == nullptr &&
                     !clusterState.corruptMachines.contains(allocation.machine))
-                    lost.push_back(allocation.task);
-            for (const auto task : lost) clusterState.removeAllocation(job, slice, task);
+                    tasksWithoutMachine.push_back(allocation.task);
+            for (const auto task : tasksWithoutMachine)
+                clusterState.removeAllocation(job, slice, task);
         }
     }
 }
--- a/src/coordination/workers/worker_expiry.h
+++ b/src/coordination/workers/worker_expiry.h
@@ -1,5 +1,6 @@
 /// @file
-/// When tasks are surely gone without a heartbeat that says so: silent workers and lost machines.
+/// Releases allocations without a heartbeat that reports their end: those of expired workers and of
+/// lost machines.
 #pragma once
 
 #include "coordination/membership/membership.h"
@@ -7,27 +8,29 @@
 
 namespace fawnwheel::coordination {
 
-/// Releases the allocations of workers whose leases have run out and of machines that are gone.
+/// Releases the allocations of workers whose leases have expired and of machines that no longer
+/// exist.
 class WorkerExpiry {
   public:
     WorkerExpiry(Context& context, const Membership& membership, HeartbeatObserver& observer)
         : context_(context), membership_(membership), observer_(observer) {}
 
-    /// Discards what was known of the partition's machines: each has to prove it anew by a
-    /// heartbeat to this process, whose leases are counted from now on.
+    /// Discards the observed state of the partition's machines. Each machine has to send a
+    /// heartbeat to this process again, and its lease is counted from now on.
     void resetPartition(PartitionId partition);
     /// Releases the allocations of the partition's machines that have been silent for longer than
     /// their leases, and those of machines without a record.
-    void expireSilent(PartitionId partition);
-    /// Releases all allocations of a machine that is surely gone; `reason` is for the log.
+    void expireSilentWorkers(PartitionId partition);
+    /// Releases all durable allocations of a machine whose tasks are certain to have ended.
+    /// `reason` is written to the log.
     void releaseAllocations(Machine& machine, std::string_view reason);
 
   private:
-    /// The node that transferred the machine to this one with its tasks knows that it has done so,
-    /// and no longer renews the worker's lease.
+    /// Whether the node that transferred the machine with its tasks to this one knows that the
+    /// transfer succeeded, and so no longer renews the worker's lease.
     [[nodiscard]] bool isTransferConfirmed(const ClusterState& clusterState,
                                            const Machine& machine) const;
-    static void releaseWithoutMachine(ClusterState& clusterState, PartitionId partition);
+    static void releaseAllocationsWithoutMachine(ClusterState& clusterState, PartitionId partition);
 
     Context& context_;
     const Membership& membership_;
--- a/tests/unit/coordination/api/admission_test.cpp
+++ b/tests/unit/coordination/api/admission_test.cpp
@@ -1,4 +1,5 @@
-// What users are answered when they submit jobs that need others.
+// Responses to the submission of jobs with dependencies. A wrong response would accept a job that
+// can never start, or reject one that can.
 #include <gtest/gtest.h>
 
 #include "protocol/names.h"
@@ -10,14 +11,14 @@
 namespace wire = protocol::wire;
 using protocol::Json;
 
-struct Answer {
+struct Response {
     int status = -1;
     std::string state;
 };
 
-class Submission : public ::testing::Test {
+class SubmissionWithDependencies : public ::testing::Test {
   protected:
-    Submission() : world(smallWorld()) {
+    SubmissionWithDependencies() : world(smallWorld()) {
         for (int i = 0; i < 4; ++i) world.addMachine("small", "a", false);
         for (const auto& [id, runs] :
              {std::pair("run-done", 3.0), {"run-called-off", 300.0}, {"run-live", 300.0}})
@@ -34,76 +35,86 @@
         world.run(Time(40));
     }
 
-    static Json bodyAfter(const std::string& id, const Json& dependencies) {
+    static Json bodyWithDependencies(const std::string& id, const Json& dependencies) {
         auto body = protocol::encodeJobSpec(smallJob(id));
         body[wire::dependencies] = dependencies;
         return body;
     }
-    Answer post(const Json& body) {
-        Answer answer;
-        // Known to the world, so that its workers run it.
-        world.at(world.now(), [this, &answer, body] {
-            world.post(body, [&answer](int status, const std::string& state) {
-                answer = {status, state};
+    Response post(const Json& body) {
+        Response response;
+        // Posted from within the simulation, as a user of the cluster does.
+        world.at(world.now(), [this, &response, body] {
+            world.post(body, [&response](int status, const std::string& state) {
+                response = {status, state};
             });
         });
         world.run(world.now() + Time(6));
-        return answer;
+        return response;
     }
-    Answer postAfter(const std::string& id, const Json& dependencies) {
-        return post(bodyAfter(id, dependencies));
+    Response postWithDependencies(const std::string& id, const Json& dependencies) {
+        return post(bodyWithDependencies(id, dependencies));
     }
 
     World world;
 };
 
-TEST_F(Submission, WithoutDependenciesNothingChanges) {
-    EXPECT_EQ(postAfter("run-1", nullptr).status, 201);
-    EXPECT_EQ(postAfter("run-2", Json::array()).status, 201);
+TEST_F(SubmissionWithDependencies, AcceptsJobsWithoutDependencies) {
+    EXPECT_EQ(postWithDependencies("run-1", nullptr).status, 201);
+    EXPECT_EQ(postWithDependencies("run-2", Json::array()).status, 201);
 }
 
-TEST_F(Submission, MalformedDependenciesAreRefused) {
-    EXPECT_EQ(postAfter("run-1", "run-live").status, 400);
-    EXPECT_EQ(postAfter("run-1", Json::array({7})).status, 400);
-    EXPECT_EQ(postAfter("run-1", Json::array({"no id"})).status, 400);
-    EXPECT_EQ(postAfter("run-1", Json::array({"run-live", nullptr})).status, 400);
-    EXPECT_EQ(postAfter("run-1", Json::array({"run-1"})).status, 400);
-    EXPECT_EQ(postAfter("run-1", Json::object()).status, 400);
+TEST_F(SubmissionWithDependencies, RejectsMalformedDependencies) {
+    EXPECT_EQ(postWithDependencies("run-1", "run-live").status, 400);
+    EXPECT_EQ(postWithDependencies("run-1", Json::array({7})).status, 400);
+    EXPECT_EQ(postWithDependencies("run-1", Json::array({"no id"})).status, 400);
+    EXPECT_EQ(postWithDependencies("run-1", Json::array({"run-live", nullptr})).status, 400);
+    EXPECT_EQ(postWithDependencies("run-1", Json::array({"run-1"})).status, 400);
+    EXPECT_EQ(postWithDependencies("run-1", Json::object()).status, 400);
 }
 
-TEST_F(Submission, MoreThanARecordHoldsIsRefused) {
-    Json many = Json::array();
-    for (int i = 0; i < 60; ++i) many.push_back("run-" + std::to_string(i));
-    EXPECT_EQ(postAfter("run-1", many).status, 400);
-    Json same = Json::array();
-    for (int i = 0; i < 60; ++i) same.push_back("run-live");
-    EXPECT_EQ(postAfter("run-2", same).status, 201);
+// Each dependency needs a compare in the transaction that creates the job, and the list has to fit
+// into its record. Repetitions of one dependency count once.
+TEST_F(SubmissionWithDependencies, RejectsMoreDependenciesThanARecordHolds) {
+    Json distinct = Json::array();
+    for (int i = 0; i < 60; ++i) distinct.push_back("run-" + std::to_string(i));
+    EXPECT_EQ(postWithDependencies("run-1", distinct).status, 400);
+    Json repeated = Json::array();
+    for (int i = 0; i < 60; ++i) repeated.push_back("run-live");
+    EXPECT_EQ(postWithDependencies("run-2", repeated).status, 201);
 }
 
-TEST_F(Submission, JobsThatWereNeverAcceptedAndServicesCanNotBeNamed) {
-    EXPECT_EQ(postAfter("run-1", {"run-live", "run-unheard-of"}).status, 422);
-    EXPECT_EQ(postAfter("run-1", {"run-service"}).status, 422);
+// A job that depends on an unknown job or on a service, which never ends, could never start.
+TEST_F(SubmissionWithDependencies, RejectsDependenciesOnUnknownJobsAndServices) {
+    EXPECT_EQ(postWithDependencies("run-1", {"run-live", "run-unheard-of"}).status, 422);
+    EXPECT_EQ(postWithDependencies("run-1", {"run-service"}).status, 422);
 }
 
-TEST_F(Submission, JobsInAnyStateCanBeNamed) {
-    EXPECT_EQ(postAfter("run-1", {"run-live", "run-done"}).status, 201);
-    EXPECT_EQ(postAfter("run-1", {"run-live", "run-done"}).status, 200);
-    EXPECT_EQ(postAfter("run-2", {"run-done"}).status, 201);
-    const auto cancelled = postAfter("run-3", {"run-done", "run-called-off"});
+// Dependencies may be active, done or cancelled. A job with a cancelled dependency is accepted and
+// is itself cancelled at once, and so are jobs that depend on it.
+TEST_F(SubmissionWithDependencies, AcceptsDependenciesOnJobsInAnyState) {
+    EXPECT_EQ(postWithDependencies("run-1", {"run-live", "run-done"}).status, 201);
+    EXPECT_EQ(postWithDependencies("run-1", {"run-live", "run-done"}).status, 200);
+    EXPECT_EQ(postWithDependencies("run-2", {"run-done"}).status, 201);
+    const auto cancelled = postWithDependencies("run-3", {"run-done", "run-called-off"});
     EXPECT_EQ(cancelled.status, 201);
     EXPECT_EQ(cancelled.state, "cancelled");
-    EXPECT_EQ(postAfter("run-3", {"run-done", "run-called-off"}).state, "cancelled");
-    EXPECT_EQ(postAfter("run-4", {"run-3"}).state, "cancelled");
+    EXPECT_EQ(postWithDependencies("run-3", {"run-done", "run-called-off"}).state, "cancelled");
+    EXPECT_EQ(postWithDependencies("run-4", {"run-3"}).state, "cancelled");
 }
 
-TEST_F(Submission, InAnOutageNothingIsDecided) {
+// Without the state service a node cannot tell an unknown job from one that it has not seen yet,
+// so the submission has to be retried.
+TEST_F(SubmissionWithDependencies, AnswersUnavailableDuringAStateServiceOutage) {
     world.at(world.now(), [this] { world.stateOutage(Time(30)); });
     world.run(world.now() + Time(5));
-    EXPECT_EQ(postAfter("run-1", {"run-unheard-of"}).status, 503);
-    EXPECT_EQ(postAfter("run-1", {"run-live"}).status, 503);
+    EXPECT_EQ(postWithDependencies("run-1", {"run-unheard-of"}).status, 503);
+    EXPECT_EQ(postWithDependencies("run-1", {"run-live"}).status, 503);
 }
 
-TEST(SubmissionWhileUpgrading, WaitsForTheLastNode) {
+// Nodes of the previous version do not know dependencies and would start a dependent job too early.
+// So dependencies are accepted only once every node has been upgraded; a restart of the last old
+// node changes nothing.
+TEST(SubmissionDuringUpgrade, AnswersUnavailableUntilAllNodesAreUpgraded) {
     WorldSpec spec;
     spec.oldVersion = true;
     TypeSpec type;
@@ -120,7 +131,7 @@
     auto body = protocol::encodeJobSpec(first);
     body[wire::id] = "run-next";
     body[wire::dependencies] = {"run-first"};
-    std::map<int, int> statuses;  // by second
+    std::map<int, int> statuses;  // by second of the request
     const auto postAt = [&](int second) {
         world.at(Time(second), [&world, &statuses, body, second] {
             world.post(body, [&statuses, second](int status, const std::string&) {
--- a/tests/unit/coordination/workers/fault_attribution_test.cpp
+++ b/tests/unit/coordination/workers/fault_attribution_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Crash-looping jobs told apart from faulty machines, and what the records keep of it.
+/// How a job's failures make it count as crash-looping, and how they are stored in the records.
 #include <gtest/gtest.h>
 
 #include "storage/records.h"
@@ -26,31 +26,41 @@
     Job job;
 };
 
-TEST_F(FailingJob, TwoFaultyMachinesDoNotBlameTheJob) {
+// Guards against holding a healthy job back because two machines are faulty: only failures on three
+// machines make a job count as crash-looping.
+TEST_F(FailingJob, FailuresOnTwoMachinesAreNotAttributedToTheJob) {
     job.slices[0].failures = 2;
     EXPECT_FALSE(job.crashLooping());
 }
 
-TEST_F(FailingJob, SlicesOfSeveralLeadersCountTogether) {
+// A job's slices can have different leaders, each of which sees only some of the failures. Guards
+// against a crash-looping job that no leader recognises.
+TEST_F(FailingJob, FailuresInAllSlicesAreAddedUp) {
     job.slices[0].failures = 2;
     job.slices[1].failures = 1;
     EXPECT_TRUE(job.crashLooping());
 }
 
-TEST_F(FailingJob, ATaskThatIsDoneClearsTheJob) {
+// Guards against holding back a job that can succeed: its further failures count against the
+// machines.
+TEST_F(FailingJob, IsNotCrashLoopingOnceATaskIsDone) {
     job.slices[0].failures = 5;
     job.slices[1].markDone(6);
     EXPECT_FALSE(job.crashLooping());
 }
 
-TEST_F(FailingJob, IsNotSchedulableButMayBeStarted) {
+// A crash-looping job gets no new capacity, but a task that already has its allocation (such as a
+// probe) must still be started.
+TEST_F(FailingJob, IsStartableButNotSchedulableWhenCrashLooping) {
     job.slices[0].failures = 3;
     const ClusterState clusterState;
     EXPECT_FALSE(clusterState.schedulable(job));
     EXPECT_TRUE(clusterState.startable(job));
 }
 
-TEST_F(FailingJob, AvoidsAMachineForAWhileOnly) {
+// A task must not return at once to the machine on which it failed, nor avoid that machine
+// forever, since it may be the only one that fits.
+TEST_F(FailingJob, AvoidsAMachineOnlyForALimitedTime) {
     const SteadyTime failed{seconds(100)};
     job.failures.machines["m-1"] = failed;
     EXPECT_TRUE(job.avoids("m-1", failed + seconds(30)));
@@ -58,7 +68,9 @@
     EXPECT_FALSE(job.avoids("m-1", failed + seconds(61)));
 }
 
-TEST_F(FailingJob, IsKnownToTheNextLeaderFromTheRecords) {
+// Guards against a failover that resets the failure count: the next leader would treat a
+// crash-looping job as healthy.
+TEST_F(FailingJob, NextLeaderReadsFailuresFromTheRecords) {
     ClusterState clusterState;
     applyEvent(clusterState, {keys::job("run-1"), jobValue(job), 5}, {});
     Slice failed = job.slices[1];
@@ -68,18 +80,22 @@
     EXPECT_TRUE(clusterState.job("run-1")->crashLooping());
 }
 
-TEST_F(FailingJob, ARecordWithoutFailuresIsWrittenAsBefore) {
+// Guards against a change of stored records: a slice without failures has no `failures` field.
+TEST_F(FailingJob, RecordOmitsTheFieldWithoutFailures) {
     EXPECT_FALSE(sliceValue(job.slices[0]).contains("failures"));
 }
 
-TEST_F(FailingJob, DivisionKeepsTheSum) {
+// Guards against failures that are lost or counted twice when a slice is divided.
+TEST_F(FailingJob, DividingASliceKeepsTheNumberOfFailures) {
     job.slices[0].failures = 3;
     const auto pieces = cutSlice(job.slices[0], {2}, 2);
     ASSERT_EQ(pieces.size(), 2U);
     EXPECT_EQ(pieces[0].failures + pieces[1].failures, 3U);
 }
 
-TEST_F(FailingJob, WhatWasNotRecordedCanBeDiscarded) {
+// Guards against failures that are kept without being recorded: `touch` must save the recorded
+// content before a change, so that the change can be discarded.
+TEST_F(FailingJob, UnrecordedFailuresCanBeDiscarded) {
     Slice& slice = job.slices[0];
     slice.touch();
     slice.failures = 3;
