--- a/src/coordination/controller.cpp
+++ b/src/coordination/controller.cpp
@@ -50,7 +50,7 @@
       router_(replica_, membership_, reachability_, heartbeats_, admission_),
       peers_({membership_, migrator_, autoscaler_, lending_, quotas_, completionNotifier_,
               rebalancer_}) {
-    context_.clusterState.lock()->dependencyGraph.setStepTimeEstimator(
+    context_.clusterState.lock()->dependencyGraph.setTurnaroundEstimator(
         [this](const protocol::JobSpec& spec) { return queueOrder_.estimatedTurnaround(spec); });
 }
 
@@ -149,7 +149,7 @@
         pipeline_.abandon(partition);
         return replica_.resync();
     }
-    context_.clusterState.lock()->discardUnrecorded(partition);
+    context_.clusterState.lock()->discardUnrecordedChanges(partition);
 }
 
 void Controller::stopCancelledJobs() {
@@ -157,7 +157,7 @@
     {
         auto clusterState = context_.clusterState.lock();
         for (const auto& [id, job] : clusterState->jobs)
-            if (clusterState->knownCancelled(job) && job.anyAllocation() &&
+            if (clusterState->knownCancelled(job) && job.hasAllocations() &&
                 jobsWithStopsSent_.insert(id).second)
                 newlyCancelled.push_back(id);
     }
--- a/src/coordination/workers/command_sender.cpp
+++ b/src/coordination/workers/command_sender.cpp
@@ -64,7 +64,7 @@
         return false;
     const auto nextDue =
         *machine.lastHeartbeat + toSteadyDuration(context_.settings.heartbeatInterval);
-    return now - machine.heartbeatRequested >=
+    return now - machine.heartbeatRequestedAt >=
                toSteadyDuration(context_.settings.lease * requestIntervalLeaseFraction) &&
            nextDue - now >= minTimeToNextHeartbeat;
 }
@@ -78,7 +78,7 @@
         // A worker that receives a higher token sends a heartbeat, at most once in half a lease. A
         // request that arrives late is harmless: its token is no higher than the token of later
         // heartbeat responses, and it contains no commands.
-        machine->heartbeatRequested = context_.now();
+        machine->heartbeatRequestedAt = context_.now();
         ++machine->fencingToken;
         send(*machine, {});
     }
--- a/src/coordination/workers/fault_attribution.cpp
+++ b/src/coordination/workers/fault_attribution.cpp
@@ -23,12 +23,14 @@
                                     Slice& slice, const Allocation& allocation) {
     const auto now = context_.now();
     auto& history = job.failures;
-    history.any = true;
-    history.disproved = false;
-    if (allocation.ran) history.longestRun = std::max(history.longestRun, now - *allocation.ran);
+    history.anyFailure = true;
+    history.crashLoopDisproved = false;
+    if (allocation.runningSince)
+        history.longestFailedRun =
+            std::max(history.longestFailedRun, now - *allocation.runningSince);
     if (job.crashLooping()) return backOff(job);
     if (history.machines.insert_or_assign(machine.id, now).second) {
-        slice.touch();
+        slice.markDirty();
         ++slice.failures;
     }
     if (job.crashLooping())
@@ -40,24 +42,24 @@
 void FaultAttribution::backOff(Job& job) {
     const auto now = context_.now();
     // The backoff grows once per failed probe, not once for each task that was in progress.
-    if (now < job.notBefore) return;
-    const auto doublings = std::min(job.failures.probes, maxBackoffDoublings);
-    job.notBefore = now + std::min<Duration>(maxBackoff, initialBackoff * (1 << doublings));
-    ++job.failures.probes;
+    if (now < job.backoffUntil) return;
+    const auto doublings = std::min(job.failures.failedProbes, maxBackoffDoublings);
+    job.backoffUntil = now + std::min<Duration>(maxBackoff, initialBackoff * (1 << doublings));
+    ++job.failures.failedProbes;
 }
 
 void FaultAttribution::attributeToJob(ClusterState& clusterState, Job& job, PartitionId partition) {
     // If these failures were attributed to the machines, a series of crash-looping jobs would get
     // dozens of machines replaced, together with all other tasks on them (incident inc-59fe).
     spdlog::info("fault_attribution: job_crash_looping job={}", job.spec.id);
-    job.notBefore = context_.now() + initialBackoff;
+    job.backoffUntil = context_.now() + initialBackoff;
     job.failures.machines.clear();
-    job.failures.probes = 1;
+    job.failures.failedProbes = 1;
     for (auto& [id, machine] : clusterState.machines) machine.failedJobs.erase(job.spec.id);
     for (auto& slice : job.slices) {
         if (slice.partition != partition) continue;
         for (auto& allocation : slice.allocations)
-            if (!allocation.seen) allocation.abandoned = true;
+            if (!allocation.reported) allocation.startCancelled = true;
     }
 }
 
@@ -66,12 +68,13 @@
     if (job.doneTasks() > 0 || machine.failedJobs.size() >= failedJobsToQuarantine)
         quarantine(machine);
     else
-        machine.notBefore = std::max(machine.notBefore, context_.now() + machinePauseAfterError);
+        machine.unschedulableUntil =
+            std::max(machine.unschedulableUntil, context_.now() + machinePauseAfterError);
 }
 
 void FaultAttribution::quarantine(Machine& machine) {
     spdlog::info("fault_attribution: machine_quarantined machine={}", machine.id);
-    machine.notBefore = context_.now() + quarantineDuration;
+    machine.unschedulableUntil = context_.now() + quarantineDuration;
 }
 
 void FaultAttribution::onTaskDone(ClusterState& clusterState, Machine& machine, Job& job) {
@@ -86,15 +89,15 @@
 }
 
 void FaultAttribution::onTaskRunning(Job& job, Slice& slice, const Allocation& allocation) {
-    if (!job.failures.any || !job.crashLooping() || !allocation.ran) return;
-    const auto minHealthyRun =
-        job.failures.longestRun * 2 + toSteadyDuration(context_.settings.heartbeatInterval * 2);
-    if (context_.now() - *allocation.ran <= minHealthyRun) return;
+    if (!job.failures.anyFailure || !job.crashLooping() || !allocation.runningSince) return;
+    const auto minHealthyRun = job.failures.longestFailedRun * 2 +
+                               toSteadyDuration(context_.settings.heartbeatInterval * 2);
+    if (context_.now() - *allocation.runningSince <= minHealthyRun) return;
     spdlog::info("fault_attribution: job_recovered job={}", job.spec.id);
-    job.failures.disproved = true;
+    job.failures.crashLoopDisproved = true;
     for (auto& other : job.slices) {
         if (other.partition != slice.partition || other.failures == 0) continue;
-        other.touch();
+        other.markDirty();
         other.failures = 0;
     }
 }
--- a/src/coordination/workers/fencing.h
+++ b/src/coordination/workers/fencing.h
@@ -26,7 +26,7 @@
 inline void requireAcknowledgement(Machine& machine, std::uint64_t expectedToken, SteadyTime now) {
     machine.expectedToken = expectedToken;
     machine.unacknowledgedSince = now;
-    machine.unacknowledged = 0;
+    machine.unacknowledgedResponses = 0;
 }
 
 /// Returns the status of this attempt at the task in the heartbeat, or null.
--- a/src/coordination/workers/heartbeat_validator.cpp
+++ b/src/coordination/workers/heartbeat_validator.cpp
@@ -67,7 +67,7 @@
 
 bool HeartbeatValidator::isStale(const Machine& machine,
                                  const protocol::Heartbeat& heartbeat) const {
-    if (context_.now() < machine.unansweredUntil) return true;
+    if (context_.now() < machine.ignoreHeartbeatsUntil) return true;
     // The worker's lease in this epoch has expired. A delayed heartbeat of that epoch reports tasks
     // that have ended.
     if (heartbeat.agentEpoch <= machine.expiredAgentEpoch) return true;
--- a/src/coordination/workers/machine_status_applier.cpp
+++ b/src/coordination/workers/machine_status_applier.cpp
@@ -33,7 +33,7 @@
     machine.agentEpoch = heartbeat.agentEpoch;
     machine.sequence = heartbeat.sequence;
     machine.lastHeartbeat = now;
-    machine.exited = static_cast<std::size_t>(
+    machine.exitedTasks = static_cast<std::size_t>(
         std::count_if(heartbeat.tasks.begin(), heartbeat.tasks.end(),
                       [](const auto& task) { return task.state == TaskState::exited; }));
 }
@@ -47,7 +47,7 @@
     for (const auto& ref : machine.allocations) {
         const auto [job, slice, allocation] = clusterState.findAllocation(ref);
         if (allocation == nullptr) continue;
-        if (!allocation->seen) allocation->abandoned = true;
+        if (!allocation->reported) allocation->startCancelled = true;
         if (job->spec.checkpointInterval.count() > 0 || allocation->state != TaskState::running)
             allocation->stopGrace = job->spec.checkpointDuration;
     }
@@ -58,24 +58,24 @@
                                                 const protocol::Heartbeat& heartbeat) const {
     machine.acknowledgedToken = std::max(machine.acknowledgedToken, heartbeat.fencingToken);
     if (machine.acknowledged()) {
-        machine.unacknowledged = 0;
+        machine.unacknowledgedResponses = 0;
         return;
     }
-    if (++machine.unacknowledged < maxIneffectiveResponses || machine.allocations.empty() ||
-        isFenced(machine, heartbeat))
+    if (++machine.unacknowledgedResponses < maxIneffectiveResponses ||
+        machine.allocations.empty() || isFenced(machine, heartbeat))
         return;
     // The worker's heartbeats, or late copies of them, arrive, but it receives no responses.
     // Without a token of this leader its heartbeats cannot prove that a task has ended. From now on
     // they are not answered, so that the worker's lease expires.
     spdlog::info("heartbeat: lease_abandoned machine={} reason=\"answers not received\"",
                  machine.id);
-    machine.unansweredUntil = context_.now() + maxWorkerLease(context_) + workerLeaseMargin;
+    machine.ignoreHeartbeatsUntil = context_.now() + maxWorkerLease(context_) + workerLeaseMargin;
 }
 
 bool MachineStatusApplier::isStartPending(const ClusterState& clusterState, const Machine& machine,
                                           const Job& job, const Allocation& allocation) const {
-    return !allocation.seen && !allocation.abandoned && !clusterState.knownCancelled(job) &&
-           !machine.decommissioned;
+    return !allocation.reported && !allocation.startCancelled &&
+           !clusterState.knownCancelled(job) && !machine.decommissioned;
 }
 
 void MachineStatusApplier::removeMissingAllocations(ClusterState& clusterState, Machine& machine,
@@ -88,7 +88,8 @@
         // Starts that never arrive would keep the allocation waiting forever. No response sent
         // before this heartbeat can still start a task that is not in it.
         if (isStartPending(clusterState, machine, *job, *allocation)) {
-            if (allocation->startsSent < maxIneffectiveResponses || machine.transferring) continue;
+            if (allocation->unconfirmedStarts < maxIneffectiveResponses || machine.transferring)
+                continue;
             if (machine.acknowledged()) {
                 spdlog::info(
                     "heartbeat: tasks_reassigned machine={} reason=\"starts not received\"",
--- a/tests/unit/coordination/workers/fault_attribution_test.cpp
+++ b/tests/unit/coordination/workers/fault_attribution_test.cpp
@@ -20,7 +20,7 @@
         job.spec.tasks = 8;
         job.sliceSize = 4;
         job.slices = makeSlices(job.spec, 4, 0);
-        job.failures.any = true;
+        job.failures.anyFailure = true;
     }
 
     Job job;
@@ -93,11 +93,11 @@
     EXPECT_EQ(pieces[0].failures + pieces[1].failures, 3U);
 }
 
-// Guards against failures that are kept without being recorded: `touch` must save the recorded
+// Guards against failures that are kept without being recorded: `markDirty` must save the recorded
 // content before a change, so that the change can be discarded.
 TEST_F(FailingJob, UnrecordedFailuresCanBeDiscarded) {
     Slice& slice = job.slices[0];
-    slice.touch();
+    slice.markDirty();
     slice.failures = 3;
     EXPECT_EQ(slice.recorded.failures, 0U);
 }
