--- a/src/coordination/scheduling/capacity_estimator.cpp
+++ b/src/coordination/scheduling/capacity_estimator.cpp
@@ -15,11 +15,11 @@
     auto clusterState = context_.clusterState.lock();
     if (job.spec.kind == JobKind::gang) return gangCapacity(*clusterState, partition, job);
     std::uint32_t capacity = 0;
-    const bool own = membership_.isLeader(partition);
+    const bool isLeader = membership_.isLeader(partition);
     const auto guard =
         context_.isBestEffort(job) ? FragmentationGuard(*clusterState) : FragmentationGuard();
     for (const auto* machine : clusterState->machinesOf(partition)) {
-        if (machine->decommissioned || (own && !acceptsTasks(context_, *machine)) ||
+        if (machine->decommissioned || (isLeader && !acceptsTasks(context_, *machine)) ||
             !mayUseLoan(context_, job, *machine))
             continue;
         const auto* type = context_.type(machine->type);
@@ -27,10 +27,11 @@
             continue;
         Resources free = type->capacity;
         free -= machine->used;
-        const auto fits = countFittingTasks(job, free, limit - capacity);
-        for (std::uint32_t i = 0; i < fits; ++i, free -= job.spec.each, ++capacity)
+        const auto fitting = countFittingTasks(job, free, limit - capacity);
+        for (std::uint32_t i = 0; i < fitting; ++i, free -= job.spec.each, ++capacity)
             if (!guard.empty() &&
-                guard.slotsLost({*type, machine->zone, machine->spot, free}, job).ofEntitled > 0)
+                guard.slotsLost({*type, machine->zone, machine->spot, free}, job).protectedSlots >
+                    0)
                 break;
         if (capacity >= limit) break;
     }
@@ -39,24 +40,25 @@
 
 std::uint32_t CapacityEstimator::gangCapacity(const ClusterState& clusterState,
                                               PartitionId partition, const Job& job) const {
-    // All of it or nothing: a partition with capacity for some of its tasks is of no use to it.
-    const bool own = membership_.isLeader(partition);
-    std::map<std::string, std::uint32_t> zones;  // tasks that fit
+    // A gang starts with all of its tasks or not at all: capacity for only some of them counts as
+    // none.
+    const bool isLeader = membership_.isLeader(partition);
+    std::map<std::string, std::uint32_t> fittingTasksByZone;
     for (const auto* machine : clusterState.machinesOf(partition)) {
         const auto* type = context_.type(machine->type);
-        if (machine->decommissioned || (own && !acceptsTasks(context_, *machine)) ||
+        if (machine->decommissioned || (isLeader && !acceptsTasks(context_, *machine)) ||
             type == nullptr || !typeAllowed(job.spec, *type, machine->zone, machine->spot))
             continue;
         Resources free = type->capacity;
         free -= machine->used;
         if (context_.now() < machine->reservedUntil && machine->reservedFor != job.spec.id)
             free -= machine->reservedCapacity;
-        zones[job.spec.oneZone ? machine->zone : std::string()] +=
+        fittingTasksByZone[job.spec.oneZone ? machine->zone : std::string()] +=
             countFittingTasks(job, free, job.spec.tasks);
     }
-    const bool fits = std::any_of(zones.begin(), zones.end(), [&](const auto& entry) {
-        return entry.second >= job.spec.tasks;
-    });
+    const bool fits =
+        std::any_of(fittingTasksByZone.begin(), fittingTasksByZone.end(),
+                    [&](const auto& entry) { return entry.second >= job.spec.tasks; });
     return fits ? job.spec.tasks : 0;
 }
 
--- a/src/coordination/scheduling/capacity_index.cpp
+++ b/src/coordination/scheduling/capacity_index.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-// What a machine heartbeats has to fit into 64 KiB, with those that have ended and are not recorded
-// yet.
+// A machine's heartbeat must fit into 64 KiB. It lists the machine's tasks, including those that
+// have ended but whose end is not recorded yet.
 constexpr std::size_t maxTasksPerMachine = 448;
 
 }  // namespace
@@ -28,10 +28,10 @@
         for (const auto& [usedZone, count] : zoneUse)
             if (count > 0 && usedZone != zone) return false;
     if (job.spec.spread) {
-        const auto here = zoneUse.find(zone);
-        const auto unknown = zoneUse.find(std::string());
-        const auto count = (here == zoneUse.end() ? 0 : here->second) +
-                           (unknown == zoneUse.end() ? 0 : unknown->second);
+        const auto inZone = zoneUse.find(zone);
+        const auto onUnknownMachines = zoneUse.find(std::string());
+        const auto count = (inZone == zoneUse.end() ? 0 : inZone->second) +
+                           (onUnknownMachines == zoneUse.end() ? 0 : onUnknownMachines->second);
         if (count + 1 > (job.spec.tasks + 1) / 2) return false;
     }
     return true;
@@ -56,11 +56,11 @@
 }
 
 MachinePool* CapacityIndex::poolOf(const Machine& machine) {
-    const auto known = std::find_if(pools_.begin(), pools_.end(), [&](const MachinePool& pool) {
+    const auto found = std::find_if(pools_.begin(), pools_.end(), [&](const MachinePool& pool) {
         return pool.type->name == machine.type && pool.zone == machine.zone &&
                pool.spot == machine.spot;
     });
-    if (known != pools_.end()) return &*known;
+    if (found != pools_.end()) return &*found;
     const auto* type = context_.type(machine.type);
     if (type == nullptr) return nullptr;
     return &pools_.emplace_back(MachinePool{type, machine.zone, machine.spot, {}});
--- a/src/coordination/scheduling/capacity_index.h
+++ b/src/coordination/scheduling/capacity_index.h
@@ -12,28 +12,29 @@
 struct MachineCapacity {
     Machine* machine = nullptr;
     Resources free;
-    Resources unreserved;  ///< `free` less what is reserved for some job
+    Resources unreserved;  ///< `free` minus the capacity reserved for a job
 
-    /// What an allocation takes of the capacity.
+    /// Subtracts one allocation of this size.
     void consume(const Resources& each);
-    /// Undoes `consume`.
+    /// Adds the allocation's resources back; undoes `consume`.
     void restore(const Resources& each);
 };
 
-/// Machines of the same type, zone and price model, which suit the same jobs.
+/// Machines of the same type, zone and price model (on-demand or spot). They suit the same jobs.
 struct MachinePool {
     const MachineType* type = nullptr;
     std::string zone;
     bool spot = false;
     std::vector<MachineCapacity> machines;
 
-    /// Whether one more task of the job may go to this pool, by its type and by its zone rules.
+    /// Whether the job's machine type and zone rules allow one more of its tasks in this pool.
     [[nodiscard]] bool allows(const Job& job, const ZoneUse& zoneUse) const;
 };
 
-/// The machines of a partition that take work, with their free capacity. Built once for a run:
-/// with each job asking every machine anew, runs took half of a controller's time on a large
-/// partition. Refers to machines of the cluster state, which stays locked meanwhile.
+/// The machines of a partition that accept tasks, with their free capacity. Built once per
+/// placement run: when every job checked every machine again, placement runs took half of the
+/// controller's time on a large partition. Points to machines of the cluster state, which must stay
+/// locked while the index is in use.
 class CapacityIndex {
   public:
     CapacityIndex(const Context& context, const ClusterState& clusterState, PartitionId partition);
@@ -41,14 +42,15 @@
     [[nodiscard]] std::vector<MachinePool>& pools() { return pools_; }
     [[nodiscard]] const std::vector<MachinePool>& pools() const { return pools_; }
 
-    /// What of the machine's free capacity is open to the job; empty if the job must not use it.
+    /// The part of the machine's free capacity that the job may use; empty if the job must not use
+    /// the machine.
     [[nodiscard]] Resources capacityFor(const Job& job,
                                         const MachineCapacity& machineCapacity) const;
-    /// How many of the job's tasks fit, up to all of them.
+    /// How many of the job's tasks fit into the index's free capacity, up to all of them.
     [[nodiscard]] std::uint32_t countSlots(const Job& job, const ZoneUse& zoneUse) const;
 
   private:
-    // The pool that the machine belongs to, made if it is the first; none: its type is unknown.
+    // The machine's pool, added if it does not exist yet. Null if the machine's type is unknown.
     MachinePool* poolOf(const Machine& machine);
 
     const Context& context_;
--- a/src/coordination/scheduling/cloud_availability.h
+++ b/src/coordination/scheduling/cloud_availability.h
@@ -1,5 +1,5 @@
 /// @file
-/// What the scheduler has to know of the cloud's capacity.
+/// The scheduler's interface to the cloud's capacity.
 #pragma once
 
 #include <string>
@@ -8,11 +8,13 @@
 
 namespace fawnwheel::coordination {
 
-/// Tells whether waiting for a new machine is reasonable. Implemented by provisioning.
+/// Tells whether the scheduler may wait for a new machine from the cloud. Implemented by
+/// `Autoscaler`.
 class CloudAvailability {
   public:
     virtual ~CloudAvailability() = default;
-    /// Whether the cloud may still have machines for the job in this zone (empty: in any).
+    /// Whether the cloud may still have machines for the job in this zone, or in any zone if `zone`
+    /// is empty.
     [[nodiscard]] virtual bool canProvision(const storage::Job& job,
                                             const std::string& zone) const = 0;
 };
--- a/src/coordination/scheduling/completion_notifier.cpp
+++ b/src/coordination/scheduling/completion_notifier.cpp
@@ -13,7 +13,7 @@
 using namespace std::chrono_literals;
 
 constexpr std::size_t maxReadsInFlight = 16;
-constexpr auto retryPause = 300ms;
+constexpr auto retryDelay = 300ms;
 
 }  // namespace
 
@@ -39,33 +39,33 @@
 void CompletionNotifier::resolveDependencies() {
     const auto now = context_.now();
     std::erase_if(retryAt_, [now](const auto& entry) { return entry.second <= now; });
-    std::vector<std::string> wanted;
+    std::vector<std::string> toRead;
     const auto partitions = ledPartitions();
     {
         auto clusterState = context_.clusterState.lock();
         for (const auto& id : clusterState->dependencyGraph.unresolved()) {
-            if (readsInFlight_.size() + wanted.size() >= maxReadsInFlight) break;
+            if (readsInFlight_.size() + toRead.size() >= maxReadsInFlight) break;
             if (!readsInFlight_.contains(id) && !retryAt_.contains(id) &&
                 hasDependentIn(*clusterState, id, partitions))
-                wanted.push_back(id);
+                toRead.push_back(id);
         }
     }
-    for (const auto& id : wanted) readTerminal(id);
+    for (const auto& id : toRead) readTerminal(id);
 }
 
 void CompletionNotifier::readTerminal(const std::string& dependency) {
     readsInFlight_.insert(dependency);
     context_.state.read(
         storage::keys::terminal(dependency),
-        [this, dependency](const protocol::ReadResponse& answer) {
+        [this, dependency](const protocol::ReadResponse& response) {
             readsInFlight_.erase(dependency);
-            if (answer.result != protocol::StateResult::ok || answer.items.empty()) {
-                // Without a record the message was early, or the cluster state lags: it is read
-                // again.
-                retryAt_[dependency] = context_.now() + context_.jittered(retryPause);
+            if (response.result != protocol::StateResult::ok || response.items.empty()) {
+                // If there is no terminal record, the `JobCompleted` message came early or the
+                // replica lags behind the records. The read is retried, as after a failed read.
+                retryAt_[dependency] = context_.now() + context_.jittered(retryDelay);
                 return;
             }
-            const auto state = storage::readTerminal(answer.items.front().value);
+            const auto state = storage::readTerminal(response.items.front().value);
             spdlog::debug("completion: dependency_resolved job={} outcome={}", dependency,
                           state.cancelled ? "cancelled" : "done");
             context_.clusterState.lock()->dependencyGraph.recordTerminal(dependency, state);
--- a/src/coordination/scheduling/completion_notifier.h
+++ b/src/coordination/scheduling/completion_notifier.h
@@ -1,5 +1,5 @@
 /// @file
-/// Learns of the ends of jobs that others depend on, and tells peers of them.
+/// Detects the completion of jobs that other jobs depend on, and notifies peers of it.
 #pragma once
 
 #include <map>
@@ -10,26 +10,29 @@
 
 namespace fawnwheel::coordination {
 
-/// Resolves dependencies by terminal records. A message about an end only saves time: a job is
-/// released by terminal records that were read or written here, and by nothing else.
+/// Resolves dependencies from terminal records. `JobCompleted` messages only shorten the delay: a
+/// job is released only by terminal records that this process has read or written.
 class CompletionNotifier {
   public:
-    /// `rounds` is told when a terminal record has been read: jobs may have been released, or have
-    /// to be cancelled.
+    /// `rounds` is asked for a scheduling round when a terminal record has been read, because jobs
+    /// may have been released or may have to be cancelled.
     CompletionNotifier(Context& context, Membership& membership, RoundScheduler& rounds)
         : context_(context), membership_(membership), rounds_(rounds) {}
 
-    /// Reads the terminal records that jobs of our partitions wait for.
+    /// Reads the terminal records of unresolved dependencies of jobs in partitions that this node
+    /// leads.
     void resolveDependencies();
-    /// Tells the leaders of the jobs that depend on it that a job has ended, durably.
+    /// Notifies the leaders of all jobs that depend on `job`. To be called once the job's end is
+    /// durable.
     void notifyDependents(const std::string& job);
-    /// A peer's message that a job has ended: reads its record if a job of ours waits for it.
+    /// Handles a peer's message that a job has ended: reads its terminal record if a job in a
+    /// partition led by this node waits for it.
     void onJobCompleted(const protocol::JobCompleted& message);
 
   private:
     using Partitions = std::set<std::uint32_t>;
 
-    // Whether a job that depends on it has its home or a slice in one of these partitions.
+    // Whether one of these partitions owns a job that depends on `dependency`, or a slice of one.
     [[nodiscard]] static bool hasDependentIn(ClusterState& clusterState,
                                              const std::string& dependency,
                                              const Partitions& partitions);
@@ -39,8 +42,8 @@
     Context& context_;
     Membership& membership_;
     RoundScheduler& rounds_;
-    std::set<std::string> readsInFlight_;        // by dependency
-    std::map<std::string, SteadyTime> retryAt_;  // after a read that failed
+    std::set<std::string> readsInFlight_;        // ids of dependencies
+    std::map<std::string, SteadyTime> retryAt_;  // by dependency, after an unsuccessful read
 };
 
 }  // namespace fawnwheel::coordination
--- a/src/coordination/scheduling/consolidation.cpp
+++ b/src/coordination/scheduling/consolidation.cpp
@@ -8,23 +8,25 @@
 
 namespace {
 
-constexpr auto minRunToMove = std::chrono::seconds(32);
-constexpr double minSecondsLeftToMove = 20;  // by the estimate
+constexpr auto minRunTime = std::chrono::seconds(32);
+// Of the task with the most time left, by its job's estimate.
+constexpr double minRemainingSeconds = 20;
 constexpr double maxUtilization = 0.5;
 
 }  // namespace
 
 bool Consolidation::canMove(const Job& job, const Allocation& allocation) const {
     return allocation.durable && !allocation.stopGrace && allocation.ran &&
-           context_.now() - *allocation.ran >= minRunToMove &&
+           context_.now() - *allocation.ran >= minRunTime &&
            job.spec.checkpointInterval.count() > 0 && !job.cancelled &&
            (job.spec.tasks <= 1 || !job.undivided());
 }
 
-bool Consolidation::findCapacity(const ClusterState& clusterState, const Machine& machine,
-                                 const Job& job, std::map<std::string, Resources>& consumed) const {
+bool Consolidation::tryConsumeCapacity(const ClusterState& clusterState, const Machine& machine,
+                                       const Job& job,
+                                       std::map<std::string, Resources>& consumed) const {
     for (const auto* other : clusterState.machinesOf(machine.partition)) {
-        // On machines in use only: an empty one might be the next to go.
+        // Only machines in use are considered: an empty machine may be the next to be released.
         if (other == &machine || other->allocations.empty() || !acceptsTasks(context_, *other))
             continue;
         Machine after = *other;
@@ -40,16 +42,17 @@
                                    std::vector<Allocation*>& allocations) const {
     const auto now = context_.now();
     std::map<std::string, Resources> consumed;
-    double longestLeft = 0;
+    double longestRemaining = 0;
     for (const auto& ref : machine.allocations) {
         const auto [job, slice, allocation] = clusterState.findAllocation(ref);
         if (allocation == nullptr || !canMove(*job, *allocation)) return false;
-        longestLeft = std::max(
-            longestLeft, Seconds(job->spec.estimate - Seconds(now - *allocation->ran)).count());
-        if (!findCapacity(clusterState, machine, *job, consumed)) return false;
+        longestRemaining =
+            std::max(longestRemaining,
+                     Seconds(job->spec.estimate - Seconds(now - *allocation->ran)).count());
+        if (!tryConsumeCapacity(clusterState, machine, *job, consumed)) return false;
         allocations.push_back(allocation);
     }
-    return longestLeft > minSecondsLeftToMove;
+    return longestRemaining > minRemainingSeconds;
 }
 
 std::optional<std::string> Consolidation::consolidateOneMachine(PartitionId partition) {
@@ -60,7 +63,7 @@
     for (auto* entry : clusterState->machinesOf(partition)) {
         Machine& machine = *entry;
         if (machine.consolidating && !machine.allocations.empty())
-            return std::nullopt;  // one at a time
+            return std::nullopt;  // one machine at a time
         const auto* type = context_.type(machine.type);
         if (type == nullptr || machine.allocations.empty() || !acceptsTasks(context_, machine))
             continue;
--- a/src/coordination/scheduling/fragmentation_guard.cpp
+++ b/src/coordination/scheduling/fragmentation_guard.cpp
@@ -9,10 +9,10 @@
         const Job& job = entry.second;
         if (!clusterState.schedulable(job)) continue;
         const auto same = std::find_if(
-            largestOfClasses_.begin(), largestOfClasses_.end(),
+            largestTaskByClass_.begin(), largestTaskByClass_.end(),
             [&](const LargerTask& other) { return other.job->spec.jobClass == job.spec.jobClass; });
-        if (same == largestOfClasses_.end())
-            largestOfClasses_.push_back({&job, 0});
+        if (same == largestTaskByClass_.end())
+            largestTaskByClass_.push_back({&job, 0});
         else if (job.spec.each.cpus > same->job->spec.each.cpus)
             same->job = &job;
     }
@@ -25,7 +25,7 @@
     std::uint32_t largest = 0;
     for (const auto& [id, job] : clusterState.jobs) {
         if (job.spec.jobClass != jobClass || !clusterState.schedulable(job)) continue;
-        // As much of a job as comes to one partition together.
+        // At most this many tasks of one job come to a partition at the same time.
         largest = std::max(largest, std::min(job.spec.tasks, job.sliceSize));
         for (const auto& slice : job.slices)
             if (slice.partition == partition) needed += slice.waiting();
@@ -35,7 +35,7 @@
 
 void FragmentationGuard::countSpareSlots(const CapacityIndex& capacityIndex,
                                          const ClusterState& clusterState, PartitionId partition) {
-    for (auto& largerTask : largestOfClasses_) {
+    for (auto& largerTask : largestTaskByClass_) {
         const auto& spec = largerTask.job->spec;
         const auto needed = slotsNeeded(spec.jobClass, clusterState, partition);
         std::uint32_t slots = 0;
@@ -48,15 +48,15 @@
     }
 }
 
-void FragmentationGuard::useSpareSlots(const MachineType& type,
-                                       const MachineCapacity& machineCapacity, const Job& job) {
+void FragmentationGuard::consumeSpareSlots(const MachineType& type,
+                                           const MachineCapacity& machineCapacity, const Job& job) {
     const Machine& machine = *machineCapacity.machine;
     const CandidateSlot slot{type, machine.zone, machine.spot, machineCapacity.free};
-    for (auto& largerTask : largestOfClasses_)
+    for (auto& largerTask : largestTaskByClass_)
         largerTask.spareSlots -= std::min(largerTask.spareSlots, slotsLost(largerTask, slot, job));
 }
 
-bool FragmentationGuard::mayLoseSlots(const LargerTask& largerTask, const Job& job) {
+bool FragmentationGuard::isGuardedAgainst(const LargerTask& largerTask, const Job& job) {
     return largerTask.job->spec.jobClass != job.spec.jobClass &&
            largerTask.job->priority <= job.priority &&
            !largerTask.job->spec.each.fits(job.spec.each);
@@ -65,7 +65,7 @@
 std::uint32_t FragmentationGuard::slotsLost(const LargerTask& largerTask, const CandidateSlot& slot,
                                             const Job& job) {
     const auto& spec = largerTask.job->spec;
-    if (!mayLoseSlots(largerTask, job) || !spec.each.fits(slot.free) ||
+    if (!isGuardedAgainst(largerTask, job) || !spec.each.fits(slot.free) ||
         !typeAllowed(spec, slot.type, slot.zone, slot.spot))
         return 0;
     Resources after = slot.free;
@@ -75,15 +75,16 @@
 }
 
 LostSlots FragmentationGuard::slotsLost(const CandidateSlot& slot, const Job& job) const {
-    // Small tasks spread over large machines left no capacity for a large one on any of them.
+    // Without this guard, small tasks spread over all large machines left none with enough free
+    // capacity for a large task.
     LostSlots lost;
-    for (const auto& largerTask : largestOfClasses_) {
+    for (const auto& largerTask : largestTaskByClass_) {
         const auto count = slotsLost(largerTask, slot, job);
-        lost.all += count;
+        lost.total += count;
         const auto& spec = largerTask.job->spec;
         if (count > largerTask.spareSlots && spec.team != job.spec.team &&
             largerTask.job->priority < job.priority)
-            lost.ofEntitled += count;
+            lost.protectedSlots += count;
     }
     return lost;
 }
--- a/src/coordination/scheduling/gang_assembler.cpp
+++ b/src/coordination/scheduling/gang_assembler.cpp
@@ -8,8 +8,8 @@
 
 using protocol::JobKind;
 
-constexpr auto reservationLength = std::chrono::seconds(3);  // renewed by each run
-constexpr auto assemblyPatience = std::chrono::seconds(90);  // in one zone
+constexpr auto reservationDuration = std::chrono::seconds(3);   // renewed by each placement run
+constexpr auto zoneAssemblyTimeout = std::chrono::seconds(90);  // then another zone is tried
 
 bool isInAssemblyZone(const MachinePool& pool, const Job& job) {
     return job.assemblyZone.empty() || pool.zone == job.assemblyZone;
@@ -22,13 +22,14 @@
     for (auto* machine : clusterState.machinesOf(partition)) {
         if (now >= machine->reservedUntil) continue;
         const Job* job = clusterState.job(machine->reservedFor);
-        // What is reserved for gangs is distributed anew in each run, in the queue's order: a later
-        // one never holds what completes an earlier one.
-        const bool gang = job != nullptr && job->spec.kind == JobKind::gang;
-        // A peer's gang asks again and again for what is reserved for it.
-        const bool ofPeer = gang && job->partition != partition && !job->anyAllocation();
-        if (job == nullptr || job->cancelled || (job->partition != partition && !ofPeer) ||
-            (gang && !ofPeer &&
+        // Each run ends the reservations for gangs and makes them again in queue order, so that a
+        // later gang never holds machines that would complete an earlier one.
+        const bool isGang = job != nullptr && job->spec.kind == JobKind::gang;
+        // A gang of another partition renews its reservations with repeated loan requests, so these
+        // are left to expire.
+        const bool isPeerGang = isGang && job->partition != partition && !job->anyAllocation();
+        if (job == nullptr || job->cancelled || (job->partition != partition && !isPeerGang) ||
+            (isGang && !isPeerGang &&
              (job->anyAllocation() || (machine->lastHeartbeat && now >= job->preemptedUntil))))
             machine->reservedUntil = now;
     }
@@ -44,7 +45,7 @@
             !typeAllowed(job.spec, *type, machine->zone, machine->spot))
             continue;
         auto& machines = zones[machine->zone];
-        ++machines.all;
+        ++machines.total;
         if ((acceptsTasks(context_, *machine) && canHost(context_, job, *machine)) ||
             (now < machine->reservedUntil && machine->reservedFor == job.spec.id))
             ++machines.free;
@@ -59,17 +60,18 @@
                                Job& job) const {
     const auto now = context_.now();
     if (!job.spec.oneZone ||
-        (!job.assemblyZone.empty() && now - job.assemblySince < assemblyPatience))
+        (!job.assemblyZone.empty() && now - job.assemblySince < zoneAssemblyTimeout))
         return;
-    // Where most of it could start now; else where the partition has most machines for it. A zone
-    // that did not get it together for long gives way to the next best.
+    // Prefers the zone where most of the gang's tasks could start now, then this node's zone, then
+    // the zone with the most suitable machines. A zone whose assembly timed out is skipped if there
+    // is another one.
     const auto zones = countMachinesByZone(clusterState, partition, job);
     std::string best;
     std::tuple<std::uint32_t, bool, std::uint32_t> bestScore{};
     for (const auto& [zone, machines] : zones) {
         if (zone == job.assemblyZone && zones.size() > 1) continue;
         const std::tuple score{std::min(machines.free, job.spec.tasks),
-                               zone == context_.settings.zone, machines.all};
+                               zone == context_.settings.zone, machines.total};
         if (best.empty() || score > bestScore) {
             best = zone;
             bestScore = score;
@@ -81,14 +83,15 @@
 
 void GangAssembler::reserveOn(MachineCapacity& machineCapacity, const Job& job,
                               std::uint32_t tasks) const {
-    reserve(context_, *machineCapacity.machine, job, tasks, reservationLength);
+    reserve(context_, *machineCapacity.machine, job, tasks, reservationDuration);
     machineCapacity.unreserved = machineCapacity.free;
     machineCapacity.unreserved -= machineCapacity.machine->reservedCapacity;
 }
 
 std::uint32_t GangAssembler::reservedTasks(const ClusterState& clusterState, PartitionId partition,
                                            const Job& job) const {
-    // On machines that were provisioned for it and boot, or where others are being stopped.
+    // Includes machines that were provisioned for the gang and are still booting, and machines on
+    // which other jobs' tasks are being stopped for it.
     const auto now = context_.now();
     std::uint32_t reserved = 0;
     for (const auto* machine : clusterState.machinesOf(partition))
@@ -101,9 +104,10 @@
 AssemblyProgress GangAssembler::assemble(const ClusterState& clusterState, PartitionId partition,
                                          const Job& job, CapacityIndex& capacityIndex,
                                          std::set<std::string>& blockedZones) const {
-    // A gang would wait for ever behind small work that takes each machine as it comes free. In
-    // the queue's order, each reserves what is free until it has enough; one that lacks machines
-    // keeps later ones from assembling in its zone, so that no two hold half of what both need.
+    // Without reservations, small jobs would take every machine that becomes free and a gang would
+    // never start. In queue order, each gang reserves free machines until it has enough. A gang
+    // that lacks machines blocks its zone for later gangs, so that two gangs never deadlock with
+    // half of the machines each.
     auto reserved = reservedTasks(clusterState, partition, job);
     if (reserved < job.spec.tasks)
         reserved += reserveFreeMachines(capacityIndex, job, job.spec.tasks - reserved);
@@ -148,7 +152,7 @@
         if (!isInAssemblyZone(pool, job) || !pool.allows(job, {})) continue;
         for (auto& machineCapacity : pool.machines) {
             if (now < machineCapacity.machine->reservedUntil) continue;
-            // Less used ones come free sooner.
+            // Machines with less load are expected to become free sooner.
             busy.push_back(
                 {machineCapacity.machine->used.cpus / std::max(1.0, pool.type->capacity.cpus),
                  &machineCapacity, pool.type});
--- a/src/coordination/scheduling/machine_selector.cpp
+++ b/src/coordination/scheduling/machine_selector.cpp
@@ -9,21 +9,26 @@
 
 using protocol::TaskState;
 
-constexpr double sharedFetchFactor = 0.4;  // of a fetch that another task has begun
-constexpr double idleGpuSeconds = 25;      // what using up a GPU machine's CPUs counts as
-constexpr double lostSlotSeconds = 30;     // what taking a slot of larger tasks counts as
-constexpr double emptyMachineSeconds = 4;  // what breaking into an empty machine counts as
-// Of a best-effort job on a partition that may take slots of entitled jobs.
+// Share of the fetch time that counts if another task is already fetching the image.
+constexpr double sharedFetchFactor = 0.4;
+// For a task without GPUs that takes CPUs from a machine's GPUs.
+constexpr double idleGpuPenaltySeconds = 25;
+// For each slot of a larger task that is taken.
+constexpr double lostSlotPenaltySeconds = 30;
+// Times the fraction of CPUs left free, so that used machines are filled before empty ones.
+constexpr double freeCpusPenaltySeconds = 4;
+// Protected slots are open to a best-effort job only until it has this many allocations on the
+// partition.
 constexpr std::size_t maxBestEffortTasks = 32;
-constexpr auto bestEffortPatience = std::chrono::seconds(60);  // until others' slots may be taken
+constexpr auto minWaitForProtectedSlots = std::chrono::seconds(60);  // of a best-effort job
 
 }  // namespace
 
-bool hasImage(ClusterState& clusterState, const Machine& machine, const Job& job) {
+bool hasOrFetchesImage(ClusterState& clusterState, const Machine& machine, const Job& job) {
     const auto& image = job.spec.image;
     return std::any_of(machine.images.begin(), machine.images.end(),
                        [&](const auto& i) { return i.name == image; }) ||
-           // Under way for another task.
+           // Another task on the machine uses the image, so it is cached or being fetched.
            std::any_of(machine.allocations.begin(), machine.allocations.end(),
                        [&](const auto& ref) {
                            const Job* other = clusterState.job(ref.job);
@@ -31,39 +36,40 @@
                        });
 }
 
-double MachineSelector::fetchCost(ClusterState& clusterState, const Job& job,
-                                  const Machine& machine, const MachineType& type) {
+double MachineSelector::fetchCostSeconds(ClusterState& clusterState, const Job& job,
+                                         const Machine& machine, const MachineType& type) {
     const bool cached = std::any_of(machine.images.begin(), machine.images.end(),
                                     [&](const auto& i) { return i.name == job.spec.image; });
     if (cached) return 0;
     const double fetch = job.spec.imageSize / type.fetchRate;
-    bool begun = false;
-    std::set<std::string> others;
+    bool fetchingSameImage = false;
+    std::set<std::string> imagesBeingFetched;
     for (const auto& ref : machine.allocations) {
         const auto [other, slice, allocation] = clusterState.findAllocation(ref);
         if (allocation == nullptr || allocation->state != TaskState::fetching) continue;
-        begun = begun || other->spec.image == job.spec.image;
-        others.insert(other->spec.image);
+        fetchingSameImage = fetchingSameImage || other->spec.image == job.spec.image;
+        imagesBeingFetched.insert(other->spec.image);
     }
-    return begun ? fetch * sharedFetchFactor : fetch * (1 + static_cast<double>(others.size()));
+    return fetchingSameImage ? fetch * sharedFetchFactor
+                             : fetch * (1 + static_cast<double>(imagesBeingFetched.size()));
 }
 
-double MachineSelector::cost(ClusterState& clusterState, const Job& job, const Machine& machine,
-                             const MachineType& type) {
-    double seconds = fetchCost(clusterState, job, machine, type);
+double MachineSelector::costSeconds(ClusterState& clusterState, const Job& job,
+                                    const Machine& machine, const MachineType& type) {
+    double seconds = fetchCostSeconds(clusterState, job, machine, type);
     if (job.spec.each.gpus <= 0 && type.capacity.gpus > 0)
-        seconds += idleGpuSeconds * job.spec.each.cpus / std::max(1.0, type.capacity.cpus) +
-                   idleGpuSeconds;
+        seconds += idleGpuPenaltySeconds * job.spec.each.cpus / std::max(1.0, type.capacity.cpus) +
+                   idleGpuPenaltySeconds;
     const double freeFraction =
         1.0 - (machine.used.cpus + job.spec.each.cpus) / std::max(1.0, type.capacity.cpus);
-    seconds += emptyMachineSeconds * freeFraction;
+    seconds += freeCpusPenaltySeconds * freeFraction;
     return seconds;
 }
 
 MachineCapacity* MachineSelector::select(ClusterState& clusterState, CapacityIndex& capacityIndex,
                                          const Job& job, const FragmentationGuard& guard,
                                          const ZoneUse& zoneUse,
-                                         EntitledSlots entitledSlots) const {
+                                         ProtectedSlotRule protectedSlotRule) const {
     MachineCapacity* best = nullptr;
     double bestCost = std::numeric_limits<double>::max();
     for (auto& pool : capacityIndex.pools()) {
@@ -74,9 +80,11 @@
                 continue;
             const auto lost =
                 guard.slotsLost({*pool.type, pool.zone, pool.spot, machineCapacity.free}, job);
-            if (entitledSlots == EntitledSlots::preserved && lost.ofEntitled > 0) continue;
-            const double value = cost(clusterState, job, *machineCapacity.machine, *pool.type) +
-                                 lostSlotSeconds * lost.all;
+            if (protectedSlotRule == ProtectedSlotRule::preserved && lost.protectedSlots > 0)
+                continue;
+            const double value =
+                costSeconds(clusterState, job, *machineCapacity.machine, *pool.type) +
+                lostSlotPenaltySeconds * lost.total;
             if (value < bestCost) {
                 bestCost = value;
                 best = &machineCapacity;
@@ -86,8 +94,8 @@
     return best;
 }
 
-std::uint32_t MachineSelector::bestEffortAllowance(const Job& job, PartitionId partition) const {
-    if (context_.timers.wallNow() - job.readySince < bestEffortPatience) return 0;
+std::uint32_t MachineSelector::protectedSlotAllowance(const Job& job, PartitionId partition) const {
+    if (context_.timers.wallNow() - job.readySince < minWaitForProtectedSlots) return 0;
     std::size_t allocated = 0;
     for (const auto& slice : job.slices)
         if (slice.partition == partition) allocated += slice.allocations.size();
--- a/src/coordination/scheduling/placement.cpp
+++ b/src/coordination/scheduling/placement.cpp
@@ -10,11 +10,12 @@
 
 using protocol::JobKind;
 
-constexpr std::uint32_t taskBits = 24;     // of an attempt's number; the rest is the term
-constexpr double significantFetch = 0.25;  // of the time that a task runs
-constexpr double maxFetchTimesWaited = 3;  // until a job no longer gives way for a fetch
+constexpr std::uint32_t sequenceBits = 24;  // of an attempt number; the bits above are the term
+constexpr double significantFetchFraction = 0.25;  // of a task's estimated run time
+constexpr double maxFetchTimesWaited = 3;          // in fetch times; then a job no longer yields
 
-UnschedulableWork unschedulableWork(const ReadyJob& ready, std::uint32_t tasks, bool overQuota) {
+UnschedulableWork makeUnschedulableWork(const ReadyJob& ready, std::uint32_t tasks,
+                                        bool overQuota) {
     return {.job = ready.job->spec.id, .tasks = tasks, .overQuota = overQuota};
 }
 
@@ -22,64 +23,65 @@
 
 std::vector<UnschedulableWork> Placement::run(PartitionId partition) {
     auto clusterState = context_.clusterState.lock();
-    gangs_.expireReservations(*clusterState, partition);
+    gangAssembler_.expireReservations(*clusterState, partition);
     PlacementRun run(context_, quotas_, *clusterState, partition);
     const auto queue = queueOrder_.readyJobs(*clusterState, partition);
     run.recordsLagging = queueOrder_.areRecordsLagging(*clusterState, partition);
     for (const auto& ready : queue)
         if (ready.job->spec.kind == JobKind::gang)
-            runGang(run, ready);
+            processGang(run, ready);
         else
-            runArray(run, ready);
-    for (const auto& ready : run.toFetch) runFetching(run, ready);
+            processArray(run, ready);
+    for (const auto& ready : run.deferredForFetch) processDeferredArray(run, ready);
     return std::move(run.unschedulable);
 }
 
-void Placement::runArray(PlacementRun& run, ReadyJob ready) {
+void Placement::processArray(PlacementRun& run, ReadyJob ready) {
     const Job& job = *ready.job;
     if (context_.isBestEffort(job)) {
         if (run.recordsLagging) return;
-        // Best-effort jobs come last, so that what the entitled jobs have just taken counts.
+        // Best-effort jobs come last in the queue, so that the count includes what all other jobs
+        // have taken in this run.
         run.countSpareSlots();
     }
-    const bool cachedOnly = !ready.probe && yieldsToCached(job);
+    const bool cachedOnly = !ready.probe && yieldsToCachedImages(job);
     const auto array =
         placeArray(run, ready, cachedOnly ? ImageRule::cachedOnly : ImageRule::mayFetch);
     ready.tasks -= array.placed + array.waitingForImage;
     if (ready.tasks == 0 || ready.probe) return;
     if (cachedOnly && !array.overQuota)
-        run.toFetch.push_back(ready);
+        run.deferredForFetch.push_back(ready);
     else
-        run.unschedulable.push_back(unschedulableWork(ready, ready.tasks, array.overQuota));
+        run.unschedulable.push_back(makeUnschedulableWork(ready, ready.tasks, array.overQuota));
 }
 
-void Placement::runFetching(PlacementRun& run, const ReadyJob& ready) {
+void Placement::processDeferredArray(PlacementRun& run, const ReadyJob& ready) {
     const auto array = placeArray(run, ready, ImageRule::mayFetch);
     const auto left = ready.tasks - (array.placed + array.waitingForImage);
-    if (left > 0) run.unschedulable.push_back(unschedulableWork(ready, left, array.overQuota));
+    if (left > 0) run.unschedulable.push_back(makeUnschedulableWork(ready, left, array.overQuota));
 }
 
-void Placement::runGang(PlacementRun& run, const ReadyJob& ready) {
+void Placement::processGang(PlacementRun& run, const ReadyJob& ready) {
     Job& job = *ready.job;
     const auto result = placeGang(run, job);
     if (result == GangResult::placed || ready.probe) return;
     const bool overQuota = result == GangResult::overQuota;
-    // One task alone needs no assembly and lies in one zone anyway.
+    // A single task needs no assembly and is always in one zone.
     if (job.spec.tasks == 1 || overQuota) {
-        run.unschedulable.push_back(unschedulableWork(ready, ready.tasks, overQuota));
+        run.unschedulable.push_back(makeUnschedulableWork(ready, ready.tasks, overQuota));
         return;
     }
-    gangs_.chooseZone(run.clusterState, run.partition, job);
+    gangAssembler_.chooseZone(run.clusterState, run.partition, job);
     const bool blocked = run.blockedZones.contains(job.assemblyZone);
     AssemblyProgress progress;
     if (blocked) {
-        // It has machines provisioned for it meanwhile, but only once: each round it once asked for
-        // all of them again.
-        const auto reserved = gangs_.reservedTasks(run.clusterState, run.partition, job);
+        // Machines are provisioned for the gang while it is blocked. Those already reserved for it
+        // are subtracted; otherwise it would request all of its machines again in each round.
+        const auto reserved = gangAssembler_.reservedTasks(run.clusterState, run.partition, job);
         progress = {job.spec.tasks - std::min(job.spec.tasks, reserved), job.spec.tasks};
     } else {
-        progress = gangs_.assemble(run.clusterState, run.partition, job, run.capacityIndex,
-                                   run.blockedZones);
+        progress = gangAssembler_.assemble(run.clusterState, run.partition, job, run.capacityIndex,
+                                           run.blockedZones);
     }
     run.unschedulable.push_back({.job = job.spec.id,
                                  .tasks = progress.missingTasks,
@@ -94,12 +96,14 @@
     Job& job = *ready.job;
     ArrayProgress array{job, imageRule, queueOrder_.maxTasksToPlace(ready),
                         run.quotaLeft(job.spec.team)};
-    // Counted in each round, the zones of thousands of allocations took half of a round's time.
+    // Counted only for jobs with zone rules: counting the zones of thousands of allocations in each
+    // round took half of the round's time.
     if (job.spec.oneZone || job.spec.spread) array.zoneUse = zoneUseOf(run.clusterState, job);
-    // The entitled jobs' slots stay open for what comes next. What finds no other slot takes a
-    // few of them, so that a best-effort job never waits for good.
+    // Protected slots are kept free for the jobs that arrive next. A best-effort job that finds no
+    // other slot may take a few of them, so that it is not starved.
     array.bestEffort = context_.isBestEffort(job);
-    if (array.bestEffort) array.allowance = selector_.bestEffortAllowance(job, run.partition);
+    if (array.bestEffort)
+        array.protectedSlotAllowance = selector_.protectedSlotAllowance(job, run.partition);
     for (auto& slice : job.slices) {
         if (slice.partition != run.partition || slice.waiting() == 0) continue;
         for (std::uint32_t i = 0; i < slice.done.size(); ++i) {
@@ -122,9 +126,9 @@
     MachineCapacity* machineCapacity = selectForArray(run, array);
     if (machineCapacity == nullptr) return TaskResult::stop;
     const Machine& machine = *machineCapacity->machine;
-    if (!hasImage(run.clusterState, machine, job)) {
+    if (!hasOrFetchesImage(run.clusterState, machine, job)) {
         if (array.imageRule == ImageRule::cachedOnly) return TaskResult::stop;
-        if (waitsForImage(run, array)) return TaskResult::next;
+        if (tryWaitForImage(run, array)) return TaskResult::next;
     }
     const auto attempt = nextAttempt(run.partition);
     ++array.zoneUse[machine.zone];
@@ -132,42 +136,44 @@
     spdlog::debug("placement: task_placed task={}/{} machine={} type={} class={} wait_s={:.1f}",
                   job.spec.id, task, machine.id, machine.type, job.spec.jobClass,
                   Seconds(context_.timers.wallNow() - job.submitted).count());
-    // The guard looks at the capacity before this task takes its part.
+    // The guard needs the machine's free capacity as it is before this allocation.
     if (array.bestEffort)
-        run.guard.useSpareSlots(*context_.type(machine.type), *machineCapacity, job);
+        run.guard.consumeSpareSlots(*context_.type(machine.type), *machineCapacity, job);
     allocate(run, job, slice, task, attempt, *machineCapacity);
     ++array.placed;
     return TaskResult::next;
 }
 
 MachineCapacity* Placement::selectForArray(PlacementRun& run, ArrayProgress& array) const {
-    const auto select = [&](EntitledSlots entitledSlots) {
+    const auto select = [&](ProtectedSlotRule protectedSlotRule) {
         return selector_.select(run.clusterState, run.capacityIndex, array.job, run.guard,
-                                array.zoneUse, entitledSlots);
+                                array.zoneUse, protectedSlotRule);
     };
     auto* machineCapacity =
-        select(array.bestEffort ? EntitledSlots::preserved : EntitledSlots::usable);
-    if (machineCapacity == nullptr && array.allowance > 0) {
-        --array.allowance;
-        machineCapacity = select(EntitledSlots::usable);
+        select(array.bestEffort ? ProtectedSlotRule::preserved : ProtectedSlotRule::usable);
+    if (machineCapacity == nullptr && array.protectedSlotAllowance > 0) {
+        --array.protectedSlotAllowance;
+        machineCapacity = select(ProtectedSlotRule::usable);
     }
     return machineCapacity;
 }
 
-bool Placement::waitsForImage(const PlacementRun& run, ArrayProgress& array) const {
-    if (!array.mayWait) array.mayWait = countWorthWaiting(run.capacityIndex, array.job);
-    if (*array.mayWait == 0) return false;
-    --*array.mayWait;
+bool Placement::tryWaitForImage(const PlacementRun& run, ArrayProgress& array) const {
+    if (!array.remainingImageWaits)
+        array.remainingImageWaits = maxTasksWaitingForImage(run.capacityIndex, array.job);
+    if (*array.remainingImageWaits == 0) return false;
+    --*array.remainingImageWaits;
     ++array.waitingForImage;
     return true;
 }
 
-std::uint32_t Placement::countWorthWaiting(const CapacityIndex& capacityIndex,
-                                           const Job& job) const {
+std::uint32_t Placement::maxTasksWaitingForImage(const CapacityIndex& capacityIndex,
+                                                 const Job& job) const {
     const auto fetch = queueOrder_.fetchTime(job.spec);
     const Seconds waited = context_.timers.wallNow() - job.readySince;
     if (waited >= fetch || job.spec.estimate.count() <= 0) return 0;
-    // Slots on machines that have the image come free at this rate.
+    // Each slot on a machine with the image becomes free once per estimated run time. The result is
+    // the number of slots that become free within one fetch time.
     double slots = 0;
     for (const auto& pool : capacityIndex.pools()) {
         if (!pool.allows(job, {})) continue;
@@ -181,14 +187,14 @@
     return static_cast<std::uint32_t>(slots * (fetch / job.spec.estimate));
 }
 
-bool Placement::yieldsToCached(const Job& job) const {
-    // In a backlog every job has waited long. Each machine that came free then fetched the image of
-    // the first in the queue, while later ones had theirs there: half of the GPUs' time went into
-    // fetches, and the backlog stayed (day zone of a fleet). What finds no machine at all for long
-    // takes one wherever it is.
+bool Placement::yieldsToCachedImages(const Job& job) const {
+    // In a backlog every job has waited for long. Without this rule, each machine that became free
+    // fetched the image of the first job in the queue although it had the image of a later job
+    // cached: fetches took half of the GPU time and the backlog remained (simulated day "zone" of a
+    // fleet). A job that has no allocation for several fetch times takes any machine.
     const auto fetch = queueOrder_.fetchTime(job.spec);
     const Seconds waited = context_.timers.wallNow() - job.readySince;
-    return fetch > job.spec.estimate * significantFetch &&
+    return fetch > job.spec.estimate * significantFetchFraction &&
            (job.anyAllocation() || waited < fetch * maxFetchTimesWaited);
 }
 
@@ -197,7 +203,7 @@
     Resources all;
     for (std::uint32_t i = 0; i < job.spec.tasks; ++i) all += job.spec.each;
     if (!all.fits(quotaLeft)) return GangResult::overQuota;
-    // One zone after the other for a gang that must stay together; else all at once.
+    // For a gang that must run in one zone, the zones are tried one by one; otherwise all together.
     std::set<std::string> zones;
     if (job.spec.oneZone)
         for (const auto& pool : run.capacityIndex.pools()) zones.insert(pool.zone);
@@ -205,9 +211,9 @@
         zones.insert(std::string());
     for (const auto& zone : zones) {
         ZoneUse zoneUse;
-        if (!zone.empty()) zoneUse[zone] = 1;  // confines the choice to this zone
+        if (!zone.empty()) zoneUse[zone] = 1;  // restricts the placement to this zone
         if (run.capacityIndex.countSlots(job, zoneUse) < job.spec.tasks) continue;
-        if (!placeGangIn(run, job, std::move(zoneUse))) continue;
+        if (!allocateGang(run, job, std::move(zoneUse))) continue;
         quotaLeft -= all;
         spdlog::debug("placement: gang_placed job={} first_machine={} class={} wait_s={:.1f}",
                       job.spec.id, job.slices.front().allocations.front().machine,
@@ -218,7 +224,7 @@
     return GangResult::noCapacity;
 }
 
-bool Placement::placeGangIn(PlacementRun& run, Job& job, ZoneUse zoneUse) {
+bool Placement::allocateGang(PlacementRun& run, Job& job, ZoneUse zoneUse) {
     const auto attempt = nextAttempt(run.partition);
     std::vector<MachineCapacity*> chosen;
     std::vector<bool> dirty;
@@ -226,7 +232,7 @@
         dirty.push_back(slice.dirty);
         for (std::uint32_t i = 0; i < slice.done.size(); ++i) {
             auto* machineCapacity = selector_.select(run.clusterState, run.capacityIndex, job, {},
-                                                     zoneUse, EntitledSlots::usable);
+                                                     zoneUse, ProtectedSlotRule::usable);
             if (machineCapacity == nullptr) break;
             ++zoneUse[machineCapacity->machine->zone];
             allocate(run, job, slice, slice.first + i, attempt, *machineCapacity);
@@ -234,18 +240,20 @@
         }
     }
     if (chosen.size() == job.spec.tasks) return true;
-    undoGang(run, job, chosen, dirty);
+    rollBackGang(run, job, chosen, dirty);
     return false;
 }
 
-void Placement::undoGang(PlacementRun& run, Job& job, const std::vector<MachineCapacity*>& chosen,
-                         const std::vector<bool>& dirty) {
+void Placement::rollBackGang(PlacementRun& run, Job& job,
+                             const std::vector<MachineCapacity*>& chosen,
+                             const std::vector<bool>& dirty) {
     for (auto* machineCapacity : chosen) machineCapacity->restore(job.spec.each);
     for (auto& slice : job.slices) {
         while (!slice.allocations.empty())
             run.clusterState.removeAllocation(job, slice, slice.allocations.front().task);
-        // As it was: the ends of the attempt before may still wait to be recorded. Once they
-        // never were, and peers took the gang for running (scenario gang_lending).
+        // Restores the dirty flag: the ends of the previous attempt may not be recorded yet. With
+        // the flag cleared they never were, and peers treated the gang as running (scenario
+        // gang_lending).
         slice.dirty = dirty[slice.index];
     }
 }
@@ -262,8 +270,10 @@
 }
 
 std::uint64_t Placement::nextAttempt(PartitionId partition) {
-    // Terms grow over all leaders, so attempts do too, without a record of their own.
-    return (membership_.term(partition) << taskBits) | (++sequence_ & ((1U << taskBits) - 1));
+    // Terms increase from leader to leader, so attempt numbers increase too and need no record of
+    // their own.
+    return (membership_.term(partition) << sequenceBits) |
+           (++sequence_ & ((1U << sequenceBits) - 1));
 }
 
 }  // namespace fawnwheel::coordination
--- a/src/coordination/scheduling/placement.h
+++ b/src/coordination/scheduling/placement.h
@@ -1,5 +1,5 @@
 /// @file
-/// Decides which waiting task goes to which machine of a partition.
+/// Assigns the waiting tasks of a partition to its machines.
 #pragma once
 
 #include "coordination/membership/membership.h"
@@ -10,7 +10,7 @@
 
 namespace fawnwheel::coordination {
 
-/// Places arrays and gangs. Also answers what other modules ask about queues and capacity.
+/// Places arrays and gangs, and gives other modules access to queue and capacity information.
 class Placement {
   public:
     Placement(Context& context, Membership& membership, QueueOrder& queueOrder,
@@ -21,14 +21,14 @@
           quotas_(quotas),
           cloud_(cloud),
           selector_(context),
-          gangs_(context, cloud),
-          capacity_(context, membership) {}
+          gangAssembler_(context, cloud),
+          capacityEstimator_(context, membership) {}
 
-    /// Allocates machines to what can start; what finds none is returned, in the queue's order. The
-    /// allocations become durable before anything is sent.
+    /// Allocates machines to tasks that can start. Returns the work without a machine, in queue
+    /// order. No task is started before its allocation is durable.
     [[nodiscard]] std::vector<UnschedulableWork> run(PartitionId partition);
 
-    /// @name Questions of other modules; see the classes that answer them.
+    /// @name Queries of other modules; documented in the classes that they are forwarded to.
     /// @{
     [[nodiscard]] std::uint32_t queueLength(PartitionId partition) {
         return queueOrder_.queueLength(partition);
@@ -43,10 +43,10 @@
     [[nodiscard]] bool isSloAtRisk(const Job& job) const { return queueOrder_.isSloAtRisk(job); }
     [[nodiscard]] std::uint32_t capacityFor(const Job& job, PartitionId partition,
                                             std::uint32_t limit) {
-        return capacity_.capacityFor(job, partition, limit);
+        return capacityEstimator_.capacityFor(job, partition, limit);
     }
     [[nodiscard]] bool isFeasible(const Job& job, PartitionId partition) {
-        return capacity_.isFeasible(job, partition);
+        return capacityEstimator_.isFeasible(job, partition);
     }
     [[nodiscard]] bool withinGuarantee(const ClusterState& clusterState, const Job& job) const {
         return quotas_.withinGuarantee(clusterState, job);
@@ -70,44 +70,46 @@
     enum class ImageRule { mayFetch, cachedOnly };
     enum class GangResult { placed, overQuota, noCapacity };
     enum class TaskResult { next, stop };
-    // What has been done and may be done for one array in a run.
+    // Progress and limits of one array in a placement run.
     struct ArrayProgress {
         Job& job;
         ImageRule imageRule;
-        std::uint32_t limit = 0;  // of tasks to place
-        Resources& quotaLeft;     // of its team
+        std::uint32_t limit = 0;  // on tasks to place in this run
+        Resources& quotaLeft;     // of the job's team; owned by the run
         ZoneUse zoneUse{};
         bool bestEffort = false;
-        std::uint32_t allowance = 0;  // of slots of entitled jobs
-        // How many tasks may wait for a cached image; worked out when the first would have to
-        // fetch.
-        std::optional<std::uint32_t> mayWait{};
+        std::uint32_t protectedSlotAllowance = 0;  // tasks that may still take protected slots
+        // How many more tasks may wait for a machine that has the image. Computed when the first
+        // task would have to fetch the image.
+        std::optional<std::uint32_t> remainingImageWaits{};
         std::uint32_t placed = 0;
-        std::uint32_t waitingForImage = 0;  // rather than being placed elsewhere
+        std::uint32_t waitingForImage = 0;  // tasks not placed for this reason
         bool overQuota = false;
     };
 
-    void runArray(PlacementRun& run, ReadyJob ready);
-    void runGang(PlacementRun& run, const ReadyJob& ready);
-    // Second chance of an array that gave way to those that need no fetch.
-    void runFetching(PlacementRun& run, const ReadyJob& ready);
+    void processArray(PlacementRun& run, ReadyJob ready);
+    void processGang(PlacementRun& run, const ReadyJob& ready);
+    // Places tasks of an array that yielded to jobs with cached images earlier in the run.
+    void processDeferredArray(PlacementRun& run, const ReadyJob& ready);
 
     ArrayProgress placeArray(PlacementRun& run, const ReadyJob& ready, ImageRule imageRule);
     TaskResult placeTask(PlacementRun& run, ArrayProgress& array, Slice& slice, std::uint32_t task);
     [[nodiscard]] MachineCapacity* selectForArray(PlacementRun& run, ArrayProgress& array) const;
-    // Whether the task should rather wait for a machine with its image.
-    [[nodiscard]] bool waitsForImage(const PlacementRun& run, ArrayProgress& array) const;
-    // How many of a job's tasks do better to wait for machines that have its image.
-    [[nodiscard]] std::uint32_t countWorthWaiting(const CapacityIndex& capacityIndex,
-                                                  const Job& job) const;
-    // Whether jobs that need no fetch may go first where this job would have to fetch.
-    [[nodiscard]] bool yieldsToCached(const Job& job) const;
+    // Whether the task should wait for a machine that has its image; if so, counts it as waiting.
+    [[nodiscard]] bool tryWaitForImage(const PlacementRun& run, ArrayProgress& array) const;
+    // How many of a job's tasks get a machine that has the image sooner than they could fetch it.
+    [[nodiscard]] std::uint32_t maxTasksWaitingForImage(const CapacityIndex& capacityIndex,
+                                                        const Job& job) const;
+    // Whether the job leaves machines without its image to jobs that need no fetch there.
+    [[nodiscard]] bool yieldsToCachedImages(const Job& job) const;
 
     GangResult placeGang(PlacementRun& run, Job& job);
-    // All tasks or none. `zoneUse` confines the choice to a zone, or leaves it open.
-    bool placeGangIn(PlacementRun& run, Job& job, ZoneUse zoneUse);
-    static void undoGang(PlacementRun& run, Job& job, const std::vector<MachineCapacity*>& chosen,
-                         const std::vector<bool>& dirty);
+    // Allocates machines to all of the gang's tasks, or to none. A non-empty `zoneUse` restricts
+    // them to its zone.
+    bool allocateGang(PlacementRun& run, Job& job, ZoneUse zoneUse);
+    static void rollBackGang(PlacementRun& run, Job& job,
+                             const std::vector<MachineCapacity*>& chosen,
+                             const std::vector<bool>& dirty);
 
     void allocate(PlacementRun& run, Job& job, Slice& slice, std::uint32_t task,
                   std::uint64_t attempt, MachineCapacity& machineCapacity) const;
@@ -119,8 +121,8 @@
     const TeamQuotas& quotas_;
     const CloudAvailability& cloud_;
     MachineSelector selector_;
-    GangAssembler gangs_;
-    CapacityEstimator capacity_;
+    GangAssembler gangAssembler_;
+    CapacityEstimator capacityEstimator_;
     std::uint64_t sequence_ = 0;
 };
 
--- a/src/coordination/scheduling/placement_constraints.cpp
+++ b/src/coordination/scheduling/placement_constraints.cpp
@@ -8,8 +8,8 @@
 
 using protocol::JobKind;
 
-constexpr double maxMissedHeartbeats = 2.5;  // no new work after so many
-constexpr Seconds loanClosedToOthers{45};    // to work that has waited for less
+constexpr double maxMissedHeartbeats = 2.5;  // after this many, no new tasks
+constexpr Seconds minWaitToUseLoan{45};      // for jobs that are not gangs
 
 }  // namespace
 
@@ -17,7 +17,7 @@
     ZoneUse use;
     for (const auto& slice : job.slices) {
         for (const auto& allocation : slice.allocations) {
-            // A machine that is no longer known still counts, wherever it is.
+            // An allocation on a machine that is no longer known counts under the empty zone name.
             const auto found = clusterState.machines.find(allocation.machine);
             ++use[found == clusterState.machines.end() ? std::string() : found->second.zone];
         }
@@ -55,11 +55,12 @@
 }
 
 bool mayUseLoan(const Context& context, const Job& job, const Machine& machine) {
-    // A loan is for a gang's start only. But beside the gang's tasks there may be the only capacity
-    // that is left, and work that waits on and on beside it is not served (slice_left_behind).
+    // A machine is lent so that a gang can start. A job of another kind may use the capacity beside
+    // the gang's tasks after it has waited for 45 s: that may be the only free capacity, and
+    // without it such a job would wait forever (scenario slice_left_behind).
     if (!machine.lender || job.spec.kind == JobKind::gang) return true;
     return !machine.allocations.empty() &&
-           context.timers.wallNow() > plus(job.readySince, loanClosedToOthers);
+           context.timers.wallNow() > plus(job.readySince, minWaitToUseLoan);
 }
 
 bool canHost(const Context& context, const Job& job, const Machine& machine) {
--- a/src/coordination/scheduling/placement_run.h
+++ b/src/coordination/scheduling/placement_run.h
@@ -1,5 +1,5 @@
 /// @file
-/// What belongs to one placement run of one partition.
+/// State of one placement run of one partition.
 #pragma once
 
 #include "coordination/scheduling/fragmentation_guard.h"
@@ -9,7 +9,7 @@
 
 namespace fawnwheel::coordination {
 
-/// State of a run while the cluster state is locked.
+/// Exists only while the cluster state is locked. The capacity index and the guard point into it.
 class PlacementRun {
   public:
     PlacementRun(const Context& context, const TeamQuotas& quotas, ClusterState& state,
@@ -20,14 +20,14 @@
           guard(state),
           quotas_(quotas) {}
 
-    /// What is left of the team's quota; worked out when first asked for, then kept up to date by
-    /// the run.
+    /// The team's remaining quota. Computed on the first call; the caller subtracts what it
+    /// allocates.
     [[nodiscard]] Resources& quotaLeft(const std::string& team) {
-        const auto [entry, fresh] = quotaLeft_.try_emplace(team);
-        if (fresh) entry->second = quotas_.remainingQuota(clusterState, team, partition);
+        const auto [entry, inserted] = quotaLeft_.try_emplace(team);
+        if (inserted) entry->second = quotas_.remainingQuota(clusterState, team, partition);
         return entry->second;
     }
-    /// Counts the guard's spare slots, once.
+    /// Counts the guard's spare slots. Only the first call in a run has an effect.
     void countSpareSlots() {
         if (!std::exchange(spareSlotsCounted_, true))
             guard.countSpareSlots(capacityIndex, clusterState, partition);
@@ -38,8 +38,8 @@
     CapacityIndex capacityIndex;
     FragmentationGuard guard;
     bool recordsLagging = false;
-    std::set<std::string> blockedZones;  ///< where a gang that lacks machines is assembled
-    std::vector<ReadyJob> toFetch;       ///< jobs that may fetch their images after all others
+    std::set<std::string> blockedZones;      ///< zones of gangs that lack machines
+    std::vector<ReadyJob> deferredForFetch;  ///< arrays that may fetch their image at the end
     std::vector<UnschedulableWork> unschedulable;
 
   private:
--- a/src/coordination/scheduling/preemption.cpp
+++ b/src/coordination/scheduling/preemption.cpp
@@ -10,9 +10,10 @@
 
 using protocol::JobKind;
 
-constexpr auto reservation = std::chrono::seconds(20);  // to save, heartbeat and be placed
-constexpr double fetchLossSeconds = 5;                  // of a task that has not run yet
-constexpr std::uint32_t maxPreemptionsPerJob = 4;       // in one run
+// Covers the checkpoint, the heartbeat that reports it, and the placement.
+constexpr auto reservationDuration = std::chrono::seconds(20);
+constexpr double lostFetchSeconds = 5;             // if the task has not run yet
+constexpr std::uint32_t maxPreemptionsPerJob = 4;  // in one placement run
 
 }  // namespace
 
@@ -25,24 +26,25 @@
         const auto [other, slice, allocation] = clusterState.findAllocation(ref);
         if (allocation == nullptr || !allocation->durable) continue;
         if (allocation->stopGrace) {
-            available += other->spec.each;  // on its way out already
+            available += other->spec.each;  // already being stopped
             continue;
         }
-        // Strictly lower priority only; a gang would lose all its tasks for one.
+        // Only tasks of strictly lower priority are stopped, and none of gangs: stopping one task
+        // would end the whole gang.
         if (other->priority <= job.priority || other->spec.kind == JobKind::gang) continue;
-        const bool saves = other->spec.checkpointInterval.count() > 0;
+        const bool hasCheckpoints = other->spec.checkpointInterval.count() > 0;
         const double ran = allocation->ran ? Seconds(now - *allocation->ran).count() : 0;
         candidates.push_back({allocation, other,
-                              other->spec.checkpointDuration.count() + (saves ? 0 : ran) +
-                                  (allocation->ran ? 0 : fetchLossSeconds)});
+                              other->spec.checkpointDuration.count() + (hasCheckpoints ? 0 : ran) +
+                                  (allocation->ran ? 0 : lostFetchSeconds)});
     }
     std::sort(candidates.begin(), candidates.end(),
-              [](const Victim& a, const Victim& b) { return a.loss < b.loss; });
+              [](const Victim& a, const Victim& b) { return a.lossSeconds < b.lossSeconds; });
     return candidates;
 }
 
-void Preemption::consider(ClusterState& clusterState, const MachineCapacity& machineCapacity,
-                          const Job& job, Choice& best) const {
+void Preemption::considerMachine(ClusterState& clusterState, const MachineCapacity& machineCapacity,
+                                 const Job& job, Choice& best) const {
     Machine& machine = *machineCapacity.machine;
     const auto now = context_.now();
     if (now < machine.reservedUntil || job.avoids(machine.id, now) ||
@@ -54,9 +56,9 @@
         if (job.spec.each.fits(available)) break;
         available += candidate.job->spec.each;
         choice.victims.push_back(candidate);
-        choice.loss += candidate.loss;
+        choice.lossSeconds += candidate.lossSeconds;
     }
-    if (!job.spec.each.fits(available) || choice.loss >= best.loss) return;
+    if (!job.spec.each.fits(available) || choice.lossSeconds >= best.lossSeconds) return;
     best = std::move(choice);
 }
 
@@ -68,7 +70,7 @@
     for (const auto& pool : capacityIndex.pools())
         if (pool.allows(job, zoneUse))
             for (const auto& machineCapacity : pool.machines)
-                consider(clusterState, machineCapacity, job, best);
+                considerMachine(clusterState, machineCapacity, job, best);
     if (best.machine == nullptr) return false;
     for (const auto& victim : best.victims) {
         if (!victim.allocation->seen) victim.allocation->abandoned = true;
@@ -76,13 +78,13 @@
         spdlog::debug("preemption: task_stopped task={}/{} machine={} for_job={}",
                       victim.job->spec.id, victim.allocation->task, best.machine->id, job.spec.id);
     }
-    reserve(context_, *best.machine, job, 1, reservation);
+    reserve(context_, *best.machine, job, 1, reservationDuration);
     machines.insert(best.machine->id);
     return true;
 }
 
-protocol::Priority Preemption::lowestRunning(const ClusterState& clusterState,
-                                             PartitionId partition) {
+protocol::Priority Preemption::lowestPreemptiblePriority(const ClusterState& clusterState,
+                                                         PartitionId partition) {
     auto lowest = protocol::Priority::production;
     for (const auto& [id, job] : clusterState.jobs)
         if (job.priority > lowest && job.spec.kind != JobKind::gang &&
@@ -97,21 +99,21 @@
                                              const std::vector<UnschedulableWork>& unschedulable) {
     std::set<std::string> machines;
     auto clusterState = context_.clusterState.lock();
-    std::optional<protocol::Priority> lowest;  // that could give way
+    std::optional<protocol::Priority> lowest;  // of preemptible tasks
     std::optional<CapacityIndex> capacityIndex;
     for (const auto& entry : unschedulable) {
         Job* job = clusterState->job(entry.job);
         if (job == nullptr || entry.overQuota || entry.blockedByEarlierGang ||
             !queueOrder_.isSloAtRisk(*job) || context_.now() < job->preemptedUntil)
             continue;
-        if (!lowest) lowest = lowestRunning(*clusterState, partition);
+        if (!lowest) lowest = lowestPreemptiblePriority(*clusterState, partition);
         if (*lowest <= job->priority) continue;
         if (!capacityIndex) capacityIndex.emplace(context_, *clusterState, partition);
-        // A gang can do nothing with some of the machines it needs.
+        // A gang has no limit, because it cannot start on only some of the machines it needs.
         const auto limit = entry.gang ? entry.tasks : std::min(entry.tasks, maxPreemptionsPerJob);
         for (std::uint32_t i = 0; i < limit; ++i) {
             if (!preemptForTask(*clusterState, *capacityIndex, *job, machines)) break;
-            job->preemptedUntil = context_.now() + reservation;
+            job->preemptedUntil = context_.now() + reservationDuration;
         }
     }
     return machines;
--- a/src/coordination/scheduling/queue_order.cpp
+++ b/src/coordination/scheduling/queue_order.cpp
@@ -9,53 +9,59 @@
 using protocol::JobKind;
 
 constexpr std::uint32_t maxPlacementsPerRun = 64;
-// Of allocations; beyond it no more are made for best-effort jobs.
-constexpr std::chrono::seconds maxRecordingTime{30};
-// At a time, of a job of which no task has been seen to run.
+// While an allocation has waited longer than this for its record, no more allocations are made for
+// best-effort jobs.
+constexpr std::chrono::seconds maxRecordLag{30};
+// Allocations of a job at the same time, until one of its tasks has run for a while or is done.
 constexpr std::uint32_t maxUnprovenTasks = 256;
-// What has no objective (left) is served as if it had to start this long after its submission.
+// A job without an objective that can still be met is queued as if it had to start this long after
+// it became ready.
 constexpr Seconds defaultStartWithin{600};
-constexpr Seconds largestGangStartWithin{240};  // what the operators ask of a class's largest jobs
-constexpr Seconds gangAssemblyTime{120};        // to assemble machines for them
-constexpr Seconds riskMargin{10};
+constexpr Seconds largestGangStartWithin{240};  // the operators' objective
+constexpr Seconds gangAssemblyTime{120};        // for the largest gangs
+constexpr Seconds sloRiskMargin{10};
 
 }  // namespace
 
 transport::WallTime QueueOrder::latestStart(const Job& job) const {
-    // The next of the job's objectives that can still be met. What has missed all of them goes
-    // behind, since hurrying it helps nobody, but its age still counts, so that it does not starve.
+    // Uses the most urgent objective that the job can still meet. A job that has missed all of them
+    // is queued by the default instead, since hurrying it does not help anybody. The default counts
+    // from when the job became ready: the job moves ahead with its age and is not starved.
     const auto now = context_.timers.wallNow();
     std::optional<transport::WallTime> next;
-    const auto consider = [&](transport::WallTime latest) {
+    const auto considerLatestStart = [&](transport::WallTime latest) {
         if (latest > now && (!next || latest < *next)) next = latest;
     };
-    // A job that had to wait for others is late only from when it could have begun.
-    const auto sinceReady = [&job](Seconds time) { return plus(job.readySince, time); };
+    // For a job with dependencies, the time counts from when the last one was done.
+    const auto afterReady = [&job](Seconds time) { return plus(job.readySince, time); };
     for (const auto& objective : context_.settings.objectives) {
         if (objective.jobClass != job.spec.jobClass) continue;
-        if (objective.kind == config::ObjectiveKind::wait) consider(sinceReady(objective.within));
+        if (objective.kind == config::ObjectiveKind::wait)
+            considerLatestStart(afterReady(objective.within));
         if (objective.kind == config::ObjectiveKind::finished)
-            consider(sinceReady(objective.within - job.spec.estimate));
+            considerLatestStart(afterReady(objective.within - job.spec.estimate));
     }
-    if (job.spec.deadline) consider(plus(job.submitted, *job.spec.deadline - job.spec.estimate));
-    if (job.latestEnd) consider(plus(*job.latestEnd, -job.spec.estimate));
-    const auto latest = next ? *next : sinceReady(defaultStartWithin);
-    // A day on which a class's largest gangs don't begin in time is lost, and they need the most
-    // machines at once: behind what is easier to place, under half of them began.
-    if (isLargestGangOfClass(job) && now < sinceReady(largestGangStartWithin))
-        return std::min(latest, sinceReady(largestGangStartWithin - gangAssemblyTime));
+    if (job.spec.deadline)
+        considerLatestStart(plus(job.submitted, *job.spec.deadline - job.spec.estimate));
+    if (job.latestEnd) considerLatestStart(plus(*job.latestEnd, -job.spec.estimate));
+    const auto latest = next ? *next : afterReady(defaultStartWithin);
+    // The largest gangs of a class must start in time, or the whole day counts as failed. They need
+    // the most machines at once: queued behind jobs that are easier to place, fewer than half of
+    // them started.
+    if (isLargestGangOfClass(job) && now < afterReady(largestGangStartWithin))
+        return std::min(latest, afterReady(largestGangStartWithin - gangAssemblyTime));
     return latest;
 }
 
 bool QueueOrder::isLargestGangOfClass(const Job& job) const {
-    const auto largest = largestGang_.find(job.spec.jobClass);
-    return job.spec.kind == JobKind::gang && job.spec.tasks > 1 && largest != largestGang_.end() &&
-           job.spec.tasks >= largest->second;
+    const auto largest = largestGangTasks_.find(job.spec.jobClass);
+    return job.spec.kind == JobKind::gang && job.spec.tasks > 1 &&
+           largest != largestGangTasks_.end() && job.spec.tasks >= largest->second;
 }
 
 Seconds QueueOrder::estimatedTurnaround(const protocol::JobSpec& spec) const {
-    // A start waits for a worker's heartbeat, and so may an end that was reported while one was
-    // in flight.
+    // A task starts with the answer to its worker's next heartbeat. The report of a task's end may
+    // also have to wait for the next heartbeat if one is in flight.
     return spec.estimate + fetchTime(spec) + context_.settings.heartbeatInterval;
 }
 
@@ -63,15 +69,15 @@
     std::optional<double> fetch;
     for (const auto& type : context_.catalog) {
         if (!typeAllowed(spec, type, spec.zone.value_or(""), false)) continue;
-        const double here = spec.imageSize / type.fetchRate;
-        fetch = fetch ? std::min(*fetch, here) : here;
+        const double fetchSeconds = spec.imageSize / type.fetchRate;
+        fetch = fetch ? std::min(*fetch, fetchSeconds) : fetchSeconds;
     }
     return Seconds(fetch.value_or(0));
 }
 
 bool QueueOrder::isSloAtRisk(const Job& job) const {
     const Seconds needed =
-        fetchTime(job.spec) + context_.settings.heartbeatInterval * 2 + riskMargin;
+        fetchTime(job.spec) + context_.settings.heartbeatInterval * 2 + sloRiskMargin;
     return latestStart(job) < plus(context_.timers.wallNow(), needed);
 }
 
@@ -83,7 +89,7 @@
 void QueueOrder::recordLargestGangs(const ClusterState& clusterState) {
     for (const auto& [id, job] : clusterState.jobs)
         if (job.spec.kind == JobKind::gang && clusterState.schedulable(job)) {
-            auto& largest = largestGang_[job.spec.jobClass];
+            auto& largest = largestGangTasks_[job.spec.jobClass];
             largest = std::max(largest, job.spec.tasks);
         }
 }
@@ -115,7 +121,8 @@
 }
 
 bool QueueOrder::mayProbe(const Job& job, PartitionId partition) {
-    // One task at a time for the whole job, wherever its slices lie: by the first that waits.
+    // One probe at a time for the whole job, whichever partitions its slices belong to. The first
+    // slice with a waiting task decides which partition makes it.
     if (job.anyAllocation()) return false;
     const auto first = std::find_if(job.slices.begin(), job.slices.end(),
                                     [](const Slice& slice) { return slice.waiting() > 0; });
@@ -126,7 +133,7 @@
     if (ready.probe) return 1;
     const Job& job = *ready.job;
     if (job.spec.tasks <= maxUnprovenTasks || job.doneTasks() > 0) return maxPlacementsPerRun;
-    // A large array whose tasks all fail shows that with a few of them.
+    // If all tasks of a large array fail, a few of them are enough to show it.
     const auto now = context_.now();
     std::uint32_t allocated = 0;
     for (const auto& slice : job.slices)
@@ -141,7 +148,7 @@
 
 void QueueOrder::stopIncompleteGang(Job& job) {
     if (job.complete() || job.allocatedTasks() == job.spec.tasks) return;
-    // The rest would wait for a task that is not started again under this attempt.
+    // The remaining tasks would wait for a task that is not started again in this attempt.
     for (auto& slice : job.slices) {
         for (auto& allocation : slice.allocations) {
             allocation.abandoned = true;
@@ -151,10 +158,10 @@
 }
 
 bool QueueOrder::areRecordsLagging(const ClusterState& clusterState, PartitionId partition) const {
-    // Beyond what the state service writes, the allocations of a best-effort job's thousands of
-    // short tasks once waited for 150 s for their records and held their machines, and those of the
-    // entitled jobs behind them (day fresh-5728 of vatback).
-    const auto oldest = context_.now() - maxRecordingTime;
+    // When thousands of short tasks of a best-effort job exceeded the state service's write rate,
+    // their allocations waited 150 s for their records and held machines meanwhile, and the
+    // allocations of jobs that are not best-effort waited behind them (day fresh-5728 of vatback).
+    const auto oldest = context_.now() - maxRecordLag;
     return std::any_of(clusterState.jobs.begin(), clusterState.jobs.end(), [&](const auto& entry) {
         const auto& slices = entry.second.slices;
         return std::any_of(slices.begin(), slices.end(), [&](const Slice& slice) {
--- a/src/coordination/scheduling/quota_exchange.cpp
+++ b/src/coordination/scheduling/quota_exchange.cpp
@@ -27,7 +27,8 @@
                 context_.network.sendFrame(leader,
                                            protocol::encodePeer({context_.settings.name, request}));
         }
-        // The first in the queue's order gets what there is; the next ones ask in their turn.
+        // Quota is requested for one job per run, the first in queue order that is not throttled.
+        // The other jobs request theirs in later runs.
         return;
     }
 }
@@ -43,17 +44,17 @@
         return;
     const auto* team = context_.team(job->spec.team);
     if (team == nullptr || clusterState->outgoingQuotas.contains(team->name)) return;
-    const auto moved = grantFor(*clusterState, *job, *team, request);
+    const auto amount = computeGrant(*clusterState, *job, *team, request);
     if (isNeededByLender(*clusterState, *job, request.lender) ||
-        (moved.cpus <= 0 && moved.gpus <= 0))
+        (amount.cpus <= 0 && amount.gpus <= 0))
         return;
     const auto transfer =
-        beginTransfer(*clusterState, *team, request.lender, request.borrower, moved);
+        beginTransfer(*clusterState, *team, request.lender, request.borrower, amount);
     if (!transfer) return;
     spdlog::debug(
         "quota: transfer_started team={} job={} cpus={} gpus={} from_partition={} "
         "to_partition={}",
-        team->name, request.job, moved.cpus, moved.gpus, request.lender, request.borrower);
+        team->name, request.job, amount.cpus, amount.gpus, request.lender, request.borrower);
     pipeline_.commit(request.lender,
                      {{transfer->compare,
                        {storage::keys::partition(request.borrower),
@@ -64,20 +65,24 @@
                      });
 }
 
-storage::QuotaShare QuotaExchange::grantFor(ClusterState& clusterState, const Job& job,
-                                            const config::Team& team,
-                                            const protocol::QuotaRequest& request) const {
+storage::QuotaShare QuotaExchange::computeGrant(ClusterState& clusterState, const Job& job,
+                                                const config::Team& team,
+                                                const protocol::QuotaRequest& request) const {
     const std::uint32_t tasks =
         job.spec.tasks - std::min(job.spec.tasks, job.doneTasks() + job.allocatedTasks());
-    const auto borrowers = quotas_.remainingQuota(clusterState, team.name, request.borrower);
-    const auto lenders = quotas_.remainingQuota(clusterState, team.name, request.lender);
-    const auto granted = [tasks](double each, double has, double left) {
-        return std::clamp(each * tasks - std::max(0.0, has), 0.0, std::max(0.0, left));
+    const auto borrowerRemaining =
+        quotas_.remainingQuota(clusterState, team.name, request.borrower);
+    const auto lenderRemaining = quotas_.remainingQuota(clusterState, team.name, request.lender);
+    const auto grantAmount = [tasks](double perTask, double borrowerLeft, double lenderLeft) {
+        return std::clamp(perTask * tasks - std::max(0.0, borrowerLeft), 0.0,
+                          std::max(0.0, lenderLeft));
     };
-    storage::QuotaShare moved;
-    if (team.cpusMax > 0) moved.cpus = granted(job.spec.each.cpus, borrowers.cpus, lenders.cpus);
-    if (team.gpusMax > 0) moved.gpus = granted(job.spec.each.gpus, borrowers.gpus, lenders.gpus);
-    return moved;
+    storage::QuotaShare amount;
+    if (team.cpusMax > 0)
+        amount.cpus = grantAmount(job.spec.each.cpus, borrowerRemaining.cpus, lenderRemaining.cpus);
+    if (team.gpusMax > 0)
+        amount.gpus = grantAmount(job.spec.each.gpus, borrowerRemaining.gpus, lenderRemaining.gpus);
+    return amount;
 }
 
 bool QuotaExchange::isNeededByLender(const ClusterState& clusterState, const Job& job,
@@ -93,20 +98,20 @@
 
 std::optional<QuotaExchange::QuotaTransfer> QuotaExchange::beginTransfer(
     ClusterState& clusterState, const config::Team& team, std::uint32_t from, std::uint32_t to,
-    storage::QuotaShare moved) {
+    storage::QuotaShare amount) {
     if (clusterState.outgoingQuotas.contains(team.name)) return std::nullopt;
-    std::map<std::uint32_t, storage::QuotaShare> next;
+    std::map<std::uint32_t, storage::QuotaShare> newShares;
     for (PartitionId partition = 0; partition < context_.partitionCount(); ++partition)
-        next[partition] = quotas_.quotaShareOf(clusterState, team, partition);
-    next[from].cpus -= moved.cpus;
-    next[from].gpus -= moved.gpus;
-    next[to].cpus += moved.cpus;
-    next[to].gpus += moved.gpus;
-    clusterState.outgoingQuotas[team.name] = {from, moved};
+        newShares[partition] = quotas_.quotaShareOf(clusterState, team, partition);
+    newShares[from].cpus -= amount.cpus;
+    newShares[from].gpus -= amount.gpus;
+    newShares[to].cpus += amount.cpus;
+    newShares[to].gpus += amount.gpus;
+    clusterState.outgoingQuotas[team.name] = {from, amount};
     const auto key = storage::keys::quota(team.name);
     return QuotaTransfer{team.name,
                          {key, clusterState.quotaVersions[team.name]},
-                         {key, storage::quotaValue(next), 0}};
+                         {key, storage::quotaValue(newShares), 0}};
 }
 
 void QuotaExchange::finishTransfer(ClusterState& clusterState, const QuotaTransfer& transfer,
--- a/src/coordination/scheduling/quota_exchange.h
+++ b/src/coordination/scheduling/quota_exchange.h
@@ -1,5 +1,5 @@
 /// @file
-/// Moves quota shares of teams' limits between partitions.
+/// Transfers shares of teams' quotas between partitions.
 #pragma once
 
 #include "coordination/membership/membership.h"
@@ -11,8 +11,9 @@
 
 namespace fawnwheel::coordination {
 
-/// Requests and grants quota shares. The shares always add up to the limit: the giving partition
-/// reduces its own before the change is sent, the receiving one uses it once it is recorded.
+/// Requests and grants quota shares. The shares of a team always add up to its limit: the lender
+/// stops using the transferred quota before the change is sent, and the borrower uses it only after
+/// the change is recorded.
 class QuotaExchange {
   public:
     QuotaExchange(Context& context, Membership& membership, TransactionPipeline& pipeline,
@@ -23,36 +24,39 @@
           quotas_(quotas),
           queueOrder_(queueOrder) {}
 
-    /// Asks the other partitions' leaders for what the first job lacks that only the partition's
-    /// quota share keeps waiting.
+    /// Requests quota from the leaders of the other partitions for the first job in the list that
+    /// only waits because its team's quota share in the partition is used up.
     void requestQuota(PartitionId partition, const std::vector<UnschedulableWork>& unschedulable);
-    /// Gives what the job lacks and the lending partition doesn't need for work that goes before
-    /// it. Ignores requests of nodes that don't lead the borrowing partition.
+    /// Transfers the quota that the job lacks, unless the lending partition has work of the same
+    /// team that precedes the job. Ignores requests of nodes that do not lead the borrowing
+    /// partition.
     void onQuotaRequest(const std::string& peer, const protocol::QuotaRequest& request);
 
-    /// A change of a team's quota shares, to be carried out in some transaction of the giving
-    /// partition.
+    /// A change of a team's quota shares, to be added to a transaction of the lending partition.
     struct QuotaTransfer {
         std::string team;
         protocol::Compare compare;
         protocol::Write change;
     };
-    /// Begins a transfer. From now on the giving partition does not use what is moved, whatever
-    /// becomes of the change. None: another change of the team's shares has no outcome yet.
+    /// Begins a transfer. From now on the lending partition does not use the amount, whether
+    /// or not the change succeeds, until `finishTransfer` is called. None if the outcome of another
+    /// change of the team's shares is not known yet.
     [[nodiscard]] std::optional<QuotaTransfer> beginTransfer(ClusterState& clusterState,
                                                              const config::Team& team,
                                                              std::uint32_t from, std::uint32_t to,
-                                                             storage::QuotaShare moved);
-    /// Ends a transfer: its transaction has this outcome.
+                                                             storage::QuotaShare amount);
+    /// Ends a transfer whose transaction had this outcome. If it was committed, applies the new
+    /// shares.
     void finishTransfer(ClusterState& clusterState, const QuotaTransfer& transfer,
                         CommitResult result, std::uint64_t revision);
 
   private:
-    // How much of the lender's share the job's remaining tasks lack on the borrower.
-    [[nodiscard]] storage::QuotaShare grantFor(ClusterState& clusterState, const Job& job,
-                                               const config::Team& team,
-                                               const protocol::QuotaRequest& request) const;
-    // Whether the lending partition has work of the job's team that goes before it.
+    // How much of the lender's remaining quota the job's remaining tasks need in addition to the
+    // borrower's.
+    [[nodiscard]] storage::QuotaShare computeGrant(ClusterState& clusterState, const Job& job,
+                                                   const config::Team& team,
+                                                   const protocol::QuotaRequest& request) const;
+    // Whether the lending partition has waiting work of the same team that precedes the job.
     [[nodiscard]] bool isNeededByLender(const ClusterState& clusterState, const Job& job,
                                         std::uint32_t lender) const;
 
@@ -61,7 +65,7 @@
     TransactionPipeline& pipeline_;
     const TeamQuotas& quotas_;
     const QueueOrder& queueOrder_;
-    RequestThrottle throttle_;  // by job
+    RequestThrottle throttle_;  // keyed by job id
 };
 
 }  // namespace fawnwheel::coordination
--- a/src/coordination/scheduling/request_throttle.h
+++ b/src/coordination/scheduling/request_throttle.h
@@ -1,5 +1,5 @@
 /// @file
-/// Limits how often peers are asked for the same thing.
+/// Limits how often the same request is sent to peers.
 #pragma once
 
 #include <map>
@@ -9,19 +9,19 @@
 
 namespace fawnwheel::coordination {
 
-/// Remembers when each thing was last asked for.
+/// Remembers when a request was last sent for each key.
 class RequestThrottle {
   public:
-    /// Whether a request may be sent now; if so, it counts as sent. True once in a pause, in which
-    /// the answer shows in the records.
-    [[nodiscard]] bool tryAcquire(const std::string& what, transport::SteadyTime now) {
+    /// Whether a request may be sent now; if so, records it as sent. True at most once per key and
+    /// `minInterval`, during which the effect of the request appears in the records.
+    [[nodiscard]] bool tryAcquire(const std::string& key, transport::SteadyTime now) {
         std::erase_if(requestedAt_,
-                      [now](const auto& entry) { return now - entry.second >= pause; });
-        return requestedAt_.emplace(what, now).second;
+                      [now](const auto& entry) { return now - entry.second >= minInterval; });
+        return requestedAt_.emplace(key, now).second;
     }
 
   private:
-    static constexpr std::chrono::seconds pause{2};
+    static constexpr std::chrono::seconds minInterval{2};
 
     std::map<std::string, transport::SteadyTime> requestedAt_;
 };
--- a/src/coordination/scheduling/team_quotas.cpp
+++ b/src/coordination/scheduling/team_quotas.cpp
@@ -16,22 +16,24 @@
                                              const config::Team& team,
                                              PartitionId partition) const {
     const auto partitions = static_cast<double>(context_.partitionCount());
-    storage::QuotaShare quota{team.cpusMax / partitions, team.gpusMax / partitions};
-    const auto known = clusterState.quotas.find(team.name);
-    if (known == clusterState.quotas.end() || !known->second.contains(partition)) return quota;
+    storage::QuotaShare equalShare{team.cpusMax / partitions, team.gpusMax / partitions};
+    const auto recordedShares = clusterState.quotas.find(team.name);
+    if (recordedShares == clusterState.quotas.end() || !recordedShares->second.contains(partition))
+        return equalShare;
     storage::QuotaShare total;
-    for (const auto& [number, recorded] : known->second) {
+    for (const auto& [number, recorded] : recordedShares->second) {
         total.cpus += recorded.cpus;
         total.gpus += recorded.gpus;
     }
-    const auto& own = known->second.at(partition);
-    // Recorded for another limit or other partitions: the lesser of both never exceeds the limit.
-    const bool fits = known->second.size() == context_.partitionCount() &&
-                      std::abs(total.cpus - team.cpusMax) < quotaTolerance &&
-                      std::abs(total.gpus - team.gpusMax) < quotaTolerance;
-    return fits ? own
-                : storage::QuotaShare{std::min(quota.cpus, own.cpus),
-                                      std::min(quota.gpus, own.gpus)};
+    const auto& own = recordedShares->second.at(partition);
+    // The recorded shares may belong to another limit or number of partitions. Using the smaller of
+    // the recorded and the equal share keeps the total within the limit.
+    const bool isCurrent = recordedShares->second.size() == context_.partitionCount() &&
+                           std::abs(total.cpus - team.cpusMax) < quotaTolerance &&
+                           std::abs(total.gpus - team.gpusMax) < quotaTolerance;
+    return isCurrent ? own
+                     : storage::QuotaShare{std::min(equalShare.cpus, own.cpus),
+                                           std::min(equalShare.gpus, own.gpus)};
 }
 
 Resources TeamQuotas::remainingQuota(ClusterState& clusterState, const std::string& name,
@@ -41,10 +43,10 @@
     if (team == nullptr) return left;
     const auto used = clusterState.usedBy(name, partition);
     auto quota = quotaShareOf(clusterState, *team, partition);
-    if (const auto leaving = clusterState.outgoingQuotas.find(name);
-        leaving != clusterState.outgoingQuotas.end() && leaving->second.partition == partition) {
-        quota.cpus -= leaving->second.quota.cpus;
-        quota.gpus -= leaving->second.quota.gpus;
+    if (const auto outgoing = clusterState.outgoingQuotas.find(name);
+        outgoing != clusterState.outgoingQuotas.end() && outgoing->second.partition == partition) {
+        quota.cpus -= outgoing->second.quota.cpus;
+        quota.gpus -= outgoing->second.quota.gpus;
     }
     if (team->cpusMax > 0) left.cpus = quota.cpus - used.cpus;
     if (team->gpusMax > 0) left.gpus = quota.gpus - used.gpus;
--- a/src/coordination/scheduling/team_quotas.h
+++ b/src/coordination/scheduling/team_quotas.h
@@ -1,24 +1,27 @@
 /// @file
-/// Teams' limits: the partition's share of each, what is left of it, and guarantees.
+/// Teams' quotas: a partition's share of the limit, the unused part of it, and guarantees.
 #pragma once
 
 #include "coordination/context.h"
 
 namespace fawnwheel::coordination {
 
-/// Reads quota shares and their use from the cluster state. `QuotaExchange` changes them.
+/// Reads quota shares and their usage from the cluster state. `QuotaExchange` changes the shares.
 class TeamQuotas {
   public:
     explicit TeamQuotas(const Context& context) : context_(context) {}
 
-    /// What the partition may still use of the team's limit. Without a limit: practically endless.
+    /// The unused part of the partition's share of the team's limit; a very large amount if the
+    /// team has no limit.
     [[nodiscard]] Resources remainingQuota(ClusterState& clusterState, const std::string& team,
                                            PartitionId partition) const;
-    /// The partition's share of the team's limit. As long as none is recorded, an equal one.
+    /// The partition's share of the team's limit. Until shares are recorded, all partitions have
+    /// equal ones.
     [[nodiscard]] storage::QuotaShare quotaShareOf(const ClusterState& clusterState,
                                                    const config::Team& team,
                                                    PartitionId partition) const;
-    /// Whether what the job's team uses, with one more task of it, lies within its guarantee.
+    /// Whether the team's usage in all partitions plus one more task of the job is within the
+    /// team's guarantee.
     [[nodiscard]] bool withinGuarantee(const ClusterState& clusterState, const Job& job) const;
 
   private:
