--- a/tests/loopback/loopback_main.cpp
+++ b/tests/loopback/loopback_main.cpp
@@ -20,9 +20,9 @@
 constexpr int machines = 12;
 constexpr Time lease{30};
 constexpr Time cancelLimit{60};
-constexpr Time quietAtEnd{20};    // without kills, until all that was submitted should be done
-constexpr Time lastWork{30};      // before the end nothing more is submitted
-constexpr Time residentsEnd{45};  // so long before the end
+constexpr Time killFreePeriod{20};   // without kills, until all that was submitted should be done
+constexpr Time submissionEnd{30};    // before the end nothing more is submitted
+constexpr Time residentJobsEnd{45};  // so long before the end
 constexpr int residentJobs = 6;
 constexpr int gangsInWave = 3;  // at once, so that they begin with different controllers
 constexpr double wavePeriod = 9;
@@ -47,23 +47,24 @@
 
 // Tasks that stay keep every machine from being lent; gangs that need more machines than one
 // controller has make them move.
-void plan(sim::World& world, Time length, std::uint64_t seed) {
+void scheduleEvents(sim::Simulation& simulation, Time length, std::uint64_t seed) {
     std::mt19937_64 rng(seed);
     const auto between = [&rng](double least, double most) {
         return std::uniform_real_distribution<>(least, most)(rng);
     };
-    for (int i = 0; i < machines; ++i) world.addMachine("large", "a", false);
-    const auto submit = [&world](Time at, const protocol::JobSpec& spec, Time runs) {
-        world.at(at, [&world, spec, runs] { world.submit(spec, runs, false); });
+    for (int i = 0; i < machines; ++i) simulation.addMachine("large", "a", false);
+    const auto submit = [&simulation](Time at, const protocol::JobSpec& spec, Time runs) {
+        simulation.at(at, [&simulation, spec, runs] { simulation.submit(spec, runs, false); });
     };
-    const Time residents = length - residentsEnd;
+    const Time residents = length - residentJobsEnd;
     for (int i = 0; i < residentJobs; ++i)
         submit(Time(3),
                makeJob(fmt::format("run-r{}", i), protocol::JobKind::array, machines / residentJobs,
                        {1, 0, 70}),
                residents);
     int wave = 0;
-    for (Time at(16); at < length - lastWork; at += Time(between(0.7, 1.3) * wavePeriod), ++wave) {
+    for (Time at(16); at < length - submissionEnd;
+         at += Time(between(0.7, 1.3) * wavePeriod), ++wave) {
         for (int i = 0; i < gangsInWave; ++i) {
             const auto tasks = static_cast<std::uint32_t>(between(3, 6));
             submit(at,
@@ -75,31 +76,32 @@
                makeJob(fmt::format("run-a{}", wave), protocol::JobKind::array, 8, {2, 0, 2}),
                Time(4));
     }
-    for (Time at(16); at < length - lastWork - quietAtEnd;
+    for (Time at(16); at < length - submissionEnd - killFreePeriod;
          at += Time(between(0.5, 1.5) * killPeriod)) {
         const int node = static_cast<int>(between(0, nodes));
         const Time down(between(0, 1) < 0.5 ? between(0.05, 0.8) : between(2, 7));
-        world.at(at, [&world, node, down] { world.kill(node, down); });
+        simulation.at(at, [&simulation, node, down] { simulation.kill(node, down); });
     }
 }
 
-int report(const sim::World& world, int endedThemselves, std::vector<std::string> breaches) {
-    const auto& figures = world.transferFigures();
-    const auto perMove = [&figures](double total) {
-        return total / std::max(1.0, static_cast<double>(figures.moves));
+int report(const sim::Simulation& simulation, int unexpectedExits,
+           std::vector<std::string> violations) {
+    const auto& figures = simulation.transferStats();
+    const auto perTransfer = [&figures](double total) {
+        return total / std::max(1.0, static_cast<double>(figures.transfers));
     };
     std::cout << fmt::format(
         "{} moves with {} tasks, {:.1f} changes a move; until the new owner is heard {:.2f} s on "
         "average, {:.2f} s at most; longest pause of reports around a move {:.2f} s\n",
-        figures.moves, figures.moved, perMove(static_cast<double>(figures.writes)),
-        figures.untilHeard.count() / std::max(1.0, static_cast<double>(figures.heard)),
-        figures.longestUntilHeard.count(), figures.longestPause.count());
-    if (endedThemselves > 0)
-        breaches.push_back(fmt::format("{} controllers ended by themselves", endedThemselves));
-    if (figures.moves == 0) breaches.emplace_back("no machine changed hands");
-    for (const auto& breach : breaches) std::cout << breach << '\n';
-    std::cout << (breaches.empty() ? "passed" : "failed") << '\n';
-    return breaches.empty() ? 0 : 1;
+        figures.transfers, figures.tasksMoved, perTransfer(static_cast<double>(figures.writes)),
+        figures.totalResponseDelay.count() / std::max(1.0, static_cast<double>(figures.responses)),
+        figures.maxResponseDelay.count(), figures.maxHeartbeatGap.count());
+    if (unexpectedExits > 0)
+        violations.push_back(fmt::format("{} controllers ended by themselves", unexpectedExits));
+    if (figures.transfers == 0) violations.emplace_back("no machine changed hands");
+    for (const auto& breach : violations) std::cout << breach << '\n';
+    std::cout << (violations.empty() ? "passed" : "failed") << '\n';
+    return violations.empty() ? 0 : 1;
 }
 
 int run(const std::string& daemon, const std::string& operatorFile, Time length, std::uint64_t seed,
@@ -111,14 +113,14 @@
     team.cpusMax = machines * 32.0;
     loopback::Processes processes(
         {daemon, operatorFile, directory, nodes, {"a"}, {team}, lease, cancelLimit});
-    sim::WorldSpec spec;
+    sim::SimulationSpec spec;
     spec.seed = seed;
     spec.nodes = nodes;
     spec.zones = {"a"};
     spec.teams = {team};
     spec.lease = lease;
     spec.cancel = cancelLimit;
-    spec.outside = &processes;
+    spec.externalNodes = &processes;
     sim::TypeSpec type;
     type.type.name = "large";
     type.type.capacity = {32, 0, 128};
@@ -130,14 +132,15 @@
     type.capacity = machines;
     type.spotCapacity = 0;
     spec.types = {type};
-    sim::World world(spec);
-    world.checker().watchTransfers();
-    plan(world, length, seed);
-    processes.play(world, length);
-    world.finish();
-    auto breaches = world.checker().breaches();
-    for (const auto& job : world.unfinished()) breaches.push_back(job + " was not done at the end");
-    const int result = report(world, processes.endedThemselves(), std::move(breaches));
+    sim::Simulation simulation(spec);
+    simulation.checker().forbidTransferDisruptions();
+    scheduleEvents(simulation, length, seed);
+    processes.runFor(simulation, length);
+    simulation.finish();
+    auto violations = simulation.checker().violations();
+    for (const auto& job : simulation.unfinished())
+        violations.push_back(job + " was not done at the end");
+    const int result = report(simulation, processes.unexpectedExits(), std::move(violations));
     if (result == 0 && !keepLogs)
         std::filesystem::remove_all(directory);
     else
--- a/tests/loopback/processes.cpp
+++ b/tests/loopback/processes.cpp
@@ -106,9 +106,9 @@
     return std::make_unique<transport::HttpServer>(
         loop_, address, manyConnections,
         [this, from, host](const transport::HttpRequest& request, transport::HttpReply reply) {
-            if (world_ == nullptr) return reply({503, {}, 0});
+            if (simulation_ == nullptr) return reply({503, {}, 0});
             advance();
-            world_->serveOutside(from, host, request, std::move(reply));
+            simulation_->serveExternal(from, host, request, std::move(reply));
         });
 }
 
@@ -158,23 +158,23 @@
                  });
 }
 
-void Processes::recordEnded() {
+void Processes::recordUnexpectedExits() {
     for (auto& process : processes_) {
         if (process.pid < 0 || ::waitpid(process.pid, nullptr, WNOHANG) != process.pid) continue;
         process.pid = -1;
-        ++endedThemselves_;
+        ++unexpectedExits_;
     }
 }
 
 void Processes::advance() {
-    world_->advance(sim::Time(loop_.now() - began_));
+    simulation_->advance(sim::Time(loop_.now() - began_));
 }
 
-void Processes::play(sim::World& world, sim::Time length) {
-    world_ = &world;
+void Processes::runFor(sim::Simulation& simulation, sim::Time length) {
+    simulation_ = &simulation;
     began_ = loop_.now();
     std::function<void()> step = [&] {
-        recordEnded();
+        recordUnexpectedExits();
         if (sim::Time(loop_.now() - began_) >= length) return loop_.stop();
         advance();
         loop_.after(advancePeriod, step);
@@ -182,7 +182,7 @@
     step();
     loop_.run();
     for (int i = 0; i < spec_.nodes; ++i) kill(i);
-    world_ = nullptr;
+    simulation_ = nullptr;
 }
 
 }  // namespace fawnwheel::loopback
--- a/tests/loopback/processes.h
+++ b/tests/loopback/processes.h
@@ -4,7 +4,7 @@
 
 #include <sys/types.h>
 
-#include "sim/world.h"
+#include "sim/simulation.h"
 #include "transport/http_client.h"
 #include "transport/http_server.h"
 #include "transport/loop.h"
@@ -22,7 +22,7 @@
     sim::Time cancel{60};
 };
 
-class Processes final : public sim::OutsideNodes {
+class Processes final : public sim::ExternalNodes {
   public:
     explicit Processes(ProcessSpec spec);
     ~Processes() override;
@@ -37,9 +37,9 @@
     std::string addressOf(const std::string& machine) override;
 
     // Plays the world in real time for so long, then ends the processes.
-    void play(sim::World& world, sim::Time length);
+    void runFor(sim::Simulation& simulation, sim::Time length);
     // Processes that ended without being killed.
-    [[nodiscard]] int endedThemselves() const { return endedThemselves_; }
+    [[nodiscard]] int unexpectedExits() const { return unexpectedExits_; }
 
   private:
     struct Process {
@@ -57,12 +57,12 @@
                                                                const std::string& from,
                                                                const std::string& host);
     void advance();
-    void recordEnded();
+    void recordUnexpectedExits();
 
     ProcessSpec spec_;
     transport::Loop loop_;
     transport::HttpClient client_;
-    sim::World* world_ = nullptr;
+    sim::Simulation* simulation_ = nullptr;
     transport::SteadyTime began_{};
     std::string cloud_;
     std::unique_ptr<transport::HttpServer> cloudServer_;
@@ -72,7 +72,7 @@
         std::unique_ptr<transport::HttpServer> server;
     };
     std::map<std::string, Machine> machines_;
-    int endedThemselves_ = 0;
+    int unexpectedExits_ = 0;
 };
 
 }  // namespace fawnwheel::loopback
--- a/tests/sim/checker.cpp
+++ b/tests/sim/checker.cpp
@@ -8,16 +8,16 @@
 
 namespace {
 
-constexpr Time longestSilence{75};
-constexpr Time latestBegin{240};
-constexpr Time longestWait{90};
-constexpr Time longestPartly{75};  // gangs whose tasks wait in vain give up sooner
-constexpr Time disturbance{60};    // after a move, what ends a task may come of it
+constexpr Time responseTimeout{75};
+constexpr Time startTimeout{240};
+constexpr Time waitTimeout{90};
+constexpr Time partialGangTimeout{75};    // gangs whose tasks wait in vain give up sooner
+constexpr Time transferEffectWindow{60};  // after a move, what ends a task may come of it
 
 }  // namespace
 
-void Checker::breach(const std::string& rule, const std::string& what) {
-    breaches_.push_back(rule + ": " + what);
+void Checker::addViolation(const std::string& rule, const std::string& what) {
+    violations_.push_back(rule + ": " + what);
 }
 
 void Checker::submitted(const protocol::JobSpec& spec, Time at) {
@@ -25,82 +25,82 @@
     jobs_[spec.id].submittedAt = at;
 }
 
-void Checker::askedToCancel(const std::string& job) {
-    jobs_[job].cancelAsked = true;
+void Checker::cancelRequested(const std::string& job) {
+    jobs_[job].cancelRequested = true;
 }
 
 void Checker::started(const std::string& id, std::uint32_t task, const Place& place, Time at) {
     ++starts_;
-    JobTruth& job = jobs_[id];
-    if (!job.begunAt) job.begunAt = at;
+    TrackedJob& job = jobs_[id];
+    if (!job.firstStartAt) job.firstStartAt = at;
     const auto name = id + "/" + std::to_string(task);
     for (const auto& dependency : job.spec.dependencies)
-        if (!truthDone(dependency))
-            breach("too_early", fmt::format("{} before {}", name, dependency));
-    for (const auto& [machine, other] : job.on[task])
+        if (!allTasksDone(dependency))
+            addViolation("too_early", fmt::format("{} before {}", name, dependency));
+    for (const auto& [machine, other] : job.placements[task])
         if (machine != place.machine)
-            breach("ran_twice", fmt::format("{} on {} and {}", name, machine, place.machine));
+            addViolation("ran_twice", fmt::format("{} on {} and {}", name, machine, place.machine));
     const auto& spec = job.spec;
     if ((spec.types &&
          std::find(spec.types->begin(), spec.types->end(), place.type) == spec.types->end()) ||
         (spec.zone && *spec.zone != place.zone) || (place.spot && !spec.spot))
-        breach("wrong_place", name + " on " + place.machine);
+        addViolation("wrong_place", name + " on " + place.machine);
     std::uint32_t sameZone = 1;
-    for (const auto& [other, places] : job.on) {
+    for (const auto& [other, places] : job.placements) {
         for (const auto& [machine, where] : places) {
             if (other == task && machine == place.machine) continue;
             if (where.zone == place.zone)
                 ++sameZone;
             else if (spec.oneZone)
-                breach("wrong_place", name + " away from its job's zone");
+                addViolation("wrong_place", name + " away from its job's zone");
         }
     }
     if (spec.spread && sameZone > (spec.tasks + 1) / 2)
-        breach("wrong_place", name + " one too many in " + place.zone);
+        addViolation("wrong_place", name + " one too many in " + place.zone);
     if (job.final == "cancelled") ++startsAfterCancel_;
-    if (job.final == "cancelled" && at > job.cancelledAt + cancelLimit_)
-        breach("ran_cancelled", name + " started");
-    job.on[task][place.machine] = place;
+    if (job.final == "cancelled" && at > job.terminalReportedAt + cancelLimit_)
+        addViolation("ran_cancelled", name + " started");
+    job.placements[task][place.machine] = place;
     for (const auto& team : teams_) {
         if (team.name != spec.team) continue;
         protocol::Resources used;
-        for (const auto& [other, truth] : jobs_)
-            if (truth.spec.team == team.name)
-                for (const auto& [index, places] : truth.on)
-                    for (std::size_t i = 0; i < places.size(); ++i) used += truth.spec.each;
+        for (const auto& [other, trackedJob] : jobs_)
+            if (trackedJob.spec.team == team.name)
+                for (const auto& [index, places] : trackedJob.placements)
+                    for (std::size_t i = 0; i < places.size(); ++i) used += trackedJob.spec.each;
         if ((team.cpusMax > 0 && used.cpus > team.cpusMax + 1e-6) ||
             (team.gpusMax > 0 && used.gpus > team.gpusMax + 1e-6))
-            breach("quota", team.name + " with " + name);
+            addViolation("quota", team.name + " with " + name);
     }
 }
 
 void Checker::ended(const std::string& id, std::uint32_t task, const std::string& machine,
                     bool completed, Time at) {
-    JobTruth& job = jobs_[id];
-    job.on[task].erase(machine);
+    TrackedJob& job = jobs_[id];
+    job.placements[task].erase(machine);
     if (!completed) return;
     job.done.insert(task);
-    if (truthDone(id) && !job.doneAt) job.doneAt = at;
+    if (allTasksDone(id) && !job.doneAt) job.doneAt = at;
 }
 
-std::vector<const Checker::JobTruth*> Checker::ancestors(const JobTruth& job) const {
-    std::vector<const JobTruth*> found;
+std::vector<const Checker::TrackedJob*> Checker::ancestors(const TrackedJob& job) const {
+    std::vector<const TrackedJob*> found;
     std::set<std::string> seen;
-    std::vector<const JobTruth*> open{&job};
+    std::vector<const TrackedJob*> open{&job};
     while (!open.empty()) {
-        const JobTruth& next = *open.back();
+        const TrackedJob& next = *open.back();
         open.pop_back();
         for (const auto& id : next.spec.dependencies) {
-            const auto truth = jobs_.find(id);
-            if (truth == jobs_.end() || !seen.insert(id).second) continue;
-            found.push_back(&truth->second);
-            open.push_back(&truth->second);
+            const auto trackedJob = jobs_.find(id);
+            if (trackedJob == jobs_.end() || !seen.insert(id).second) continue;
+            found.push_back(&trackedJob->second);
+            open.push_back(&trackedJob->second);
         }
     }
     return found;
 }
 
-std::optional<Time> Checker::readyAt(const JobTruth& job) const {
+std::optional<Time> Checker::readyAt(const TrackedJob& job) const {
     Time ready = job.submittedAt;
     for (const auto& id : job.spec.dependencies) {
         const auto found = jobs_.find(id);
@@ -110,146 +110,151 @@
     return ready;
 }
 
-void Checker::checkOrphaned(const std::string& id, const JobTruth& job, Time given) {
+void Checker::checkOrphaned(const std::string& id, const TrackedJob& job, Time generatedAt) {
     for (const auto* ancestor : ancestors(job))
-        if (ancestor->final == "cancelled" && given > ancestor->cancelledAt + cancelLimit_)
-            return breach("orphaned", id + " although " + ancestor->spec.id + " is cancelled");
+        if (ancestor->final == "cancelled" &&
+            generatedAt > ancestor->terminalReportedAt + cancelLimit_)
+            return addViolation("orphaned",
+                                id + " although " + ancestor->spec.id + " is cancelled");
 }
 
-void Checker::answered(const std::string& machine, const std::string& node,
-                       std::uint64_t fencingToken) {
-    const auto& leader = tokens_.try_emplace({machine, fencingToken}, node).first->second;
+void Checker::responseAccepted(const std::string& machine, const std::string& node,
+                               std::uint64_t fencingToken) {
+    const auto& leader = tokenIssuers_.try_emplace({machine, fencingToken}, node).first->second;
     if (leader != node)
-        breach("two_owners",
-               fmt::format("{} by {} and {} with token {}", machine, leader, node, fencingToken));
+        addViolation("two_owners", fmt::format("{} by {} and {} with token {}", machine, leader,
+                                               node, fencingToken));
 }
 
-void Checker::changedHands(const std::string& job, std::uint32_t task, const std::string&,
-                           Time at) {
-    handedOver_[{job, task}] = at;
+void Checker::machineTransferred(const std::string& job, std::uint32_t task, const std::string&,
+                                 Time at) {
+    transferredAt_[{job, task}] = at;
 }
 
-void Checker::disturbed(const std::string& id, std::uint32_t task, const std::string& machine,
-                        const std::string& why, Time at) {
-    const auto moved = handedOver_.find({id, task});
-    if (!watchesMoves_ || moved == handedOver_.end() || jobs_[id].cancelAsked ||
-        at - moved->second > disturbance)
+void Checker::endedIncomplete(const std::string& id, std::uint32_t task, const std::string& machine,
+                              const std::string& why, Time at) {
+    const auto moved = transferredAt_.find({id, task});
+    if (!transferDisruptionsForbidden_ || moved == transferredAt_.end() ||
+        jobs_[id].cancelRequested || at - moved->second > transferEffectWindow)
         return;
-    breach("disturbed", fmt::format("{}/{} on {} {:.1f} s after it changed hands: {}", id, task,
-                                    machine, (at - moved->second).count(), why));
+    addViolation("disturbed", fmt::format("{}/{} on {} {:.1f} s after it changed hands: {}", id,
+                                          task, machine, (at - moved->second).count(), why));
 }
 
-void Checker::checkPartlyPlaced(const std::string& id, JobTruth& job, Time at) {
+void Checker::checkPartiallyPlaced(const std::string& id, TrackedJob& job, Time at) {
     if (job.spec.kind != protocol::JobKind::gang) return;
-    const auto placed = static_cast<std::uint32_t>(std::count_if(
-        job.on.begin(), job.on.end(), [](const auto& entry) { return !entry.second.empty(); }));
-    if (placed == 0 || placed == job.spec.tasks || at < quietSince_) return job.partlySince.reset();
-    if (!job.partlySince) job.partlySince = at;
-    if (at - *job.partlySince <= longestPartly) return;
-    breach("partly_placed", fmt::format("{}: {} of {} tasks", id, placed, job.spec.tasks));
-    job.partlySince = at;
+    const auto placed = static_cast<std::uint32_t>(
+        std::count_if(job.placements.begin(), job.placements.end(),
+                      [](const auto& entry) { return !entry.second.empty(); }));
+    if (placed == 0 || placed == job.spec.tasks || at < faultFreeSince_)
+        return job.partiallyPlacedSince.reset();
+    if (!job.partiallyPlacedSince) job.partiallyPlacedSince = at;
+    if (at - *job.partiallyPlacedSince <= partialGangTimeout) return;
+    addViolation("partly_placed", fmt::format("{}: {} of {} tasks", id, placed, job.spec.tasks));
+    job.partiallyPlacedSince = at;
 }
 
 void Checker::tick(Time at) {
     for (auto& [id, job] : jobs_) {
-        checkPartlyPlaced(id, job, at);
-        if (job.final != "cancelled" || at <= job.cancelledAt + cancelLimit_) continue;
-        for (const auto& [task, places] : job.on)
+        checkPartiallyPlaced(id, job, at);
+        if (job.final != "cancelled" || at <= job.terminalReportedAt + cancelLimit_) continue;
+        for (const auto& [task, places] : job.placements)
             if (!places.empty())
-                breach("ran_cancelled", id + "/" + std::to_string(task) + " still there");
-        job.on.clear();
+                addViolation("ran_cancelled", id + "/" + std::to_string(task) + " still there");
+        job.placements.clear();
     }
 }
 
-void Checker::placed(const std::string& job, std::uint32_t task, const std::string& machine,
-                     bool claimed, Time allowance, Time at) {
+void Checker::observePlacement(const std::string& job, std::uint32_t task,
+                               const std::string& machine, bool recorded, Time allowance, Time at) {
     const auto name = job + "/" + std::to_string(task) + " on " + machine;
-    if (claimed) {
-        unclaimedSince_.erase(name);
+    if (recorded) {
+        unallocatedSince_.erase(name);
         return;
     }
-    auto& since = unclaimedSince_.try_emplace(name, at).first->second;
-    since = std::max(since, quietSince_);
+    auto& since = unallocatedSince_.try_emplace(name, at).first->second;
+    since = std::max(since, faultFreeSince_);
     if (at - since <= allowance) return;
-    breach("orphaned", name + " runs without a claim");
+    addViolation("orphaned", name + " runs without a claim");
     since = at;
 }
 
-void Checker::waiting(const std::string& id, bool couldStart, Time at) {
+void Checker::observeWaiting(const std::string& id, bool couldStart, Time at) {
     const auto found = jobs_.find(id);
     if (found == jobs_.end() || !found->second.accepted) return;
-    JobTruth& job = found->second;
-    if (!couldStart || job.cancelAsked) return job.waitsSince.reset();
-    const auto since = std::max(job.waitsSince.value_or(at), quietSince_);
-    job.waitsSince = since;
-    if (at - since <= longestWait) return;
-    breach("left_waiting", id + " although there is room for it");
-    job.waitsSince = at;
+    TrackedJob& job = found->second;
+    if (!couldStart || job.cancelRequested) return job.startableSince.reset();
+    const auto since = std::max(job.startableSince.value_or(at), faultFreeSince_);
+    job.startableSince = since;
+    if (at - since <= waitTimeout) return;
+    addViolation("left_waiting", id + " although there is room for it");
+    job.startableSince = at;
 }
 
-bool Checker::truthDone(const std::string& id) const {
+bool Checker::allTasksDone(const std::string& id) const {
     const auto found = jobs_.find(id);
     return found != jobs_.end() && found->second.done.size() == found->second.spec.tasks;
 }
 
-void Checker::told(const std::string& id, const std::string& state, Time at, Time given) {
-    if (bad_.contains(id)) return breach("accepted_bad", id + " is called " + state);
+void Checker::statusReported(const std::string& id, const std::string& state, Time at,
+                             Time generatedAt) {
+    if (invalidJobs_.contains(id)) return addViolation("accepted_bad", id + " is called " + state);
     const auto found = jobs_.find(id);
     if (found == jobs_.end() || found->second.spec.tasks == 0)
-        return breach("invented", id + " is called " + state);
-    JobTruth& job = found->second;
+        return addViolation("invented", id + " is called " + state);
+    TrackedJob& job = found->second;
     job.accepted = true;
-    job.answeredAt = at;
+    job.lastResponseAt = at;
     if (state == "done" && job.done.size() < job.spec.tasks)
-        breach("not_done", id + " with " + std::to_string(job.done.size()) + " tasks done");
-    if (!job.final.empty() && state != job.final && given >= job.cancelledAt)
-        breach("went_back", id + " was " + job.final + ", is " + state);
-    if (state == "cancelled" && !job.cancelAsked) {
+        addViolation("not_done", id + " with " + std::to_string(job.done.size()) + " tasks done");
+    if (!job.final.empty() && state != job.final && generatedAt >= job.terminalReportedAt)
+        addViolation("went_back", id + " was " + job.final + ", is " + state);
+    if (state == "cancelled" && !job.cancelRequested) {
         const auto above = ancestors(job);
-        if (std::none_of(above.begin(), above.end(), [](const JobTruth* ancestor) {
-                return ancestor->cancelAsked && ancestor->final != "done";
+        if (std::none_of(above.begin(), above.end(), [](const TrackedJob* ancestor) {
+                return ancestor->cancelRequested && ancestor->final != "done";
             }))
-            breach("went_back", id + " cancelled unasked");
+            addViolation("went_back", id + " cancelled unasked");
     }
-    if (state != "done" && state != "cancelled") checkOrphaned(id, job, given);
+    if (state != "done" && state != "cancelled") checkOrphaned(id, job, generatedAt);
     if (job.final.empty() && (state == "done" || state == "cancelled")) {
         job.final = state;
-        job.cancelledAt = at;
+        job.terminalReportedAt = at;
     }
 }
 
-void Checker::toldUnknown(const std::string& id) {
+void Checker::reportedUnknown(const std::string& id) {
     const auto found = jobs_.find(id);
-    if (found != jobs_.end() && found->second.accepted) breach("forgotten", id + " got 404");
+    if (found != jobs_.end() && found->second.accepted) addViolation("forgotten", id + " got 404");
 }
 
-void Checker::toldInvalid(const std::string& id) {
+void Checker::reportedInvalid(const std::string& id) {
     const auto found = jobs_.find(id);
     if (found != jobs_.end() && found->second.accepted)
-        breach("forgotten", id + " was refused when submitted again");
+        addViolation("forgotten", id + " was refused when submitted again");
 }
 
 void Checker::pollFailed(const std::string& id, Time at) {
     const auto found = jobs_.find(id);
     if (found == jobs_.end() || !found->second.accepted) return;
-    if (at - std::max(found->second.answeredAt, quietSince_) > longestSilence) {
-        breach("forgotten", id + " got no answer for long");
-        found->second.answeredAt = at;
+    if (at - std::max(found->second.lastResponseAt, faultFreeSince_) > responseTimeout) {
+        addViolation("forgotten", id + " got no answer for long");
+        found->second.lastResponseAt = at;
     }
 }
 
 void Checker::finish(Time at) {
-    std::map<std::string, Served> groups;
+    std::map<std::string, StartCounts> groups;
     std::map<std::string, std::uint32_t> largest;
-    const auto counts = [&](const JobTruth& job) {
+    const auto counts = [&](const TrackedJob& job) {
         const auto ready = readyAt(job);
         const auto above = ancestors(job);
         // Whose dependency was called off as its last task ended is called off with it.
-        const bool startsAfter =
+        const bool dependencyCancelled =
             std::any_of(above.begin(), above.end(),
-                        [](const JobTruth* ancestor) { return ancestor->final == "cancelled"; });
-        return job.accepted && !job.cancelAsked && !startsAfter && ready &&
-               *ready + latestBegin <= at;
+                        [](const TrackedJob* ancestor) { return ancestor->final == "cancelled"; });
+        return job.accepted && !job.cancelRequested && !dependencyCancelled && ready &&
+               *ready + startTimeout <= at;
     };
     for (const auto& [id, job] : jobs_)
         if (counts(job)) {
@@ -261,17 +266,17 @@
         const auto& spec = job.spec;
         for (const auto& group : {"class " + spec.jobClass, "team " + spec.team}) {
             ++groups[group].jobs;
-            if (job.begunAt) ++groups[group].served;
+            if (job.firstStartAt) ++groups[group].started;
         }
         if (spec.tasks < largest[spec.jobClass]) continue;
         auto& group = groups["the largest of class " + spec.jobClass];
         ++group.jobs;
-        if (job.begunAt && *job.begunAt <= *readyAt(job) + latestBegin) ++group.served;
+        if (job.firstStartAt && *job.firstStartAt <= *readyAt(job) + startTimeout) ++group.started;
     }
     for (const auto& [name, group] : groups)
-        if (group.served * 2 < group.jobs)
-            breach("unserved", name + ": " + std::to_string(group.served) + " of " +
-                                   std::to_string(group.jobs));
+        if (group.started * 2 < group.jobs)
+            addViolation("unserved", name + ": " + std::to_string(group.started) + " of " +
+                                         std::to_string(group.jobs));
 }
 
 }  // namespace fawnwheel::sim
--- a/tests/sim/scenario_main.cpp
+++ b/tests/sim/scenario_main.cpp
@@ -9,7 +9,7 @@
 #include <iostream>
 #include <sstream>
 
-#include "sim/world.h"
+#include "sim/simulation.h"
 
 namespace {
 
@@ -109,35 +109,36 @@
 
     // The failures; none: passed.
     std::vector<std::string> run(std::uint64_t seed) {
-        sim::WorldSpec spec;
+        sim::SimulationSpec spec;
         spec.seed = seed;
         for (const auto& line : lines_) describe(spec, line);
-        sim::World world(spec);
+        sim::Simulation simulation(spec);
         Time end(300);
         for (const auto& line : lines_) {
             const auto& word = line.words.front();
             if (word == "machines")
                 for (int i = 0; i < line.numberAt(3); ++i)
-                    world.addMachine(line.at(1), line.at(2), line.has("spot"));
+                    simulation.addMachine(line.at(1), line.at(2), line.has("spot"));
             else if (word == "watch-transfers")
-                world.checker().watchTransfers();
+                simulation.checker().forbidTransferDisruptions();
             else if (word == "end")
                 end = Time(line.numberAt(1));
             else if (word == "at")
-                world.at(Time(line.numberAt(1)), [&world, line] { act(world, line); });
+                simulation.at(Time(line.numberAt(1)),
+                              [&simulation, line] { act(simulation, line); });
         }
-        world.run(end);
-        costs_ = world.costs();
-        history_ = world.history();
-        auto failures = world.checker().breaches();
+        simulation.run(end);
+        costs_ = simulation.costs();
+        history_ = simulation.history();
+        auto failures = simulation.checker().violations();
         for (const auto& line : lines_)
-            if (line.words.front() == "expect") expect(world, line, failures);
+            if (line.words.front() == "expect") expect(simulation, line, failures);
         return failures;
     }
 
   private:
-    static void describeRebalancing(sim::WorldSpec& spec, const Line& line) {
-        auto& rebalancing = spec.tuning.rebalancing;
+    static void describeRebalancing(sim::SimulationSpec& spec, const Line& line) {
+        auto& rebalancing = spec.operatorSettings.rebalancing;
         rebalancing.enabled = true;
         rebalancing.period = Time(line.number("period", rebalancing.period.count()));
         rebalancing.minTenure = Time(line.number("min-tenure", rebalancing.minTenure.count()));
@@ -146,17 +147,17 @@
         rebalancing.transfersPerMinute = line.number("transfers", rebalancing.transfersPerMinute);
         rebalancing.busyMachines = !line.has("idle-only");
         for (const auto& node : names(line.text("without")))
-            spec.withoutRebalancing.insert(std::stoi(node));
+            spec.nodesWithoutRebalancing.insert(std::stoi(node));
     }
 
-    static void describe(sim::WorldSpec& spec, const Line& line) {
+    static void describe(sim::SimulationSpec& spec, const Line& line) {
         const auto& word = line.words.front();
         if (word == "nodes") spec.nodes = static_cast<int>(line.numberAt(1));
         if (word == "zones") spec.zones.assign(line.words.begin() + 1, line.words.end());
         if (word == "lease") spec.lease = Time(line.numberAt(1));
         if (word == "cancel-limit") spec.cancel = Time(line.numberAt(1));
         if (word == "list-lag") spec.listLag = Time(line.numberAt(1));
-        if (word == "idle") spec.tuning.idleBeforeScaleIn = Time(line.numberAt(1));
+        if (word == "idle") spec.operatorSettings.idleBeforeScaleIn = Time(line.numberAt(1));
         if (word == "state-limits") {
             spec.stateRequests = line.numberAt(1);
             spec.stateWrites = line.numberAt(2);
@@ -164,7 +165,7 @@
         if (word == "record-limits")
             spec.recordLimits = {line.numberAt(1), static_cast<std::size_t>(line.numberAt(2))};
         if (word == "next-limits")
-            spec.nextLimits = {line.numberAt(1), static_cast<std::size_t>(line.numberAt(2))};
+            spec.announcedLimits = {line.numberAt(1), static_cast<std::size_t>(line.numberAt(2))};
         if (word == "old-version") spec.oldVersion = true;
         if (word == "rebalancing") describeRebalancing(spec, line);
         if (word == "team") {
@@ -191,7 +192,7 @@
     }
 
     // A first job ID-0-0, and behind it so many chains side by side: ID-1-0, ID-2-0 and so on.
-    static void submitChains(sim::World& world, const Line& line) {
+    static void submitChains(sim::Simulation& simulation, const Line& line) {
         const int stages = static_cast<int>(line.number("stages", 3));
         const int width = static_cast<int>(line.number("width", 1));
         const auto name = [&line](int stage, int chain) {
@@ -202,11 +203,11 @@
                 auto job = jobFrom(line, 3);
                 job.id = name(stage, chain);
                 if (stage > 0) job.dependencies = {name(stage - 1, stage == 1 ? 0 : chain)};
-                world.submit(job, Time(line.number("runs", 10)), false);
+                simulation.submit(job, Time(line.number("runs", 10)), false);
             }
     }
 
-    static void act(sim::World& world, const Line& line) {
+    static void act(sim::Simulation& simulation, const Line& line) {
         const auto& word = line.at(2);
         const auto length = [&](std::size_t i) { return Time(line.numberAt(i)); };
         const auto index = [&](std::size_t i) { return static_cast<int>(line.numberAt(i)); };
@@ -218,120 +219,125 @@
             for (int i = 0; i < count; ++i) {
                 auto job = jobFrom(line, 3);
                 if (count > 1) job.id += "-" + std::to_string(i);
-                world.submit(job, Time(line.number("runs", 10)), line.has("faulty"));
+                simulation.submit(job, Time(line.number("runs", 10)), line.has("faulty"));
             }
         } else if (word == "chains") {
-            submitChains(world, line);
+            submitChains(simulation, line);
         } else if (word == "frame-trouble") {
-            world.troubleFrames(line.number("lost"), line.number("copied"),
-                                Time(line.number("latest")), Time(line.number("for")));
+            simulation.disruptFrames(line.number("lost"), line.number("copied"),
+                                     Time(line.number("latest")), Time(line.number("for")));
         } else if (word == "cancel") {
-            world.cancel(line.at(3));
+            simulation.cancel(line.at(3));
         } else if (word == "get-status") {
-            world.getStatus(line.at(3));
+            simulation.getStatus(line.at(3));
         } else if (word == "kill") {
-            world.kill(index(3), length(5));
+            simulation.kill(index(3), length(5));
         } else if (word == "upgrade") {
-            world.upgrade(index(3), length(5));
+            simulation.upgrade(index(3), length(5));
         } else if (word == "upgrade-roll") {
-            for (int node = 0; node < world.nodeCount(); ++node)
-                world.at(world.now() + length(4) * node,
-                         [&world, node, line] { world.upgrade(node, Time(line.numberAt(6))); });
+            for (int node = 0; node < simulation.nodeCount(); ++node)
+                simulation.at(simulation.now() + length(4) * node, [&simulation, node, line] {
+                    simulation.upgrade(node, Time(line.numberAt(6)));
+                });
         } else if (word == "lower-limits") {
-            world.lowerLimits();
+            simulation.applyAnnouncedLimits();
         } else if (word == "state-outage") {
-            world.stateOutage(length(3));
+            simulation.stateOutage(length(3));
         } else if (word == "cloud-outage") {
-            world.cloudOutage(length(3));
+            simulation.cloudOutage(length(3));
         } else if (word == "break-lists") {
-            world.breakLists(length(3));
+            simulation.breakMachineLists(length(3));
         } else if (word == "refuse-state") {
-            world.refuseState(index(3), length(5));
+            simulation.rejectStateRequests(index(3), length(5));
         } else if (word == "cut") {
-            world.cut(line.at(3), line.at(4), length(6), line.has("hold"));
+            simulation.cutLink(line.at(3), line.at(4), length(6), line.has("hold"));
         } else if (word == "cut-workers") {
             for (int i = 0; i < 60; ++i) {
-                world.cut("node-" + line.at(3), fmt::format("m-{:06}", i), length(5),
-                          line.has("hold"));
+                simulation.cutLink("node-" + line.at(3), fmt::format("m-{:06}", i), length(5),
+                                   line.has("hold"));
             }
         } else if (word == "hang") {
-            world.hang(machine(3), length(5));
+            simulation.hangMachine(machine(3), length(5));
         } else if (word == "die") {
-            world.die(machine(3));
+            simulation.failMachine(machine(3));
         } else if (word == "interruption-notice") {
-            world.sendInterruptionNotice(machine(3), length(4));
+            simulation.sendInterruptionNotice(machine(3), length(4));
         } else if (word == "break") {
-            world.breakMachine(machine(3));
+            simulation.makeMachineFaulty(machine(3));
         } else if (word == "drop-downstream") {
-            world.dropDownstream(machine(3), length(5));
+            simulation.dropDownstream(machine(3), length(5));
         } else if (word == "duplicate-heartbeats") {
-            world.duplicateHeartbeats(line.numberAt(3), length(4));
+            simulation.duplicateHeartbeats(line.numberAt(3), length(4));
         } else if (word == "repeat-requests") {
-            world.repeatRequests(line.numberAt(3), length(4));
+            simulation.repeatRequests(line.numberAt(3), length(4));
         } else if (word == "late-writes") {
-            world.lateWrites(line.numberAt(3), length(5));
+            simulation.delayWrites(line.numberAt(3), length(5));
         } else if (word == "poll-storm") {
-            world.pollStorm(line.numberAt(3), length(5));
+            simulation.pollStorm(line.numberAt(3), length(5));
         } else if (word == "slow-state") {
-            world.slowState(length(3), length(5));
+            simulation.slowStateService(length(3), length(5));
         } else if (word == "drop-upstream") {
-            world.dropUpstream(machine(3), length(5));
+            simulation.dropUpstream(machine(3), length(5));
         } else if (word == "slow-links") {
-            world.slowLinks(machine(3), length(4), length(6));
+            simulation.slowLinks(machine(3), length(4), length(6));
         } else if (word == "cancel-running") {
-            world.cancelRunning(index(3), Time(line.number("hang")));
+            simulation.cancelRunning(index(3), Time(line.number("hang")));
         } else if (word == "cancel-at-end") {
-            world.cancelAtEnd(line.numberAt(3), length(5));
+            simulation.cancelAtEnd(line.numberAt(3), length(5));
         } else if (word == "odd-requests") {
-            world.oddRequests(length(4));
+            simulation.sendIrregularRequests(length(4));
         } else if (word == "random-troubles") {
-            world.randomTroubles(index(3), length(5));
+            simulation.injectRandomFaults(index(3), length(5));
         } else if (word == "cut-zone") {
-            world.cutZone(line.at(3), length(5), line.has("hold"));
+            simulation.cutZone(line.at(3), length(5), line.has("hold"));
         } else if (word == "separate-zones") {
-            world.separateZones(line.at(3), line.at(4), length(6), line.has("hold"));
+            simulation.separateZones(line.at(3), line.at(4), length(6), line.has("hold"));
         } else if (word == "refuse-peers") {
-            world.refusePeers(length(4));
+            simulation.cutPeerLinks(length(4));
         } else if (word == "isolate-from-state") {
-            world.isolateFromState(index(3), length(5));
+            simulation.isolateFromState(index(3), length(5));
         } else if (word == "roll") {
-            for (int node = 0; node < world.nodeCount(); ++node)
-                world.at(world.now() + length(4) * node,
-                         [&world, node, line] { world.kill(node, Time(line.numberAt(6))); });
+            for (int node = 0; node < simulation.nodeCount(); ++node)
+                simulation.at(simulation.now() + length(4) * node, [&simulation, node, line] {
+                    simulation.kill(node, Time(line.numberAt(6)));
+                });
         } else if (word == "lose-answers") {
-            world.loseAnswers(line.numberAt(3));
+            simulation.loseResponses(line.numberAt(3));
         } else {
             throw BadScenario("unknown: " + word);
         }
     }
 
-    static void expect(sim::World& world, const Line& line, std::vector<std::string>& failures) {
+    static void expect(sim::Simulation& simulation, const Line& line,
+                       std::vector<std::string>& failures) {
         const auto& word = line.at(1);
         if (word == "status") {
-            const auto told = world.lastTold(line.at(2));
+            const auto told = simulation.lastReportedState(line.at(2));
             if (told != line.at(3))
                 failures.push_back(line.at(2) + " was told " + told + ", not " + line.at(3));
         } else if (word == "status-by") {
-            const auto when = world.firstTold(line.at(2), line.at(3));
+            const auto when = simulation.firstReportedAt(line.at(2), line.at(3));
             if (!when || *when > Time(line.numberAt(4)))
                 failures.push_back(line.at(2) + " was not told " + line.at(3) + " by " +
                                    line.at(4));
         } else if (word == "starts-at-most") {
-            if (static_cast<double>(world.checker().starts()) > line.numberAt(2))
-                failures.push_back(std::to_string(world.checker().starts()) + " starts");
+            if (static_cast<double>(simulation.checker().starts()) > line.numberAt(2))
+                failures.push_back(std::to_string(simulation.checker().starts()) + " starts");
         } else if (word == "transfers-at-least") {
-            if (static_cast<double>(world.machineTransfers()) < line.numberAt(2))
-                failures.push_back(std::to_string(world.machineTransfers()) + " machine moves");
+            if (static_cast<double>(simulation.machineTransfers()) < line.numberAt(2))
+                failures.push_back(std::to_string(simulation.machineTransfers()) +
+                                   " machine moves");
         } else if (word == "transfers-at-most") {
-            if (static_cast<double>(world.machineTransfers()) > line.numberAt(2))
-                failures.push_back(std::to_string(world.machineTransfers()) + " machine moves");
+            if (static_cast<double>(simulation.machineTransfers()) > line.numberAt(2))
+                failures.push_back(std::to_string(simulation.machineTransfers()) +
+                                   " machine moves");
         } else if (word == "starts-after-cancel-at-most") {
-            if (static_cast<double>(world.checker().startsAfterCancel()) > line.numberAt(2))
-                failures.push_back(std::to_string(world.checker().startsAfterCancel()) +
+            if (static_cast<double>(simulation.checker().startsAfterCancel()) > line.numberAt(2))
+                failures.push_back(std::to_string(simulation.checker().startsAfterCancel()) +
                                    " starts after a confirmed cancellation");
         } else if (word == "machines-at-most") {
-            if (static_cast<double>(world.machinesUp()) > line.numberAt(2))
-                failures.push_back(std::to_string(world.machinesUp()) + " machines up");
+            if (static_cast<double>(simulation.machinesUp()) > line.numberAt(2))
+                failures.push_back(std::to_string(simulation.machinesUp()) + " machines up");
         } else {
             throw BadScenario("unknown: expect " + word);
         }
--- a/tests/sim/world.cpp
+++ b/tests/sim/simulation.cpp
@@ -1,7 +1,7 @@
 // The nodes of the world and the network between its hosts.
 #include <algorithm>
 
-#include "sim/world_parts.h"
+#include "sim/simulation_internal.h"
 
 namespace fawnwheel::sim {
 
@@ -25,10 +25,10 @@
 }
 
 void NodeNetwork::sendFrame(const std::string& peer, std::string payload) {
-    if (*alive_) world_.sendFrame(host_, peer, std::move(payload));
+    if (*alive_) simulation_.sendFrame(host_, peer, std::move(payload));
 }
 
-World::World(WorldSpec spec)
+Simulation::Simulation(SimulationSpec spec)
     : spec_(std::move(spec)),
       rng_(spec_.seed),
       checker_(spec_.teams, spec_.cancel + Time(1)),
@@ -37,8 +37,9 @@
         auto node = std::make_unique<Node>();
         node->name = "node-" + std::to_string(i);
         node->oldVersion = spec_.oldVersion;
-        node->tuning = spec_.tuning;
-        if (spec_.withoutRebalancing.contains(i)) node->tuning.rebalancing.enabled = false;
+        node->operatorSettings = spec_.operatorSettings;
+        if (spec_.nodesWithoutRebalancing.contains(i))
+            node->operatorSettings.rebalancing.enabled = false;
         setLimits(*node);
         auto& s = node->settings;
         s.name = node->name;
@@ -62,22 +63,22 @@
         nodes_.push_back(std::move(node));
     }
     for (int i = 0; i < spec_.nodes; ++i) at(Time(0.1 * i), [this, i] { startNode(i); });
-    at(Time(5), [this] { watchWaiting(); });
-    at(Time(5), [this] { watchAllocations(); });
+    at(Time(5), [this] { checkWaitingJobs(); });
+    at(Time(5), [this] { checkAllocations(); });
 }
 
-World::~World() = default;
+Simulation::~Simulation() = default;
 
-void World::at(Time when, std::function<void()> action) {
+void Simulation::at(Time when, std::function<void()> action) {
     queue_.emplace(std::max(when, now_), std::move(action));
 }
 
-void World::run(Time until) {
+void Simulation::run(Time until) {
     advance(until);
     finish();
 }
 
-void World::advance(Time until) {
+void Simulation::advance(Time until) {
     while (!queue_.empty() && queue_.begin()->first <= until) {
         auto node = queue_.extract(queue_.begin());
         now_ = node.key();
@@ -86,74 +87,76 @@
     now_ = std::max(now_, until);
 }
 
-void World::finish() {
+void Simulation::finish() {
     audit();
     checker_.finish(now_);
 }
 
-void World::startNode(int index) {
-    if (spec_.outside != nullptr) return spec_.outside->start(index);
+void Simulation::startNode(int index) {
+    if (spec_.externalNodes != nullptr) return spec_.externalNodes->start(index);
     auto& node = *nodes_[static_cast<std::size_t>(index)];
     node.alive = std::make_shared<bool>(true);
     node.clock = std::make_unique<NodeClock>(*this, node.alive);
     node.network = std::make_unique<NodeNetwork>(*this, node.name, node.alive);
     node.controller = std::make_unique<coordination::Controller>(
-        node.settings, node.tuning, *node.clock, *node.network, rng_());
+        node.settings, node.operatorSettings, *node.clock, *node.network, rng_());
     node.controller->start();
 }
 
-void World::kill(int index, Time down) {
+void Simulation::kill(int index, Time down) {
     auto& node = *nodes_[static_cast<std::size_t>(index)];
     if (!nodeUp(static_cast<std::size_t>(index))) return;
-    if (spec_.outside != nullptr) {
-        spec_.outside->kill(index);
+    if (spec_.externalNodes != nullptr) {
+        spec_.externalNodes->kill(index);
     } else {
         *node.alive = false;
-        node.ended.push_back(std::move(node.controller));
-        node.endedClocks.push_back(std::move(node.clock));
-        node.endedNetworks.push_back(std::move(node.network));
+        node.stoppedControllers.push_back(std::move(node.controller));
+        node.stoppedClocks.push_back(std::move(node.clock));
+        node.stoppedNetworks.push_back(std::move(node.network));
     }
-    checker_.troubledUntil(now_ + down + startUp);
+    checker_.faultsUntil(now_ + down + startUp);
     at(now_ + down + startUp, [this, index] { startNode(index); });
 }
 
-bool World::nodeUp(std::size_t index) const {
-    return spec_.outside != nullptr ? spec_.outside->up(static_cast<int>(index))
-                                    : nodes_[index]->controller != nullptr;
+bool Simulation::nodeUp(std::size_t index) const {
+    return spec_.externalNodes != nullptr ? spec_.externalNodes->up(static_cast<int>(index))
+                                          : nodes_[index]->controller != nullptr;
 }
 
-void World::upgrade(int index, Time down) {
+void Simulation::upgrade(int index, Time down) {
     auto& node = *nodes_[static_cast<std::size_t>(index)];
     kill(index, down);
     node.oldVersion = false;
     setLimits(node);
 }
 
-void World::setLimits(Node& node) const {
+void Simulation::setLimits(Node& node) const {
     auto& settings = node.settings;
     settings.valueKb = spec_.recordLimits.valueKb;
     settings.transactionChanges = spec_.recordLimits.writes;
-    if (node.oldVersion || !spec_.nextLimits) return;
-    settings.valueKb = std::min(settings.valueKb, spec_.nextLimits->valueKb);
-    settings.transactionChanges = std::min(settings.transactionChanges, spec_.nextLimits->writes);
+    if (node.oldVersion || !spec_.announcedLimits) return;
+    settings.valueKb = std::min(settings.valueKb, spec_.announcedLimits->valueKb);
+    settings.transactionChanges =
+        std::min(settings.transactionChanges, spec_.announcedLimits->writes);
 }
 
-void World::lowerLimits() {
-    limits_ = spec_.nextLimits.value_or(limits_);
+void Simulation::applyAnnouncedLimits() {
+    limits_ = spec_.announcedLimits.value_or(limits_);
 }
 
-void World::deliver(const std::string& from, const std::string& to, std::function<void()> action) {
+void Simulation::deliver(const std::string& from, const std::string& to,
+                         std::function<void()> action) {
     Time delay(std::uniform_real_distribution<>(0.0005, 0.01)(rng_));
     const auto more = [this](Time most) {
         return most * std::uniform_real_distribution<>(0, 1)(rng_);
     };
     if (const auto* target = worker(to); target != nullptr) {
         if (target->downstreamLostUntil > now_) return;
-        if (target->slowUntil > now_) delay += more(target->slowBy);
+        if (target->slowUntil > now_) delay += more(target->maxExtraDelay);
     }
     if (const auto* source = worker(from); source != nullptr && source->slowUntil > now_)
-        delay += more(source->slowBy);
-    if (now_ < stateSlowUntil_ && (to == "state" || from == "state")) delay += more(stateSlow_);
+        delay += more(source->maxExtraDelay);
+    if (now_ < stateSlowUntil_ && (to == "state" || from == "state")) delay += more(maxStateDelay_);
     const auto found = cuts_.find(std::minmax(from, to));
     if (found != cuts_.end() && found->second.until > now_) {
         if (!found->second.delayed) return;
@@ -162,21 +165,21 @@
     at(now_ + delay, std::move(action));
 }
 
-void World::sendFrame(const std::string& from, const std::string& peer, std::string payload) {
+void Simulation::sendFrame(const std::string& from, const std::string& peer, std::string payload) {
     history_.add(now_, "frame", {from, peer, payload});
     const auto chance = [this] { return std::uniform_real_distribution<>(0, 1)(rng_); };
     const auto hand = [this, peer, payload = std::move(payload)] {
         for (const auto& node : nodes_)
             if (node->name == peer && node->controller) node->controller->onFrame(payload);
     };
-    const bool troubled = now_ < framesUntil_;
-    if (troubled && chance() < copiedFrames_) at(now_ + latestFrame_ * chance(), hand);
-    if (troubled && chance() < lostFrames_) return;
+    const bool troubled = now_ < framesDisruptedUntil_;
+    if (troubled && chance() < duplicatedFrameFraction_) at(now_ + maxFrameDelay_ * chance(), hand);
+    if (troubled && chance() < lostFrameFraction_) return;
     deliver(from, peer, hand);
 }
 
-void World::request(const std::string& from, const std::string& address, HttpRequest request,
-                    Time timeout, HttpDone done) {
+void Simulation::request(const std::string& from, const std::string& address, HttpRequest request,
+                         Time timeout, HttpDone done) {
     history_.add(now_, "request", {from, address, request.method, request.path, request.body});
     auto open = std::make_shared<bool>(true);
     auto finish = [open, done = std::move(done)](std::optional<HttpResponse> response) {
@@ -189,7 +192,7 @@
         return;
     if (request.method == "POST" &&
         std::uniform_real_distribution<>(0, 1)(rng_) < repeatedFraction_)
-        at(now_ + latestRepeat_ * std::uniform_real_distribution<>(0.02, 1)(rng_),
+        at(now_ + maxRepeatDelay_ * std::uniform_real_distribution<>(0.02, 1)(rng_),
            [this, from, address, request] {
                serve(from, address, request, [](const HttpResponse&) {});
            });
@@ -197,32 +200,33 @@
         serve(from, address, request, [this, from, address, finish](HttpResponse response) {
             history_.add(now_, "response",
                          {address, from, std::to_string(response.status), response.body});
-            if (std::uniform_real_distribution<>(0, 1)(rng_) < lostAnswers_) return;
-            deliver(address, from, [this, finish, given = now_, response = std::move(response)] {
-                givenAt_ = given;
-                finish(response);
-            });
+            if (std::uniform_real_distribution<>(0, 1)(rng_) < lostResponseFraction_) return;
+            deliver(address, from,
+                    [this, finish, generatedAt = now_, response = std::move(response)] {
+                        responseGeneratedAt_ = generatedAt;
+                        finish(response);
+                    });
         });
     });
 }
 
-void World::serve(const std::string& from, const std::string& host, const HttpRequest& request,
-                  HttpReply reply) {
+void Simulation::serve(const std::string& from, const std::string& host, const HttpRequest& request,
+                       HttpReply reply) {
     if (host == "state") return serveState(from, request, reply);
     if (host == "cloud") return serveCloud(request, reply);
     for (std::size_t i = 0; i < nodes_.size(); ++i) {
         const auto& node = nodes_[i];
         if (node->name != host) continue;
         if (!nodeUp(i)) return;
-        if (spec_.outside != nullptr)
-            return spec_.outside->request(static_cast<int>(i), request, std::move(reply));
+        if (spec_.externalNodes != nullptr)
+            return spec_.externalNodes->request(static_cast<int>(i), request, std::move(reply));
         if (request.path != wire::pathHeartbeat)
             return node->controller->onRequest(request, std::move(reply));
         return costs_.heartbeats.measure(
             [&] { node->controller->onRequest(request, std::move(reply)); });
     }
     Worker* target = worker(host);
-    if (target == nullptr || !target->up || target->gone) return;
+    if (target == nullptr || !target->up || target->terminated) return;
     if (target->hangsUntil > now_) {
         // Carried out when the machine goes on, if token and agent epoch still match.
         at(target->hangsUntil,
@@ -245,56 +249,56 @@
         scheduleHeartbeat(*target);
     }
     target->fencingToken = fencingToken;
-    obey(*target, protocol::listOf(*body, wire::commands));
+    executeCommands(*target, protocol::listOf(*body, wire::commands));
     ++target->sequence;
     reply(answer(200, heartbeatBody(*target)));
 }
 
-void World::dropDownstream(std::size_t machine, Time length) {
+void Simulation::dropDownstream(std::size_t machine, Time length) {
     nth(workers_, machine).downstreamLostUntil = now_ + length;
 }
 
-void World::dropUpstream(std::size_t machine, Time length) {
+void Simulation::dropUpstream(std::size_t machine, Time length) {
     nth(workers_, machine).upstreamLostUntil = now_ + length;
-    checker_.troubledUntil(now_ + length);
+    checker_.faultsUntil(now_ + length);
 }
 
-void World::slowLinks(std::size_t machine, Time most, Time length) {
+void Simulation::slowLinks(std::size_t machine, Time most, Time length) {
     Worker& w = nth(workers_, machine);
-    w.slowBy = most;
+    w.maxExtraDelay = most;
     w.slowUntil = now_ + length;
-    checker_.troubledUntil(w.slowUntil);
+    checker_.faultsUntil(w.slowUntil);
 }
 
-void World::cutZone(const std::string& zone, Time length, bool delayed) {
+void Simulation::cutZone(const std::string& zone, Time length, bool delayed) {
     for (const auto& [host, where] : hosts())
         if (where == zone)
             for (const auto& [other, elsewhere] : hosts())
-                if (elsewhere != zone) cut(host, other, length, delayed);
+                if (elsewhere != zone) cutLink(host, other, length, delayed);
 }
 
-void World::separateZones(const std::string& one, const std::string& other, Time length,
-                          bool delayed) {
+void Simulation::separateZones(const std::string& one, const std::string& other, Time length,
+                               bool delayed) {
     for (const auto& [host, where] : hosts())
         if (where == one)
             for (const auto& [peer, elsewhere] : hosts())
-                if (elsewhere == other) cut(host, peer, length, delayed);
+                if (elsewhere == other) cutLink(host, peer, length, delayed);
 }
 
-void World::refusePeers(Time length) {
+void Simulation::cutPeerLinks(Time length) {
     for (const auto& node : nodes_)
         for (const auto& other : nodes_)
-            if (node != other) cut(node->name, other->name, length, false);
+            if (node != other) cutLink(node->name, other->name, length, false);
 }
 
-void World::isolateFromState(int node, Time length) {
+void Simulation::isolateFromState(int node, Time length) {
     const auto& name = nodes_[static_cast<std::size_t>(node)]->name;
-    cut(name, "state", length, false);
+    cutLink(name, "state", length, false);
     for (const auto& other : nodes_)
-        if (other->name != name) cut(name, other->name, length, false);
+        if (other->name != name) cutLink(name, other->name, length, false);
 }
 
-std::map<std::string, std::string> World::hosts() const {
+std::map<std::string, std::string> Simulation::hosts() const {
     std::map<std::string, std::string> all{
         {"state", ""}, {"cloud", ""}, {"users", ""}};  // regional
     for (const auto& node : nodes_) all[node->name] = node->settings.zone;
@@ -302,9 +306,10 @@
     return all;
 }
 
-void World::cut(const std::string& one, const std::string& other, Time length, bool delayed) {
+void Simulation::cutLink(const std::string& one, const std::string& other, Time length,
+                         bool delayed) {
     cuts_[std::minmax(one, other)] = {now_ + length, delayed};
-    checker_.troubledUntil(now_ + length);
+    checker_.faultsUntil(now_ + length);
 }
 
 }  // namespace fawnwheel::sim
--- a/tests/sim/world.h
+++ b/tests/sim/simulation.h
@@ -52,9 +52,9 @@
 };
 
 // Nodes that are processes of their own, in place of controllers inside the world.
-class OutsideNodes {
+class ExternalNodes {
   public:
-    virtual ~OutsideNodes() = default;
+    virtual ~ExternalNodes() = default;
     virtual void start(int node) = 0;
     virtual void kill(int node) = 0;
     [[nodiscard]] virtual bool up(int node) const = 0;
@@ -65,43 +65,43 @@
 };
 
 // What machines that changed hands for good cost, and what their workers noticed.
-struct TransferFigures {
-    std::size_t moves = 0;
-    std::size_t moved = 0;   // tasks on them
-    std::size_t writes = 0;  // in the transactions that moved them
-    std::size_t heard = 0;   // that the new leader has answered
-    Time untilHeard{};       // of those, in all
-    Time longestUntilHeard{};
-    Time longestPause{};  // between two answered heartbeats around a move
+struct TransferStats {
+    std::size_t transfers = 0;
+    std::size_t tasksMoved = 0;  // tasks on them
+    std::size_t writes = 0;      // in the transactions that moved them
+    std::size_t responses = 0;   // that the new leader has answered
+    Time totalResponseDelay{};   // of those, in all
+    Time maxResponseDelay{};
+    Time maxHeartbeatGap{};  // between two answered heartbeats around a move
 };
 
-struct WorldSpec {
+struct SimulationSpec {
     std::uint64_t seed = 1;
     int nodes = 3;
     std::vector<std::string> zones{"a", "b"};
     std::vector<TypeSpec> types;
     std::vector<config::Team> teams;
-    config::OperatorSettings tuning;
-    std::set<int> withoutRebalancing;  // nodes whose operators have not turned it on
+    config::OperatorSettings operatorSettings;
+    std::set<int> nodesWithoutRebalancing;  // nodes whose operators have not turned it on
     Time lease{30};
     Time cancel{60};  // `cancel_s`
     Time listLag{4};
     double stateRequests = 120;
     double stateWrites = 60;
     RecordLimits recordLimits;
-    std::optional<RecordLimits> nextLimits;  // announced; in force from `lowerLimits` on
+    std::optional<RecordLimits> announcedLimits;  // announced; in force from `lowerLimits` on
     // Nodes behave as the version in production until they are upgraded: they leave no mark of the
     // new version, and so nobody uses its formats, and know nothing of announced limits.
     bool oldVersion = false;
-    OutsideNodes* outside = nullptr;  // none: the nodes live in the world
+    ExternalNodes* externalNodes = nullptr;  // none: the nodes live in the world
 };
 
-class World {
+class Simulation {
   public:
-    explicit World(WorldSpec spec);
-    ~World();
-    World(const World&) = delete;
-    World& operator=(const World&) = delete;
+    explicit Simulation(SimulationSpec spec);
+    ~Simulation();
+    Simulation(const Simulation&) = delete;
+    Simulation& operator=(const Simulation&) = delete;
 
     void addMachine(const std::string& type, const std::string& zone, bool spot);
     void at(Time when, std::function<void()> action);
@@ -110,8 +110,8 @@
     void advance(Time until);
     void finish();
     // A request of a node that lives outside, to a host of the world.
-    void serveOutside(const std::string& from, const std::string& host,
-                      const transport::HttpRequest& request, transport::HttpReply reply) {
+    void serveExternal(const std::string& from, const std::string& host,
+                       const transport::HttpRequest& request, transport::HttpReply reply) {
         serve(from, host, request, std::move(reply));
     }
 
@@ -127,42 +127,42 @@
     // Kills the node, which comes back with the new version.
     void upgrade(int node, Time down);
     // The announced limits are in force from now on.
-    void lowerLimits();
+    void applyAnnouncedLimits();
     void stateOutage(Time length);
     void cloudOutage(Time length);
     // Lists of machines come as an empty page that says there is more.
-    void breakLists(Time length) { listsBrokenUntil_ = now_ + length; }
-    void cut(const std::string& one, const std::string& other, Time length, bool delayed);
-    void refuseState(int node, Time length);
-    void hang(std::size_t machine, Time length);
-    void die(std::size_t machine);
+    void breakMachineLists(Time length) { listsBrokenUntil_ = now_ + length; }
+    void cutLink(const std::string& one, const std::string& other, Time length, bool delayed);
+    void rejectStateRequests(int node, Time length);
+    void hangMachine(std::size_t machine, Time length);
+    void failMachine(std::size_t machine);
     void sendInterruptionNotice(std::size_t machine, Time left);
-    void breakMachine(std::size_t machine);  // fails every task
+    void makeMachineFaulty(std::size_t machine);  // fails every task
     // Its heartbeats arrive; answers and orders don't reach it.
     void dropDownstream(std::size_t machine, Time length);
     // Copies of this share of heartbeats come again up to so much later.
     void duplicateHeartbeats(double fraction, Time latest) {
         duplicatedFraction_ = fraction;
-        latestCopy_ = latest;
+        maxDuplicateDelay_ = latest;
     }
     // This share of requests to anybody is carried out once more, up to so much later.
     void repeatRequests(double fraction, Time latest) {
         repeatedFraction_ = fraction;
-        latestRepeat_ = latest;
+        maxRepeatDelay_ = latest;
     }
     // This share of transactions gets no answer and is carried out 2 to 12 s later.
     // The record is gone, and nobody is told: to try the audit.
     void loseRecord(const std::string& key) { records_.erase(key); }
-    void lateWrites(double fraction, Time length) {
-        lateFraction_ = fraction;
-        lateUntil_ = now_ + length;
-        checker_.troubledUntil(lateUntil_ + latestWrite);
+    void delayWrites(double fraction, Time length) {
+        delayedWriteFraction_ = fraction;
+        writesDelayedUntil_ = now_ + length;
+        checker_.faultsUntil(writesDelayedUntil_ + maxWriteDelay);
     }
     // Requests to the state service and their answers take up to so much longer.
-    void slowState(Time most, Time length) {
-        stateSlow_ = most;
+    void slowStateService(Time most, Time length) {
+        maxStateDelay_ = most;
         stateSlowUntil_ = now_ + length;
-        checker_.troubledUntil(stateSlowUntil_);
+        checker_.faultsUntil(stateSlowUntil_);
     }
     void dropUpstream(std::size_t machine,
                       Time length);  // orders reach it, its heartbeats reach nobody
@@ -182,36 +182,36 @@
     }
     // Submissions are repeated, done jobs called off, and jobs sent that lack a field or fit
     // nowhere.
-    void oddRequests(Time length);
+    void sendIrregularRequests(Time length);
     // Of the frames between nodes, these shares are lost, and handed over once more up to so much
     // later.
-    void troubleFrames(double lost, double copied, Time latest, Time length) {
-        lostFrames_ = lost;
-        copiedFrames_ = copied;
-        latestFrame_ = latest;
-        framesUntil_ = now_ + length;
-        checker_.troubledUntil(framesUntil_);
+    void disruptFrames(double lost, double copied, Time latest, Time length) {
+        lostFrameFraction_ = lost;
+        duplicatedFrameFraction_ = copied;
+        maxFrameDelay_ = latest;
+        framesDisruptedUntil_ = now_ + length;
+        checker_.faultsUntil(framesDisruptedUntil_);
     }
     // So many troubles of any kind at any time from now on for so long, drawn anew with each seed.
-    void randomTroubles(int count, Time length);
+    void injectRandomFaults(int count, Time length);
     void cutZone(const std::string& zone, Time length, bool delayed);
     void separateZones(const std::string& one, const std::string& other, Time length, bool delayed);
-    void refusePeers(Time length);
+    void cutPeerLinks(Time length);
     void isolateFromState(int node, Time length);  // and from its peers, not from its workers
-    void loseAnswers(double fraction) { lostAnswers_ = fraction; }
+    void loseResponses(double fraction) { lostResponseFraction_ = fraction; }
 
     [[nodiscard]] Checker& checker() { return checker_; }
-    [[nodiscard]] std::string lastTold(const std::string& job) const;
+    [[nodiscard]] std::string lastReportedState(const std::string& job) const;
     // When the job's user was first told that it is in this state.
-    [[nodiscard]] std::optional<Time> firstTold(const std::string& job,
-                                                const std::string& state) const;
+    [[nodiscard]] std::optional<Time> firstReportedAt(const std::string& job,
+                                                      const std::string& state) const;
     // Jobs whose users have not been told of an end.
     [[nodiscard]] std::vector<std::string> unfinished() const;
     [[nodiscard]] const Costs& costs() const { return costs_; }
     [[nodiscard]] std::size_t machinesUp() const;
     // How often machines have changed hands between partitions for good.
-    [[nodiscard]] std::size_t machineTransfers() const { return transferFigures_.moves; }
-    [[nodiscard]] const TransferFigures& transferFigures() const { return transferFigures_; }
+    [[nodiscard]] std::size_t machineTransfers() const { return transferStats_.transfers; }
+    [[nodiscard]] const TransferStats& transferStats() const { return transferStats_; }
     [[nodiscard]] Time now() const { return now_; }
     // Of all that could be seen so far.
     [[nodiscard]] const HistoryDigest& history() const { return history_; }
@@ -220,20 +220,20 @@
   private:
     friend class NodeClock;
     friend class NodeNetwork;
-    static constexpr Time soonestWrite{2};
-    static constexpr Time latestWrite{12};
+    static constexpr Time minWriteDelay{2};
+    static constexpr Time maxWriteDelay{12};
     struct Node;
     struct Worker;
     struct Task;
-    struct Truth {
+    struct SimulatedJob {
         protocol::JobSpec spec;
         Time runs{};
         bool faulty = false;
         bool submitted = false;
         std::map<std::uint32_t, Time> saved;
         std::set<std::uint32_t> done;
-        std::string told;
-        std::map<std::string, Time> firstTold;  // by state
+        std::string reportedState;
+        std::map<std::string, Time> firstReportedAt;  // by state
         bool over = false;
     };
     struct Record {
@@ -264,10 +264,11 @@
     // Whether a transaction is within the limits in force.
     [[nodiscard]] bool withinLimits(const protocol::Json& body) const;
     // Without what the version in production would not have written.
-    [[nodiscard]] protocol::Json asWrittenBy(const std::string& node, protocol::Json body) const;
+    [[nodiscard]] protocol::Json withoutUnsupportedWrites(const std::string& node,
+                                                          protocol::Json body) const;
     // What the node's version makes of the limits in force and those announced.
     void setLimits(Node& node) const;
-    void changed(const std::string& key, bool deleted);
+    void recordChange(const std::string& key, bool deleted);
     // A transaction moves machines to other partitions for good.
     void recordMachineTransfers(const protocol::Json& writes);
     void recordTransfer(Worker& worker, std::uint64_t floor);
@@ -275,8 +276,8 @@
     void recordAnswered(Worker& worker, const std::string& node, std::uint64_t fencingToken);
     [[nodiscard]] bool nodeUp(std::size_t index) const;
     void answerWatches();
-    void endWatch(const std::shared_ptr<Watch>& watch);  // its time has run out
-    [[nodiscard]] bool stateRefuses(const std::string& node) const;
+    void expireWatch(const std::shared_ptr<Watch>& watch);  // its time has run out
+    [[nodiscard]] bool stateRejects(const std::string& node) const;
     void expireLeases();
     void serveCloud(const transport::HttpRequest& request, const transport::HttpReply& reply);
 
@@ -285,34 +286,34 @@
     void startWorker(Worker& worker);
     void sendHeartbeat(Worker& worker);
     void scheduleHeartbeat(Worker& worker);
-    void obey(Worker& worker, const protocol::Json& calls);
+    void executeCommands(Worker& worker, const protocol::Json& commands);
     void stepWorker(Worker& worker);
-    void watchWaiting();
-    void randomTrouble();
-    void randomMachineTrouble();
+    void checkWaitingJobs();
+    void injectRandomFault();
+    void injectRandomMachineFault();
     // The allocations in the records, as "job/task machine attempt".
     [[nodiscard]] std::set<std::string> recordedAllocations() const;
     // Whether each task that is on a machine has its allocation in the records.
-    void watchAllocations();
+    void checkAllocations();
     // Records, cluster states and machines compared, once all troubles are over.
     void audit();
     void auditJob(const std::string& job);
     void auditOrphans();
     void auditClusterState(Node& node);
     [[nodiscard]] bool couldStart(const std::string& job);
-    void sendBad(const std::string& job, const protocol::Json& body);
+    void submitInvalid(const std::string& job, const protocol::Json& body);
     void endTask(Worker& worker, Task& task, const char* cause, bool kept);
-    void killAll(Worker& worker);
+    void killAllTasks(Worker& worker);
     [[nodiscard]] protocol::Json heartbeatBody(Worker& worker) const;
-    void gangStep(const std::string& job);
+    void stepGang(const std::string& job);
     void poll(const std::string& job);
-    void recordTold(const std::string& job, const std::string& state);
-    void submitWhenNamed(const std::string& job);
+    void recordStatus(const std::string& job, const std::string& state);
+    void submitOnceDependenciesAccepted(const std::string& job);
     void sendFrame(const std::string& from, const std::string& peer, std::string payload);
     void sendSubmit(const std::string& job, Time first);
-    int someNode();
+    int randomNode();
 
-    WorldSpec spec_;
+    SimulationSpec spec_;
     std::mt19937_64 rng_;
     Checker checker_;
     Costs costs_;
@@ -322,17 +323,17 @@
     std::vector<std::unique_ptr<Node>> nodes_;
     RecordLimits limits_;  // in force
     std::map<std::string, std::unique_ptr<Worker>> workers_;
-    std::map<std::string, Truth> truths_;
+    std::map<std::string, SimulatedJob> simulatedJobs_;
     std::map<std::string, Record> records_;
     std::uint64_t revision_ = 0;
-    std::deque<std::tuple<std::uint64_t, std::string, std::optional<protocol::Json>>> log_;
+    std::deque<std::tuple<std::uint64_t, std::string, std::optional<protocol::Json>>> changeLog_;
     std::map<std::uint64_t, std::pair<Time, Time>> leases_;  // ends, length
     std::uint64_t nextLease_ = 1;
     std::vector<std::shared_ptr<Watch>> watches_;
-    Time stateBackAt_{};
-    Time cloudBackAt_{};
+    Time stateOutageUntil_{};
+    Time cloudOutageUntil_{};
     Time listsBrokenUntil_{};
-    std::map<std::string, Time> refusedUntil_;
+    std::map<std::string, Time> stateRejectedUntil_;
     struct Cut {
         Time until{};
         bool delayed = false;
@@ -340,27 +341,27 @@
     std::map<std::pair<std::string, std::string>, Cut> cuts_;
     std::map<std::string, std::vector<std::string>> provisioningRequests_;
     int nextMachine_ = 0;
-    double lostAnswers_ = 0;
+    double lostResponseFraction_ = 0;
     double duplicatedFraction_ = 0;
-    Time latestCopy_{};
+    Time maxDuplicateDelay_{};
     double repeatedFraction_ = 0;
-    Time latestRepeat_{};
-    double lateFraction_ = 0;
-    Time lateUntil_{};
-    double lostFrames_ = 0;
-    double copiedFrames_ = 0;
-    Time latestFrame_{};
-    Time framesUntil_{};
-    Time stateSlow_{};
+    Time maxRepeatDelay_{};
+    double delayedWriteFraction_ = 0;
+    Time writesDelayedUntil_{};
+    double lostFrameFraction_ = 0;
+    double duplicatedFrameFraction_ = 0;
+    Time maxFrameDelay_{};
+    Time framesDisruptedUntil_{};
+    Time maxStateDelay_{};
     Time stateSlowUntil_{};
     double cancelAtEndFraction_ = 0;
     Time cancelAtEndUntil_{};
-    Time oddUntil_{};
+    Time irregularRequestsUntil_{};
     double stormFactor_ = 1;
     Time stormUntil_{};
-    int oddJobs_ = 0;
-    TransferFigures transferFigures_;
-    Time givenAt_{};  // when the answer that is being taken in was given
+    int invalidJobCount_ = 0;
+    TransferStats transferStats_;
+    Time responseGeneratedAt_{};  // when the answer that is being taken in was given
 };
 
 }  // namespace fawnwheel::sim
--- a/tests/sim/world_audit.cpp
+++ b/tests/sim/simulation_audit.cpp
@@ -1,7 +1,7 @@
 // Compares what is on the machines, what the records hold and what the nodes know.
 #include <spdlog/fmt/fmt.h>
 
-#include "sim/world_parts.h"
+#include "sim/simulation_internal.h"
 #include "storage/records.h"
 
 namespace fawnwheel::sim {
@@ -29,7 +29,7 @@
 
 }  // namespace
 
-std::set<std::string> World::recordedAllocations() const {
+std::set<std::string> Simulation::recordedAllocations() const {
     std::set<std::string> allocations;
     for (auto at = records_.lower_bound(slicePrefix);
          at != records_.end() && at->first.starts_with(slicePrefix); ++at) {
@@ -47,22 +47,22 @@
     return allocations;
 }
 
-void World::watchAllocations() {
+void Simulation::checkAllocations() {
     const auto allocations = recordedAllocations();
     for (const auto& [id, w] : workers_) {
-        if (w->gone) continue;
+        if (w->terminated) continue;
         for (const auto& task : w->tasks)
             if (task.placed)
-                checker_.placed(
+                checker_.observePlacement(
                     task.job, task.index, id,
                     allocations.contains(allocationName(task.job, task.index, id, task.attempt)),
                     spec_.lease + heartbeatRound, now_);
     }
-    at(now_ + watchPeriod, [this] { watchAllocations(); });
+    at(now_ + watchPeriod, [this] { checkAllocations(); });
 }
 
-void World::audit() {
-    if (now_ - checker_.quietSince() < settled) return;
+void Simulation::audit() {
+    if (now_ - checker_.faultFreeSince() < settled) return;
     for (auto at = records_.lower_bound(jobPrefix);
          at != records_.end() && at->first.starts_with(jobPrefix); ++at)
         auditJob(at->first.substr(std::string_view(jobPrefix).size()));
@@ -71,7 +71,7 @@
         if (node->controller && node->controller->synced()) auditClusterState(*node);
 }
 
-void World::auditJob(const std::string& id) {
+void Simulation::auditJob(const std::string& id) {
     // As a reader sees it that has nothing but the records.
     storage::ClusterState fresh;
     const auto apply = [&](const std::string& key, const Record& record) {
@@ -99,8 +99,8 @@
                 fmt::format("{}/{} is in {} slices of the records", id, task, cover[task]));
 }
 
-void World::auditOrphans() {
-    if (now_ - checker_.quietSince() < orphansDeleted) return;
+void Simulation::auditOrphans() {
+    if (now_ - checker_.faultFreeSince() < orphansDeleted) return;
     for (auto at = records_.lower_bound(slicePrefix);
          at != records_.end() && at->first.starts_with(slicePrefix); ++at) {
         const auto job = sliceOfKey(at->first).first;
@@ -110,7 +110,7 @@
     }
 }
 
-void World::auditClusterState(Node& node) {
+void Simulation::auditClusterState(Node& node) {
     auto clusterState = node.controller->clusterState().lock();
     for (const auto& [id, job] : clusterState->jobs) {
         const auto live = records_.find(storage::keys::job(id));
--- a/tests/sim/world_cloud.cpp
+++ b/tests/sim/simulation_cloud.cpp
@@ -1,17 +1,17 @@
 // The stand-in for the cloud.
 #include <algorithm>
 
-#include "sim/world_parts.h"
+#include "sim/simulation_internal.h"
 
 namespace fawnwheel::sim {
 
-void World::cloudOutage(Time length) {
-    cloudBackAt_ = now_ + length;
-    checker_.troubledUntil(cloudBackAt_);
+void Simulation::cloudOutage(Time length) {
+    cloudOutageUntil_ = now_ + length;
+    checker_.faultsUntil(cloudOutageUntil_);
 }
 
-void World::serveCloud(const HttpRequest& request, const HttpReply& reply) {
-    if (now_ < cloudBackAt_) return reply(answer(503, {{"error", "trouble"}}));
+void Simulation::serveCloud(const HttpRequest& request, const HttpReply& reply) {
+    if (now_ < cloudOutageUntil_) return reply(answer(503, {{"error", "trouble"}}));
     const auto path = request.path.substr(0, request.path.find('?'));
     const auto body = protocol::decodeCbor(request.body);
     if (path == wire::pathCatalog) {
@@ -25,9 +25,9 @@
     if (path == wire::pathReleaseMachines) {
         for (const auto& name : protocol::listOf(*body, wire::machines)) {
             Worker* target = worker(name.get<std::string>());
-            if (target == nullptr || target->gone) continue;
-            killAll(*target);
-            target->gone = true;
+            if (target == nullptr || target->terminated) continue;
+            killAllTasks(*target);
+            target->terminated = true;
         }
         return reply(answer(200));
     }
@@ -43,7 +43,7 @@
                                         [&](const auto& t) { return t.type.name == type; });
         auto room = spot ? found->spotCapacity : found->capacity;
         for (const auto& [id, w] : workers_)
-            if (!w->gone && w->type == type && w->zone == zone && w->spot == spot) --room;
+            if (!w->terminated && w->type == type && w->zone == zone && w->spot == spot) --room;
         const auto count = std::min(room, static_cast<int>(protocol::countOf(*body, wire::count)));
         if (count <= 0) return reply(answer(503, {{"error", "no capacity"}}));
         auto& names = provisioningRequests_[name];
@@ -65,12 +65,13 @@
     bool more = false;
     for (auto at = workers_.upper_bound(since); at != workers_.end(); ++at) {
         const auto& [id, w] = *at;
-        if (w->provisionedAt > moment || w->gone) continue;
+        if (w->provisionedAt > moment || w->terminated) continue;
         more = machines.size() == most;
         if (more) break;
         machines.push_back(
             {{wire::id, id},
-             {wire::address, spec_.outside != nullptr ? spec_.outside->addressOf(id) : id},
+             {wire::address,
+              spec_.externalNodes != nullptr ? spec_.externalNodes->addressOf(id) : id},
              {wire::type, w->type},
              {wire::zone, w->zone},
              {wire::spot, w->spot},
--- a/tests/sim/world_troubles.cpp
+++ b/tests/sim/simulation_faults.cpp
@@ -1,5 +1,5 @@
 // Troubles drawn at random, singly and overlapping.
-#include "sim/world_parts.h"
+#include "sim/simulation_internal.h"
 
 namespace fawnwheel::sim {
 
@@ -10,13 +10,13 @@
 
 }  // namespace
 
-void World::randomTroubles(int count, Time length) {
+void Simulation::injectRandomFaults(int count, Time length) {
     for (int i = 0; i < count; ++i)
         at(now_ + length * std::uniform_real_distribution<>(0, 1)(rng_),
-           [this] { randomTrouble(); });
+           [this] { injectRandomFault(); });
 }
 
-void World::randomTrouble() {
+void Simulation::injectRandomFault() {
     const auto between = [this](double least, double most) {
         return Time(std::uniform_real_distribution<>(least, most)(rng_));
     };
@@ -32,7 +32,7 @@
         case 1:
             return kill(node, between(3, 12));
         case 2:
-            return refuseState(node, between(5, 25));
+            return rejectStateRequests(node, between(5, 25));
         case 3:
             return stateOutage(between(5, spec_.cancel.count() * 1.2));
         case 4:
@@ -40,9 +40,9 @@
         case 5:
             return isolateFromState(node, between(5, 30));
         case 6:
-            return lateWrites(between(0.05, 0.3).count(), between(5, 30));
+            return delayWrites(between(0.05, 0.3).count(), between(5, 30));
         case 7:
-            return slowState(between(0.5, 4), between(5, 30));
+            return slowStateService(between(0.5, 4), between(5, 30));
         case 8:
             // What hangs past its lease keeps its tasks here until it goes on (docs/questions.md,
             // 10).
@@ -53,11 +53,11 @@
                 at(now_ + Time(6.0 * other), [this, other] { kill(other, Time(3)); });
             return;
         default:
-            return randomMachineTrouble();
+            return injectRandomMachineFault();
     }
 }
 
-void World::randomMachineTrouble() {
+void Simulation::injectRandomMachineFault() {
     const Time length(std::uniform_real_distribution<>(5, spec_.lease.count() * 1.6)(rng_));
     const int kind = std::uniform_int_distribution<>(0, 3)(rng_);
     for (std::size_t machine = 0; machine < workers_.size(); ++machine) {
@@ -65,7 +65,8 @@
         if (kind == 0) dropUpstream(machine, length);
         if (kind == 1) dropDownstream(machine, length);
         if (kind == 2) slowLinks(machine, Time(4), length);
-        if (kind == 3 && std::bernoulli_distribution(fractionOfMachines)(rng_)) die(machine);
+        if (kind == 3 && std::bernoulli_distribution(fractionOfMachines)(rng_))
+            failMachine(machine);
     }
 }
 
--- a/tests/sim/world_parts.h
+++ b/tests/sim/simulation_internal.h
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "protocol/names.h"
-#include "sim/world.h"
+#include "sim/simulation.h"
 
 namespace fawnwheel::sim {
 
@@ -40,25 +40,25 @@
 // Timers and network of one life of a node: what an earlier life has planned never happens.
 class NodeClock final : public transport::Timers {
   public:
-    NodeClock(World& world, std::shared_ptr<bool> alive)
-        : world_(world), alive_(std::move(alive)) {}
+    NodeClock(Simulation& simulation, std::shared_ptr<bool> alive)
+        : simulation_(simulation), alive_(std::move(alive)) {}
     [[nodiscard]] transport::SteadyTime now() const override {
-        return transport::SteadyTime(toSteady(world_.now_ + Time(1000)));
+        return transport::SteadyTime(toSteady(simulation_.now_ + Time(1000)));
     }
     [[nodiscard]] transport::WallTime wallNow() const override {
-        return transport::WallTime(
-            std::chrono::duration_cast<transport::WallTime::duration>(world_.now_ + Time(1e9)));
+        return transport::WallTime(std::chrono::duration_cast<transport::WallTime::duration>(
+            simulation_.now_ + Time(1e9)));
     }
     transport::TimerId after(transport::Duration delay, std::function<void()> action) override {
         const auto id = next_++;
         auto pending = std::make_shared<bool>(true);
         pending_[id] = pending;
-        world_.at(world_.now_ + std::max(Time(delay), Time(0)),
-                  [this, id, pending, alive = alive_, action = std::move(action)] {
-                      if (!*alive || !*pending) return;
-                      pending_.erase(id);
-                      world_.costs_.steps.measure(action);
-                  });
+        simulation_.at(simulation_.now_ + std::max(Time(delay), Time(0)),
+                       [this, id, pending, alive = alive_, action = std::move(action)] {
+                           if (!*alive || !*pending) return;
+                           pending_.erase(id);
+                           simulation_.costs_.steps.measure(action);
+                       });
         return id;
     }
     void cancel(transport::TimerId id) override {
@@ -69,7 +69,7 @@
     }
 
   private:
-    World& world_;
+    Simulation& simulation_;
     std::shared_ptr<bool> alive_;
     transport::TimerId next_ = 1;
     std::map<transport::TimerId, std::shared_ptr<bool>> pending_;
@@ -77,71 +77,73 @@
 
 class NodeNetwork final : public transport::Network {
   public:
-    NodeNetwork(World& world, std::string host, std::shared_ptr<bool> alive)
-        : world_(world), host_(std::move(host)), alive_(std::move(alive)) {}
+    NodeNetwork(Simulation& simulation, std::string host, std::shared_ptr<bool> alive)
+        : simulation_(simulation), host_(std::move(host)), alive_(std::move(alive)) {}
     void call(const std::string& address, HttpRequest request, transport::Duration timeout,
               HttpDone done) override {
-        world_.request(host_, address, std::move(request), Time(timeout),
-                       [alive = alive_, done = std::move(done)](std::optional<HttpResponse> r) {
-                           if (*alive) done(std::move(r));
-                       });
+        simulation_.request(
+            host_, address, std::move(request), Time(timeout),
+            [alive = alive_, done = std::move(done)](std::optional<HttpResponse> r) {
+                if (*alive) done(std::move(r));
+            });
     }
     void sendFrame(const std::string& peer, std::string payload) override;
 
   private:
-    World& world_;
+    Simulation& simulation_;
     std::string host_;
     std::shared_ptr<bool> alive_;
 };
 
-struct World::Node {
+struct Simulation::Node {
     std::string name;
     config::Settings settings;
-    config::OperatorSettings tuning;
+    config::OperatorSettings operatorSettings;
     bool oldVersion = false;
     std::shared_ptr<bool> alive;
     std::unique_ptr<NodeClock> clock;
     std::unique_ptr<NodeNetwork> network;
     std::unique_ptr<coordination::Controller> controller;
-    std::vector<std::unique_ptr<coordination::Controller>> ended;  // until the world ends
-    std::vector<std::unique_ptr<NodeClock>> endedClocks;
-    std::vector<std::unique_ptr<NodeNetwork>> endedNetworks;
+    std::vector<std::unique_ptr<coordination::Controller>>
+        stoppedControllers;  // until the world ends
+    std::vector<std::unique_ptr<NodeClock>> stoppedClocks;
+    std::vector<std::unique_ptr<NodeNetwork>> stoppedNetworks;
 };
 
-struct World::Task {
+struct Simulation::Task {
     std::string job;
     std::uint32_t index = 0;
     std::uint64_t attempt = 0;
     std::string state = wire::stateFetching;
     std::string cause;
     bool kept = false;
-    Time imageAt{};
+    Time imageReadyAt{};
     Time waitingSince{};
     Time progress{};
-    std::optional<Time> saveEnds;
-    std::optional<Time> peersGoneAt;
+    std::optional<Time> saveEndsAt;
+    std::optional<Time> peerLossDeadline;
     bool placed = false;  // has its image: counts as being on the machine
 };
 
-struct World::Worker {
+struct Simulation::Worker {
     std::string id;
     std::string type;
     std::string zone;
     bool spot = false;
     bool up = false;
-    bool gone = false;
+    bool terminated = false;
     bool faulty = false;
     Time provisionedAt{};
     Time hangsUntil{};
     Time downstreamLostUntil{};
     Time upstreamLostUntil{};
     Time slowUntil{};
-    Time slowBy{};
+    Time maxExtraDelay{};
     std::optional<Time> interruptionAt;
     std::uint64_t agentEpoch = 1;
     std::uint64_t sequence = 0;
     std::uint64_t fencingToken = 0;
-    Time leaseFrom{};
+    Time leaseRenewedAt{};
     int node = 0;
     bool heartbeatInFlight = false;
     std::uint64_t heartbeatNumber = 0;
--- a/tests/sim/world_state.cpp
+++ b/tests/sim/simulation_state_service.cpp
@@ -1,7 +1,7 @@
 // The stand-in for the state service.
 #include <algorithm>
 
-#include "sim/world_parts.h"
+#include "sim/simulation_internal.h"
 #include "storage/records.h"
 
 namespace fawnwheel::sim {
@@ -12,21 +12,21 @@
 
 }  // namespace
 
-void World::stateOutage(Time length) {
-    stateBackAt_ = now_ + length;
-    checker_.troubledUntil(stateBackAt_);
-    for (auto& [id, lease] : leases_) lease.first = stateBackAt_ + lease.second;
-    at(stateBackAt_, [this] { answerWatches(); });
+void Simulation::stateOutage(Time length) {
+    stateOutageUntil_ = now_ + length;
+    checker_.faultsUntil(stateOutageUntil_);
+    for (auto& [id, lease] : leases_) lease.first = stateOutageUntil_ + lease.second;
+    at(stateOutageUntil_, [this] { answerWatches(); });
 }
 
-void World::refuseState(int node, Time length) {
-    refusedUntil_["node-" + std::to_string(node)] = now_ + length;
+void Simulation::rejectStateRequests(int node, Time length) {
+    stateRejectedUntil_["node-" + std::to_string(node)] = now_ + length;
     at(now_ + length, [this] { answerWatches(); });
-    checker_.troubledUntil(now_ + length);
+    checker_.faultsUntil(now_ + length);
 }
 
-void World::expireLeases() {
-    if (now_ < stateBackAt_) return;
+void Simulation::expireLeases() {
+    if (now_ < stateOutageUntil_) return;
     for (auto lease = leases_.begin(); lease != leases_.end();) {
         if (lease->second.first > now_) {
             ++lease;
@@ -39,24 +39,25 @@
         for (const auto& key : keys) {
             ++revision_;
             records_.erase(key);
-            changed(key, true);
+            recordChange(key, true);
         }
         if (!keys.empty()) answerWatches();
     }
 }
 
-void World::changed(const std::string& key, bool deleted) {
-    log_.emplace_back(revision_, key, deleted ? std::nullopt : std::optional(records_[key].value));
+void Simulation::recordChange(const std::string& key, bool deleted) {
+    changeLog_.emplace_back(revision_, key,
+                            deleted ? std::nullopt : std::optional(records_[key].value));
     history_.add(now_, "record", {key, deleted ? std::string() : records_[key].value.dump()});
-    if (log_.size() > keptChanges) log_.pop_front();
+    if (changeLog_.size() > keptChanges) changeLog_.pop_front();
 }
 
-void World::answerWatches() {
-    if (now_ < stateBackAt_) return;
+void Simulation::answerWatches() {
+    if (now_ < stateOutageUntil_) return;
     for (const auto& watch : watches_) {
-        if (!watch->open || stateRefuses(watch->from)) continue;
+        if (!watch->open || stateRejects(watch->from)) continue;
         Json events = Json::array();
-        for (const auto& [revision, key, value] : log_) {
+        for (const auto& [revision, key, value] : changeLog_) {
             if (revision <= watch->since || !key.starts_with(watch->prefix)) continue;
             Json event{{value ? wire::put : wire::drop, key}, {wire::version, revision}};
             if (value) event[wire::value] = *value;
@@ -69,23 +70,24 @@
     std::erase_if(watches_, [](const auto& watch) { return !watch->open; });
 }
 
-bool World::stateRefuses(const std::string& node) const {
-    const auto refused = refusedUntil_.find(node);
-    return now_ < stateBackAt_ || (refused != refusedUntil_.end() && now_ < refused->second);
+bool Simulation::stateRejects(const std::string& node) const {
+    const auto refused = stateRejectedUntil_.find(node);
+    return now_ < stateOutageUntil_ ||
+           (refused != stateRejectedUntil_.end() && now_ < refused->second);
 }
 
-void World::endWatch(const std::shared_ptr<Watch>& watch) {
+void Simulation::expireWatch(const std::shared_ptr<Watch>& watch) {
     if (!watch->open) return;
     // Watches that are open stay open while their node is not served.
-    if (stateRefuses(watch->from)) {
-        at(now_ + Time(1), [this, watch] { endWatch(watch); });
+    if (stateRejects(watch->from)) {
+        at(now_ + Time(1), [this, watch] { expireWatch(watch); });
         return;
     }
     watch->open = false;
     watch->reply(answer(200, {{wire::revision, revision_}, {wire::events, Json::array()}}));
 }
 
-bool World::withinLimits(const Json& body) const {
+bool Simulation::withinLimits(const Json& body) const {
     const auto& writes = protocol::listOf(body, wire::writes);
     const auto& compares = protocol::listOf(body, wire::compares);
     const auto conditionsMost = limits_.writes * config::Settings::conditionsPerChange;
@@ -97,7 +99,7 @@
            });
 }
 
-Json World::asWrittenBy(const std::string& from, Json body) const {
+Json Simulation::withoutUnsupportedWrites(const std::string& from, Json body) const {
     const auto node = std::find_if(nodes_.begin(), nodes_.end(),
                                    [&from](const auto& n) { return n->name == from; });
     if (node == nodes_.end() || !(*node)->oldVersion) return body;
@@ -112,9 +114,9 @@
     return body;
 }
 
-void World::recordMachineTransfers(const Json& writes) {
+void Simulation::recordMachineTransfers(const Json& writes) {
     const auto prefix = storage::keys::machine({});
-    const auto before = transferFigures_.moves;
+    const auto before = transferStats_.transfers;
     for (const auto& write : writes) {
         const auto key = protocol::textOf(write, wire::put);
         const auto known = records_.find(key);
@@ -126,10 +128,10 @@
         if (Worker* moved = worker(key.substr(prefix.size())))
             recordTransfer(*moved, protocol::countOf(next, "floor"));
     }
-    if (transferFigures_.moves > before) transferFigures_.writes += writes.size();
+    if (transferStats_.transfers > before) transferStats_.writes += writes.size();
 }
 
-HttpResponse World::stateTransaction(const Json& body) {
+HttpResponse Simulation::stateTransaction(const Json& body) {
     if (!withinLimits(body)) return answer(400);
     Json failed = Json::array();
     for (const auto& compare : protocol::listOf(body, wire::compares)) {
@@ -150,19 +152,19 @@
         auto key = protocol::textOf(write, wire::put);
         if (key.empty()) {
             key = protocol::textOf(write, wire::drop);
-            if (records_.erase(key) > 0) changed(key, true);
+            if (records_.erase(key) > 0) recordChange(key, true);
             continue;
         }
         records_[key] = {write[wire::value], revision_, protocol::countOf(write, wire::lease),
                          now_};
-        changed(key, false);
+        recordChange(key, false);
     }
     answerWatches();
     return answer(200, {{wire::revision, revision_}});
 }
 
-void World::serveState(const std::string& from, const HttpRequest& request,
-                       const HttpReply& reply) {
+void Simulation::serveState(const std::string& from, const HttpRequest& request,
+                            const HttpReply& reply) {
     expireLeases();
     const auto path = request.path.substr(0, request.path.find('?'));
     const auto query = queryOf(request.path);
@@ -176,21 +178,22 @@
         watch->since = std::stoull(text(wire::querySince));
         watch->reply = reply;
         watch->from = from;
-        if (stateRefuses(from)) return reply(answer(503));
+        if (stateRejects(from)) return reply(answer(503));
         watches_.push_back(watch);
         at(now_ + Time(std::stod(text(wire::queryWait)) / 1000),
-           [this, watch] { endWatch(watch); });
+           [this, watch] { expireWatch(watch); });
         return answerWatches();
     }
-    if (stateRefuses(from)) return reply(answer(503));
+    if (stateRejects(from)) return reply(answer(503));
     auto body = protocol::decodeCbor(request.body);
     if (path == wire::pathTransaction) {
-        body = asWrittenBy(from, std::move(*body));
-        if (now_ >= lateUntil_ || std::uniform_real_distribution<>(0, 1)(rng_) >= lateFraction_)
+        body = withoutUnsupportedWrites(from, std::move(*body));
+        if (now_ >= writesDelayedUntil_ ||
+            std::uniform_real_distribution<>(0, 1)(rng_) >= delayedWriteFraction_)
             return reply(stateTransaction(*body));
         const Time later(
-            std::uniform_real_distribution<>(soonestWrite.count(), latestWrite.count())(rng_));
-        at(std::max(now_ + later, stateBackAt_), [this, body = *body] {
+            std::uniform_real_distribution<>(minWriteDelay.count(), maxWriteDelay.count())(rng_));
+        at(std::max(now_ + later, stateOutageUntil_), [this, body = *body] {
             expireLeases();
             stateTransaction(body);
         });
--- a/tests/sim/world_workers.cpp
+++ b/tests/sim/simulation_workers.cpp
@@ -1,7 +1,7 @@
 // The stand-ins for workers: heartbeats, commands, tasks and gangs, and their troubles.
 #include <algorithm>
 
-#include "sim/world_parts.h"
+#include "sim/simulation_internal.h"
 
 namespace fawnwheel::sim {
 
@@ -14,12 +14,12 @@
 
 }  // namespace
 
-World::Worker* World::worker(const std::string& id) {
+Simulation::Worker* Simulation::worker(const std::string& id) {
     const auto found = workers_.find(id);
     return found == workers_.end() ? nullptr : found->second.get();
 }
 
-void World::addMachine(const std::string& type, const std::string& zone, bool spot) {
+void Simulation::addMachine(const std::string& type, const std::string& zone, bool spot) {
     auto name = std::to_string(nextMachine_++);
     name = "m-" + std::string(6 - name.size(), '0') + name;
     auto w = std::make_unique<Worker>();
@@ -28,7 +28,7 @@
     w->zone = zone;
     w->spot = spot;
     w->provisionedAt = now_;
-    w->node = someNode();
+    w->node = randomNode();
     const auto found = std::find_if(spec_.types.begin(), spec_.types.end(),
                                     [&](const auto& t) { return t.type.name == type; });
     const Time boot = now_ > Time(0)
@@ -38,15 +38,15 @@
     workers_[name] = std::move(w);
 }
 
-void World::startWorker(Worker& w) {
-    if (w.gone) return;
+void Simulation::startWorker(Worker& w) {
+    if (w.terminated) return;
     w.up = true;
-    w.leaseFrom = now_;
+    w.leaseRenewedAt = now_;
     scheduleHeartbeat(w);
     stepWorker(w);
 }
 
-Json World::heartbeatBody(Worker& w) const {
+Json Simulation::heartbeatBody(Worker& w) const {
     Json tasks = Json::array();
     for (const auto& task : w.tasks) {
         Json entry{{wire::task, task.job + "/" + std::to_string(task.index)},
@@ -56,7 +56,8 @@
         if (task.kept) entry[wire::saved] = true;
         tasks.push_back(std::move(entry));
     }
-    const auto address = spec_.outside != nullptr ? spec_.outside->addressOf(w.id) : w.id;
+    const auto address =
+        spec_.externalNodes != nullptr ? spec_.externalNodes->addressOf(w.id) : w.id;
     Json body{{wire::machine, w.id},          {wire::address, address},
               {wire::type, w.type},           {wire::zone, w.zone},
               {wire::spot, w.spot},           {wire::agentEpoch, w.agentEpoch},
@@ -66,7 +67,7 @@
     return body;
 }
 
-void World::scheduleHeartbeat(Worker& w) {
+void Simulation::scheduleHeartbeat(Worker& w) {
     if (w.heartbeatScheduled) return;
     w.heartbeatScheduled = true;
     at(std::max(now_, w.lastHeartbeat + minHeartbeatGap), [this, id = w.id] {
@@ -76,8 +77,8 @@
     });
 }
 
-void World::sendHeartbeat(Worker& w) {
-    if (w.gone || w.heartbeatInFlight) return;
+void Simulation::sendHeartbeat(Worker& w) {
+    if (w.terminated || w.heartbeatInFlight) return;
     if (w.hangsUntil > now_) {
         at(w.hangsUntil, [this, id = w.id] { sendHeartbeat(*worker(id)); });
         return;
@@ -91,7 +92,7 @@
     const HttpRequest sending{"POST", wire::pathHeartbeat, protocol::encodeCbor(heartbeatBody(w))};
     const auto& node = nodes_[static_cast<std::size_t>(w.node)]->name;
     if (std::uniform_real_distribution<>(0, 1)(rng_) < duplicatedFraction_)
-        at(now_ + latestCopy_ * std::uniform_real_distribution<>(0.02, 1)(rng_),
+        at(now_ + maxDuplicateDelay_ * std::uniform_real_distribution<>(0.02, 1)(rng_),
            [this, id = w.id, node, sending] {
                serve(id, node, sending, [](const HttpResponse&) {});
            });
@@ -99,7 +100,7 @@
             [this, id = w.id, node, number, sent,
              agentEpoch](const std::optional<HttpResponse>& response) {
                 Worker& target = *worker(id);
-                if (target.gone || target.heartbeatNumber != number) return;
+                if (target.terminated || target.heartbeatNumber != number) return;
                 target.heartbeatInFlight = false;
                 const auto body = response ? protocol::decodeCbor(response->body) : std::nullopt;
                 if (response && response->status == 421 && body) {
@@ -119,9 +120,9 @@
                 if (fencingToken >= target.fencingToken && agentEpoch == target.agentEpoch) {
                     const bool higher = fencingToken > target.fencingToken;
                     target.fencingToken = fencingToken;
-                    target.leaseFrom = sent;
+                    target.leaseRenewedAt = sent;
                     recordAnswered(target, node, fencingToken);
-                    obey(target, protocol::listOf(*body, wire::commands));
+                    executeCommands(target, protocol::listOf(*body, wire::commands));
                     if (higher && now_ - target.fencingTokenReportedAt > spec_.lease / 2) {
                         target.fencingTokenReportedAt = now_;
                         scheduleHeartbeat(target);
@@ -135,38 +136,38 @@
             });
 }
 
-void World::recordTransfer(Worker& w, std::uint64_t floor) {
-    ++transferFigures_.moves;
+void Simulation::recordTransfer(Worker& w, std::uint64_t floor) {
+    ++transferStats_.transfers;
     w.transferredAt = now_;
     w.transferredFloor = floor;
     for (const auto& task : w.tasks) {
         if (!task.placed) continue;
-        ++transferFigures_.moved;
-        checker_.changedHands(task.job, task.index, w.id, now_);
+        ++transferStats_.tasksMoved;
+        checker_.machineTransferred(task.job, task.index, w.id, now_);
     }
 }
 
-void World::recordAnswered(Worker& w, const std::string& node, std::uint64_t fencingToken) {
-    checker_.answered(w.id, node, fencingToken);
+void Simulation::recordAnswered(Worker& w, const std::string& node, std::uint64_t fencingToken) {
+    checker_.responseAccepted(w.id, node, fencingToken);
     const auto before = std::exchange(w.answeredAt, now_);
     if (!w.transferredAt || fencingToken < w.transferredFloor) return;
     const Time took = now_ - *w.transferredAt;
-    ++transferFigures_.heard;
-    transferFigures_.untilHeard += took;
-    transferFigures_.longestUntilHeard = std::max(transferFigures_.longestUntilHeard, took);
+    ++transferStats_.responses;
+    transferStats_.totalResponseDelay += took;
+    transferStats_.maxResponseDelay = std::max(transferStats_.maxResponseDelay, took);
     if (before)
-        transferFigures_.longestPause = std::max(transferFigures_.longestPause, now_ - *before);
+        transferStats_.maxHeartbeatGap = std::max(transferStats_.maxHeartbeatGap, now_ - *before);
     w.transferredAt.reset();
 }
 
-void World::obey(Worker& w, const Json& calls) {
-    for (const auto& call : calls) {
-        const auto op = protocol::textOf(call, wire::command);
-        const auto name = protocol::textOf(call, wire::task);
+void Simulation::executeCommands(Worker& w, const Json& commands) {
+    for (const auto& command : commands) {
+        const auto op = protocol::textOf(command, wire::command);
+        const auto name = protocol::textOf(command, wire::task);
         const auto slash = name.rfind('/');
         const auto job = name.substr(0, slash);
         const auto index = static_cast<std::uint32_t>(std::stoul(name.substr(slash + 1)));
-        const auto attempt = protocol::countOf(call, wire::attempt);
+        const auto attempt = protocol::countOf(command, wire::attempt);
         const auto found = std::find_if(w.tasks.begin(), w.tasks.end(), [&](const Task& t) {
             return t.job == job && t.index == index && t.attempt == attempt;
         });
@@ -174,12 +175,13 @@
             if (found != w.tasks.end() && found->state == wire::stateExited) w.tasks.erase(found);
         } else if (op == wire::commandStop) {
             if (found == w.tasks.end() || found->state == wire::stateExited) continue;
-            const auto& truth = truths_[job];
-            const Time grace(protocol::numberOf(call, wire::grace));
-            if (found->state == wire::stateRunning && truth.spec.checkpointInterval.count() > 0 &&
-                grace >= truth.spec.checkpointDuration) {
+            const auto& simulatedJob = simulatedJobs_[job];
+            const Time grace(protocol::numberOf(command, wire::grace));
+            if (found->state == wire::stateRunning &&
+                simulatedJob.spec.checkpointInterval.count() > 0 &&
+                grace >= simulatedJob.spec.checkpointDuration) {
                 found->state = wire::stateSaving;
-                found->saveEnds = now_ + truth.spec.checkpointDuration;
+                found->saveEndsAt = now_ + simulatedJob.spec.checkpointDuration;
             } else if (found->state != wire::stateSaving || grace == Time(0)) {
                 endTask(w, *found, wire::causeStopped, false);
             }
@@ -188,17 +190,17 @@
             task.job = job;
             task.index = index;
             task.attempt = attempt;
-            const auto& truth = truths_[job];
+            const auto& simulatedJob = simulatedJobs_[job];
             const auto type = std::find_if(spec_.types.begin(), spec_.types.end(),
                                            [&](const auto& t) { return t.type.name == w.type; });
-            protocol::Resources used = truth.spec.each;
+            protocol::Resources used = simulatedJob.spec.each;
             bool busy = false;
             for (const auto& other : w.tasks) {
                 if (other.state == wire::stateExited) continue;
-                used += truths_[other.job].spec.each;
+                used += simulatedJobs_[other.job].spec.each;
                 busy = busy || (other.job == job && other.index == index);
             }
-            const char* refusal = !truth.submitted                  ? wire::causeUnknown
+            const char* refusal = !simulatedJob.submitted           ? wire::causeUnknown
                                   : busy                            ? wire::causeBusy
                                   : !used.fits(type->type.capacity) ? wire::causeNoCapacity
                                                                     : nullptr;
@@ -206,10 +208,10 @@
                 task.state = wire::stateExited;
                 task.cause = refusal;
             } else {
-                const bool cached =
-                    std::find(w.images.begin(), w.images.end(), truth.spec.image) != w.images.end();
-                task.imageAt =
-                    now_ + Time(cached ? 0.0 : truth.spec.imageSize / type->type.fetchRate);
+                const bool cached = std::find(w.images.begin(), w.images.end(),
+                                              simulatedJob.spec.image) != w.images.end();
+                task.imageReadyAt =
+                    now_ + Time(cached ? 0.0 : simulatedJob.spec.imageSize / type->type.fetchRate);
             }
             w.tasks.push_back(std::move(task));
         }
@@ -217,14 +219,14 @@
     }
 }
 
-void World::endTask(Worker& w, Task& task, const char* cause, bool kept) {
+void Simulation::endTask(Worker& w, Task& task, const char* cause, bool kept) {
     const bool done = std::string(cause) == wire::causeDone;
     if (task.placed) checker_.ended(task.job, task.index, w.id, done, now_);
-    if (!done) checker_.disturbed(task.job, task.index, w.id, cause, now_);
+    if (!done) checker_.endedIncomplete(task.job, task.index, w.id, cause, now_);
     if (done) {
-        Truth& truth = truths_[task.job];
-        truth.done.insert(task.index);
-        if (truth.done.size() == truth.spec.tasks && now_ < cancelAtEndUntil_ &&
+        SimulatedJob& simulatedJob = simulatedJobs_[task.job];
+        simulatedJob.done.insert(task.index);
+        if (simulatedJob.done.size() == simulatedJob.spec.tasks && now_ < cancelAtEndUntil_ &&
             std::uniform_real_distribution<>(0, 1)(rng_) < cancelAtEndFraction_)
             at(now_, [this, job = task.job] { cancel(job); });
     }
@@ -235,73 +237,75 @@
     scheduleHeartbeat(w);
 }
 
-void World::killAll(Worker& w) {
+void Simulation::killAllTasks(Worker& w) {
     for (auto& task : w.tasks) {
         if (!task.placed) continue;
         checker_.ended(task.job, task.index, w.id, false, now_);
-        checker_.disturbed(task.job, task.index, w.id, "its lease or machine ended", now_);
+        checker_.endedIncomplete(task.job, task.index, w.id, "its lease or machine ended", now_);
     }
     w.tasks.clear();
 }
 
-void World::stepWorker(Worker& w) {
-    if (w.gone) return;
+void Simulation::stepWorker(Worker& w) {
+    if (w.terminated) return;
     if (w.interruptionAt && now_ >= *w.interruptionAt) {
-        killAll(w);
-        w.gone = true;
+        killAllTasks(w);
+        w.terminated = true;
         return;
     }
     at(now_ + step, [this, id = w.id] { stepWorker(*worker(id)); });
     if (w.hangsUntil > now_) return;
-    if (now_ - w.leaseFrom > spec_.lease) {
-        killAll(w);
+    if (now_ - w.leaseRenewedAt > spec_.lease) {
+        killAllTasks(w);
         ++w.agentEpoch;
-        w.leaseFrom = now_;
+        w.leaseRenewedAt = now_;
         scheduleHeartbeat(w);
         return;
     }
     std::set<std::string> gangs;
     for (auto& task : w.tasks) {
-        Truth& truth = truths_[task.job];
-        const bool gang = truth.spec.kind == protocol::JobKind::gang;
-        if (task.state == wire::stateFetching && now_ >= task.imageAt) {
-            if (std::find(w.images.begin(), w.images.end(), truth.spec.image) == w.images.end())
-                w.images.push_back(truth.spec.image);
+        SimulatedJob& simulatedJob = simulatedJobs_[task.job];
+        const bool gang = simulatedJob.spec.kind == protocol::JobKind::gang;
+        if (task.state == wire::stateFetching && now_ >= task.imageReadyAt) {
+            if (std::find(w.images.begin(), w.images.end(), simulatedJob.spec.image) ==
+                w.images.end())
+                w.images.push_back(simulatedJob.spec.image);
             task.placed = true;
             checker_.started(task.job, task.index, {w.id, w.type, w.zone, w.spot}, now_);
             task.state = gang ? wire::stateWaiting : wire::stateRunning;
             task.waitingSince = now_;
-            task.progress = truth.saved[task.index];
+            task.progress = simulatedJob.saved[task.index];
             scheduleHeartbeat(w);
         } else if (task.state == wire::stateSaving) {
-            if (now_ >= *task.saveEnds) {
-                truth.saved[task.index] = task.progress;
+            if (now_ >= *task.saveEndsAt) {
+                simulatedJob.saved[task.index] = task.progress;
                 endTask(w, task, wire::causeStopped, true);
             }
         } else if (task.state == wire::stateRunning) {
             task.progress += step;
-            if (truth.spec.checkpointInterval.count() > 0 && !gang) {
-                const auto whole = std::floor(task.progress / truth.spec.checkpointInterval);
-                truth.saved[task.index] =
-                    std::max(truth.saved[task.index], Time(truth.spec.checkpointInterval) * whole);
+            if (simulatedJob.spec.checkpointInterval.count() > 0 && !gang) {
+                const auto whole = std::floor(task.progress / simulatedJob.spec.checkpointInterval);
+                simulatedJob.saved[task.index] =
+                    std::max(simulatedJob.saved[task.index],
+                             Time(simulatedJob.spec.checkpointInterval) * whole);
             }
-            if (w.faulty || truth.faulty)
+            if (w.faulty || simulatedJob.faulty)
                 endTask(w, task, wire::causeError, false);
-            else if (truth.done.contains(task.index) ||
-                     (truth.spec.kind != protocol::JobKind::service && !gang &&
-                      task.progress >= truth.runs))
+            else if (simulatedJob.done.contains(task.index) ||
+                     (simulatedJob.spec.kind != protocol::JobKind::service && !gang &&
+                      task.progress >= simulatedJob.runs))
                 endTask(w, task, wire::causeDone, false);
         }
         if (gang) gangs.insert(task.job);
     }
-    for (const auto& job : gangs) gangStep(job);
+    for (const auto& job : gangs) stepGang(job);
 }
 
-void World::gangStep(const std::string& job) {
-    const Truth& truth = truths_[job];
+void Simulation::stepGang(const std::string& job) {
+    const SimulatedJob& simulatedJob = simulatedJobs_[job];
     std::map<std::uint64_t, std::vector<std::pair<Worker*, Task*>>> attempts;
     for (const auto& [id, w] : workers_)
-        if (!w->gone)
+        if (!w->terminated)
             for (auto& task : w->tasks)
                 if (task.job == job && task.placed)
                     attempts[task.attempt].emplace_back(w.get(), &task);
@@ -314,10 +318,10 @@
         };
         const auto running = inState(wire::stateRunning);
         const auto waiting = inState(wire::stateWaiting);
-        const bool whole = members.size() == truth.spec.tasks;
+        const bool whole = members.size() == simulatedJob.spec.tasks;
         const bool finished = whole && running == members.size() &&
                               std::all_of(members.begin(), members.end(), [&](const auto& m) {
-                                  return m.second->progress >= truth.runs;
+                                  return m.second->progress >= simulatedJob.runs;
                               });
         for (auto& [w, task] : members) {
             if (w->hangsUntil > now_) continue;
@@ -331,37 +335,38 @@
                     endTask(*w, *task, wire::causeAlone, false);
                 }
             } else if (task->state == wire::stateRunning && !whole) {
-                if (!task->peersGoneAt) task->peersGoneAt = now_ + gangPeer;
-                if (now_ >= *task->peersGoneAt) endTask(*w, *task, wire::causePeers, false);
+                if (!task->peerLossDeadline) task->peerLossDeadline = now_ + gangPeer;
+                if (now_ >= *task->peerLossDeadline) endTask(*w, *task, wire::causePeers, false);
             }
         }
     }
 }
 
-void World::hang(std::size_t machine, Time length) {
+void Simulation::hangMachine(std::size_t machine, Time length) {
     nth(workers_, machine).hangsUntil = now_ + length;
-    checker_.troubledUntil(now_ + length);
+    checker_.faultsUntil(now_ + length);
 }
 
-void World::die(std::size_t machine) {
+void Simulation::failMachine(std::size_t machine) {
     Worker& w = nth(workers_, machine);
-    killAll(w);
-    w.gone = true;
+    killAllTasks(w);
+    w.terminated = true;
 }
 
-void World::sendInterruptionNotice(std::size_t machine, Time left) {
+void Simulation::sendInterruptionNotice(std::size_t machine, Time left) {
     Worker& w = nth(workers_, machine);
     w.interruptionAt = now_ + left;
     scheduleHeartbeat(w);
 }
 
-void World::breakMachine(std::size_t machine) {
+void Simulation::makeMachineFaulty(std::size_t machine) {
     nth(workers_, machine).faulty = true;
 }
 
-std::size_t World::machinesUp() const {
-    return static_cast<std::size_t>(std::count_if(
-        workers_.begin(), workers_.end(), [](auto& w) { return w.second->up && !w.second->gone; }));
+std::size_t Simulation::machinesUp() const {
+    return static_cast<std::size_t>(std::count_if(workers_.begin(), workers_.end(), [](auto& w) {
+        return w.second->up && !w.second->terminated;
+    }));
 }
 
 }  // namespace fawnwheel::sim
--- a/tests/unit/coordination/api/admission_test.cpp
+++ b/tests/unit/coordination/api/admission_test.cpp
@@ -3,7 +3,7 @@
 #include <gtest/gtest.h>
 
 #include "protocol/names.h"
-#include "sim/small_world.h"
+#include "sim/small_simulation.h"
 
 namespace fawnwheel::sim {
 namespace {
@@ -18,21 +18,21 @@
 
 class SubmissionWithDependencies : public ::testing::Test {
   protected:
-    SubmissionWithDependencies() : world(smallWorld()) {
-        for (int i = 0; i < 4; ++i) world.addMachine("small", "a", false);
+    SubmissionWithDependencies() : simulation(smallSimulationSpec()) {
+        for (int i = 0; i < 4; ++i) simulation.addMachine("small", "a", false);
         for (const auto& [id, runs] :
              {std::pair("run-done", 3.0), {"run-called-off", 300.0}, {"run-live", 300.0}})
-            world.at(Time(3), [this, id = std::string(id), runs = runs] {
-                world.submit(smallJob(id), Time(runs), false);
+            simulation.at(Time(3), [this, id = std::string(id), runs = runs] {
+                simulation.submit(smallJob(id), Time(runs), false);
             });
-        world.at(Time(5), [this] {
+        simulation.at(Time(5), [this] {
             auto service = smallJob("run-service");
             service.kind = protocol::JobKind::service;
-            world.submit(service, Time(300), false);
+            simulation.submit(service, Time(300), false);
         });
-        world.at(Time(20), [this] { world.cancel("run-called-off"); });
-        world.at(Time(25), [this] { world.cancel("run-called-off"); });
-        world.run(Time(40));
+        simulation.at(Time(20), [this] { simulation.cancel("run-called-off"); });
+        simulation.at(Time(25), [this] { simulation.cancel("run-called-off"); });
+        simulation.run(Time(40));
     }
 
     static Json bodyWithDependencies(const std::string& id, const Json& dependencies) {
@@ -43,19 +43,19 @@
     Response post(const Json& body) {
         Response response;
         // Posted from within the simulation, as a user of the cluster does.
-        world.at(world.now(), [this, &response, body] {
-            world.post(body, [&response](int status, const std::string& state) {
+        simulation.at(simulation.now(), [this, &response, body] {
+            simulation.post(body, [&response](int status, const std::string& state) {
                 response = {status, state};
             });
         });
-        world.run(world.now() + Time(6));
+        simulation.run(simulation.now() + Time(6));
         return response;
     }
     Response postWithDependencies(const std::string& id, const Json& dependencies) {
         return post(bodyWithDependencies(id, dependencies));
     }
 
-    World world;
+    Simulation simulation;
 };
 
 TEST_F(SubmissionWithDependencies, AcceptsJobsWithoutDependencies) {
@@ -105,8 +105,8 @@
 // Without the state service a node cannot tell an unknown job from one that it has not seen yet,
 // so the submission has to be retried.
 TEST_F(SubmissionWithDependencies, AnswersUnavailableDuringAStateServiceOutage) {
-    world.at(world.now(), [this] { world.stateOutage(Time(30)); });
-    world.run(world.now() + Time(5));
+    simulation.at(simulation.now(), [this] { simulation.stateOutage(Time(30)); });
+    simulation.run(simulation.now() + Time(5));
     EXPECT_EQ(postWithDependencies("run-1", {"run-unheard-of"}).status, 503);
     EXPECT_EQ(postWithDependencies("run-1", {"run-live"}).status, 503);
 }
@@ -115,38 +115,39 @@
 // So dependencies are accepted only once every node has been upgraded; a restart of the last old
 // node changes nothing.
 TEST(SubmissionDuringUpgrade, AnswersUnavailableUntilAllNodesAreUpgraded) {
-    WorldSpec spec;
+    SimulationSpec spec;
     spec.oldVersion = true;
     TypeSpec type;
     type.type.name = "small";
     type.type.capacity = {8, 0, 32};
     spec.types.push_back(type);
-    World world(spec);
+    Simulation simulation(spec);
     protocol::JobSpec first;
     first.id = "run-first";
     first.jobClass = first.team = first.image = "x";
     first.tasks = 1;
     first.each = {1, 0, 1};
-    world.at(Time(5), [&] { world.submit(first, Time(300), false); });
+    simulation.at(Time(5), [&] { simulation.submit(first, Time(300), false); });
     auto body = protocol::encodeJobSpec(first);
     body[wire::id] = "run-next";
     body[wire::dependencies] = {"run-first"};
     std::map<int, int> statuses;  // by second of the request
     const auto postAt = [&](int second) {
-        world.at(Time(second), [&world, &statuses, body, second] {
-            world.post(body, [&statuses, second](int status, const std::string&) {
+        simulation.at(Time(second), [&simulation, &statuses, body, second] {
+            simulation.post(body, [&statuses, second](int status, const std::string&) {
                 statuses[second] = status;
             });
         });
     };
     for (int node = 0; node < 2; ++node)
-        world.at(Time(10 + 10 * node), [&world, node] { world.upgrade(node, Time(2)); });
+        simulation.at(Time(10 + 10 * node),
+                      [&simulation, node] { simulation.upgrade(node, Time(2)); });
     postAt(40);
-    world.at(Time(50), [&world] { world.kill(2, Time(2)); });
+    simulation.at(Time(50), [&simulation] { simulation.kill(2, Time(2)); });
     postAt(60);
-    world.at(Time(70), [&world] { world.upgrade(2, Time(2)); });
+    simulation.at(Time(70), [&simulation] { simulation.upgrade(2, Time(2)); });
     postAt(90);
-    world.run(Time(100));
+    simulation.run(Time(100));
     EXPECT_EQ(statuses[40], 503);
     EXPECT_EQ(statuses[60], 503);
     EXPECT_EQ(statuses[90], 201);
--- a/tests/unit/sim/history_digest_test.cpp
+++ b/tests/unit/sim/history_digest_test.cpp
@@ -1,14 +1,14 @@
 // The history digest tells runs apart by what could be seen of them.
 #include <gtest/gtest.h>
 
-#include "sim/world.h"
+#include "sim/simulation.h"
 
 namespace fawnwheel::sim {
 namespace {
 
 // A small day with one job; `cpus` is what its only task takes.
-std::uint64_t digestOfDay(std::uint64_t seed, double cpus) {
-    WorldSpec spec;
+std::uint64_t digestOfRun(std::uint64_t seed, double cpus) {
+    SimulationSpec spec;
     spec.seed = seed;
     TypeSpec type;
     type.type.name = "small";
@@ -20,9 +20,9 @@
     config::Team team;
     team.name = "crew";
     spec.teams.push_back(team);
-    World world(spec);
-    world.addMachine("small", "a", false);
-    world.at(Time(20), [&world, cpus] {
+    Simulation simulation(spec);
+    simulation.addMachine("small", "a", false);
+    simulation.at(Time(20), [&simulation, cpus] {
         protocol::JobSpec job;
         job.id = "run-000001";
         job.jobClass = "test";
@@ -32,22 +32,22 @@
         job.image = "img-1";
         job.imageSize = 1;
         job.estimate = Time(10);
-        world.submit(job, Time(10), false);
+        simulation.submit(job, Time(10), false);
     });
-    world.run(Time(90));
-    return world.history().value();
+    simulation.run(Time(90));
+    return simulation.history().value();
 }
 
 TEST(HistoryDigestTest, IsTheSameWhenTheSameSeedIsPlayedAgain) {
-    EXPECT_EQ(digestOfDay(1, 2), digestOfDay(1, 2));
+    EXPECT_EQ(digestOfRun(1, 2), digestOfRun(1, 2));
 }
 
 TEST(HistoryDigestTest, DiffersWhenOneJobIsAnother) {
-    EXPECT_NE(digestOfDay(1, 2), digestOfDay(1, 3));
+    EXPECT_NE(digestOfRun(1, 2), digestOfRun(1, 3));
 }
 
 TEST(HistoryDigestTest, DiffersBetweenSeeds) {
-    EXPECT_NE(digestOfDay(1, 2), digestOfDay(2, 2));
+    EXPECT_NE(digestOfRun(1, 2), digestOfRun(2, 2));
 }
 
 TEST(HistoryDigestTest, DependsOnTheOrderOfEvents) {
--- a/tests/unit/sim/small_world.h
+++ b/tests/unit/sim/small_simulation.h
@@ -1,12 +1,12 @@
 // A world of one zone with small machines, and a job of one task for it.
 #pragma once
 
-#include "sim/world.h"
+#include "sim/simulation.h"
 
 namespace fawnwheel::sim {
 
-inline WorldSpec smallWorld() {
-    WorldSpec spec;
+inline SimulationSpec smallSimulationSpec() {
+    SimulationSpec spec;
     TypeSpec type;
     type.type.name = "small";
     type.type.capacity = {8, 0, 32};
