--- a/tests/loopback/loopback_main.cpp
+++ b/tests/loopback/loopback_main.cpp
@@ -1,6 +1,9 @@
-// Machines shared by real processes: `loopback_sharing DAEMON OPERATOR_FILE SECONDS SEED`.
-// Controllers are ended with SIGKILL and started again throughout, while gangs and arrays keep
-// machines moving between them. All traffic stays on loopback, and the run ends by itself.
+// Machine rebalancing between controllers that run as real processes:
+// `loopback_sharing DAEMON OPERATOR_FILE SECONDS SEED [keep-logs]`. Controllers are killed with
+// SIGKILL and restarted throughout, while gangs and arrays cause machine transfers between them.
+// The run fails if a rule of the checker is violated (for instance by a task that ends because of a
+// transfer), a job is not done at the end, a controller exits by itself, or no machine is
+// transferred. All traffic stays on loopback, and the run ends after SECONDS.
 #include <spdlog/fmt/fmt.h>
 #include <spdlog/spdlog.h>
 #include <sys/stat.h>
@@ -20,11 +23,12 @@
 constexpr int machines = 12;
 constexpr Time lease{30};
 constexpr Time cancelLimit{60};
-constexpr Time killFreePeriod{20};   // without kills, until all that was submitted should be done
-constexpr Time submissionEnd{30};    // before the end nothing more is submitted
-constexpr Time residentJobsEnd{45};  // so long before the end
+constexpr Time killFreePeriod{
+    20};  // no kills for so long before submissions end, so that all jobs get done
+constexpr Time submissionEnd{30};    // so long before the end of the run, submissions end
+constexpr Time residentJobsEnd{45};  // so long before the end of the run, resident jobs end
 constexpr int residentJobs = 6;
-constexpr int gangsInWave = 3;  // at once, so that they begin with different controllers
+constexpr int gangsInWave = 3;  // submitted at once, so that they start on different controllers
 constexpr double wavePeriod = 9;
 constexpr double killPeriod = 12;
 
@@ -40,13 +44,13 @@
     spec.each = each;
     spec.image = "img-1";
     spec.imageSize = 0.1;
-    // So long that a short queue sends the next gang of a wave to another controller.
+    // Long enough that one queued gang makes the next gang of a wave go to another controller.
     spec.estimate = Time(30);
     return spec;
 }
 
-// Tasks that stay keep every machine from being lent; gangs that need more machines than one
-// controller has make them move.
+// Schedules all machines, jobs and kills. Resident tasks keep every machine from being lent; gangs
+// that need more machines than one controller has then force transfers.
 void scheduleEvents(sim::Simulation& simulation, Time length, std::uint64_t seed) {
     std::mt19937_64 rng(seed);
     const auto between = [&rng](double least, double most) {
@@ -97,8 +101,9 @@
         figures.totalResponseDelay.count() / std::max(1.0, static_cast<double>(figures.responses)),
         figures.maxResponseDelay.count(), figures.maxHeartbeatGap.count());
     if (unexpectedExits > 0)
-        violations.push_back(fmt::format("{} controllers ended by themselves", unexpectedExits));
-    if (figures.transfers == 0) violations.emplace_back("no machine changed hands");
+        violations.push_back(
+            fmt::format("{} controllers exited without being killed", unexpectedExits));
+    if (figures.transfers == 0) violations.emplace_back("no machine was transferred");
     for (const auto& breach : violations) std::cout << breach << '\n';
     std::cout << (violations.empty() ? "passed" : "failed") << '\n';
     return violations.empty() ? 0 : 1;
--- a/tests/loopback/processes.cpp
+++ b/tests/loopback/processes.cpp
@@ -23,7 +23,7 @@
 constexpr auto requestTimeout = 6s;
 constexpr std::size_t manyConnections = 4000;
 
-// An address on loopback that nobody listens on now.
+// A loopback address with a port that nothing listens on at the moment.
 std::string freeAddress() {
     const int fd = ::socket(AF_INET, SOCK_STREAM, 0);
     sockaddr_in address{};
@@ -152,7 +152,7 @@
                         transport::HttpReply reply) {
     client_.call(processes_[static_cast<std::size_t>(node)].front, request, requestTimeout,
                  [this, reply = std::move(reply)](std::optional<transport::HttpResponse> response) {
-                     if (!response) return;  // the world's own time-out tells
+                     if (!response) return;  // the simulation's own timeout reports it
                      advance();
                      reply(std::move(*response));
                  });
--- a/tests/loopback/processes.h
+++ b/tests/loopback/processes.h
@@ -1,5 +1,5 @@
-// Controllers as real processes on loopback, among the stand-ins of the world, which serve real
-// sockets.
+// Controllers as real processes on loopback. The simulated state service, cloud and workers serve
+// them over real sockets.
 #pragma once
 
 #include <sys/types.h>
@@ -12,8 +12,8 @@
 namespace fawnwheel::loopback {
 
 struct ProcessSpec {
-    std::string daemon;        // path of the program
-    std::string operatorFile;  // its operators' settings
+    std::string daemon;        // path of the fawnwheeld program
+    std::string operatorFile;  // path of the operators' settings
     std::string directory;     // for settings and logs
     int nodes = 3;
     std::vector<std::string> zones;
@@ -36,9 +36,9 @@
                  transport::HttpReply reply) override;
     std::string addressOf(const std::string& machine) override;
 
-    // Plays the world in real time for so long, then ends the processes.
+    // Runs the simulation in real time for so long, then kills the processes.
     void runFor(sim::Simulation& simulation, sim::Time length);
-    // Processes that ended without being killed.
+    // Number of processes that exited without being killed.
     [[nodiscard]] int unexpectedExits() const { return unexpectedExits_; }
 
   private:
@@ -46,7 +46,8 @@
         std::string name;
         std::string front;
         std::string internal;
-        std::string state;  // an address of its own tells the state service who asks
+        std::string
+            state;  // one address per node, so that the state service knows which node calls
         std::string settingsFile;
         pid_t pid = -1;
         std::unique_ptr<transport::HttpServer> stateServer;
--- a/tests/sim/checker.cpp
+++ b/tests/sim/checker.cpp
@@ -11,8 +11,10 @@
 constexpr Time responseTimeout{75};
 constexpr Time startTimeout{240};
 constexpr Time waitTimeout{90};
-constexpr Time partialGangTimeout{75};    // gangs whose tasks wait in vain give up sooner
-constexpr Time transferEffectWindow{60};  // after a move, what ends a task may come of it
+// Longer than gang tasks wait for their peers before they exit.
+constexpr Time partialGangTimeout{75};
+// A task that ends so soon after a transfer may have ended because of it.
+constexpr Time transferEffectWindow{60};
 
 }  // namespace
 
@@ -52,11 +54,11 @@
             if (where.zone == place.zone)
                 ++sameZone;
             else if (spec.oneZone)
-                addViolation("wrong_place", name + " away from its job's zone");
+                addViolation("wrong_place", name + " outside its job's zone");
         }
     }
     if (spec.spread && sameZone > (spec.tasks + 1) / 2)
-        addViolation("wrong_place", name + " one too many in " + place.zone);
+        addViolation("wrong_place", name + " exceeds its job's share of tasks in " + place.zone);
     if (job.final == "cancelled") ++startsAfterCancel_;
     if (job.final == "cancelled" && at > job.terminalReportedAt + cancelLimit_)
         addViolation("ran_cancelled", name + " started");
@@ -137,8 +139,9 @@
     if (!transferDisruptionsForbidden_ || moved == transferredAt_.end() ||
         jobs_[id].cancelRequested || at - moved->second > transferEffectWindow)
         return;
-    addViolation("disturbed", fmt::format("{}/{} on {} {:.1f} s after it changed hands: {}", id,
-                                          task, machine, (at - moved->second).count(), why));
+    addViolation("disturbed",
+                 fmt::format("{}/{} on {} {:.1f} s after its machine was transferred: {}", id, task,
+                             machine, (at - moved->second).count(), why));
 }
 
 void Checker::checkPartiallyPlaced(const std::string& id, TrackedJob& job, Time at) {
@@ -160,7 +163,7 @@
         if (job.final != "cancelled" || at <= job.terminalReportedAt + cancelLimit_) continue;
         for (const auto& [task, places] : job.placements)
             if (!places.empty())
-                addViolation("ran_cancelled", id + "/" + std::to_string(task) + " still there");
+                addViolation("ran_cancelled", id + "/" + std::to_string(task) + " still runs");
         job.placements.clear();
     }
 }
@@ -175,7 +178,7 @@
     auto& since = unallocatedSince_.try_emplace(name, at).first->second;
     since = std::max(since, faultFreeSince_);
     if (at - since <= allowance) return;
-    addViolation("orphaned", name + " runs without a claim");
+    addViolation("orphaned", name + " runs without a recorded allocation");
     since = at;
 }
 
@@ -214,7 +217,7 @@
         if (std::none_of(above.begin(), above.end(), [](const TrackedJob* ancestor) {
                 return ancestor->cancelRequested && ancestor->final != "done";
             }))
-            addViolation("went_back", id + " cancelled unasked");
+            addViolation("went_back", id + " cancelled without a request");
     }
     if (state != "done" && state != "cancelled") checkOrphaned(id, job, generatedAt);
     if (job.final.empty() && (state == "done" || state == "cancelled")) {
@@ -238,7 +241,7 @@
     const auto found = jobs_.find(id);
     if (found == jobs_.end() || !found->second.accepted) return;
     if (at - std::max(found->second.lastResponseAt, faultFreeSince_) > responseTimeout) {
-        addViolation("forgotten", id + " got no answer for long");
+        addViolation("forgotten", id + " got no response for too long");
         found->second.lastResponseAt = at;
     }
 }
@@ -249,7 +252,7 @@
     const auto counts = [&](const TrackedJob& job) {
         const auto ready = readyAt(job);
         const auto above = ancestors(job);
-        // Whose dependency was called off as its last task ended is called off with it.
+        // A job is cancelled together with a dependency that was cancelled as its last task ended.
         const bool dependencyCancelled =
             std::any_of(above.begin(), above.end(),
                         [](const TrackedJob* ancestor) { return ancestor->final == "cancelled"; });
--- a/tests/sim/history_digest.h
+++ b/tests/sim/history_digest.h
@@ -1,4 +1,4 @@
-// A digest of what could be seen of a world from outside: every request, answer, frame and record
+// Digest of a simulation's observable behaviour: every request, response, frame and record change
 // in order, with its virtual time. Two runs that behaved alike have the same digest.
 #pragma once
 
@@ -13,8 +13,7 @@
 /// Accumulates the observable events of one simulated run into a 64-bit CRC (ECMA-182).
 class HistoryDigest {
   public:
-    /// Adds one event. `kind` says what it is; the partitions are its source, its target and its
-    /// bytes.
+    /// Adds one event of a kind. `pieces` are its texts, such as source, target and payload.
     void add(Time when, std::string_view kind, std::initializer_list<std::string_view> pieces) {
         const double seconds = when.count();
         crc_.process_bytes(&seconds, sizeof seconds);
@@ -27,7 +26,7 @@
     [[nodiscard]] std::uint64_t events() const { return events_; }
 
   private:
-    // The length keeps neighbouring texts apart.
+    // Hashing the length too keeps adjacent texts distinct: {"ab", "c"} and {"a", "bc"}.
     void addText(std::string_view text) {
         const std::uint64_t size = text.size();
         crc_.process_bytes(&size, sizeof size);
--- a/tests/sim/simulation.cpp
+++ b/tests/sim/simulation.cpp
@@ -1,4 +1,4 @@
-// The nodes of the world and the network between its hosts.
+// The simulated nodes and the network between all hosts.
 #include <algorithm>
 
 #include "sim/simulation_internal.h"
@@ -147,16 +147,17 @@
 void Simulation::deliver(const std::string& from, const std::string& to,
                          std::function<void()> action) {
     Time delay(std::uniform_real_distribution<>(0.0005, 0.01)(rng_));
-    const auto more = [this](Time most) {
+    const auto randomDelay = [this](Time most) {
         return most * std::uniform_real_distribution<>(0, 1)(rng_);
     };
     if (const auto* target = worker(to); target != nullptr) {
         if (target->downstreamLostUntil > now_) return;
-        if (target->slowUntil > now_) delay += more(target->maxExtraDelay);
+        if (target->slowUntil > now_) delay += randomDelay(target->maxExtraDelay);
     }
     if (const auto* source = worker(from); source != nullptr && source->slowUntil > now_)
-        delay += more(source->maxExtraDelay);
-    if (now_ < stateSlowUntil_ && (to == "state" || from == "state")) delay += more(maxStateDelay_);
+        delay += randomDelay(source->maxExtraDelay);
+    if (now_ < stateSlowUntil_ && (to == "state" || from == "state"))
+        delay += randomDelay(maxStateDelay_);
     const auto found = cuts_.find(std::minmax(from, to));
     if (found != cuts_.end() && found->second.until > now_) {
         if (!found->second.delayed) return;
@@ -168,14 +169,15 @@
 void Simulation::sendFrame(const std::string& from, const std::string& peer, std::string payload) {
     history_.add(now_, "frame", {from, peer, payload});
     const auto chance = [this] { return std::uniform_real_distribution<>(0, 1)(rng_); };
-    const auto hand = [this, peer, payload = std::move(payload)] {
+    const auto deliverFrame = [this, peer, payload = std::move(payload)] {
         for (const auto& node : nodes_)
             if (node->name == peer && node->controller) node->controller->onFrame(payload);
     };
-    const bool troubled = now_ < framesDisruptedUntil_;
-    if (troubled && chance() < duplicatedFrameFraction_) at(now_ + maxFrameDelay_ * chance(), hand);
-    if (troubled && chance() < lostFrameFraction_) return;
-    deliver(from, peer, hand);
+    const bool disrupted = now_ < framesDisruptedUntil_;
+    if (disrupted && chance() < duplicatedFrameFraction_)
+        at(now_ + maxFrameDelay_ * chance(), deliverFrame);
+    if (disrupted && chance() < lostFrameFraction_) return;
+    deliver(from, peer, deliverFrame);
 }
 
 void Simulation::request(const std::string& from, const std::string& address, HttpRequest request,
@@ -228,7 +230,7 @@
     Worker* target = worker(host);
     if (target == nullptr || !target->up || target->terminated) return;
     if (target->hangsUntil > now_) {
-        // Carried out when the machine goes on, if token and agent epoch still match.
+        // Executed once the machine no longer hangs, if fencing token and agent epoch still match.
         at(target->hangsUntil,
            [this, from, host, request, reply] { serve(from, host, request, reply); });
         return;
@@ -242,7 +244,7 @@
     const auto agentEpoch = body ? protocol::countOf(*body, wire::agentEpoch) : 0;
     if (fencingToken < target->fencingToken || agentEpoch != target->agentEpoch)
         return reply(answer(409, heartbeatBody(*target)));
-    // A higher token is a change that it heartbeats, once in half a lease.
+    // A worker heartbeats at once when its token rises, at most once in half a lease.
     if (fencingToken > target->fencingToken &&
         now_ - target->fencingTokenReportedAt > spec_.lease / 2) {
         target->fencingTokenReportedAt = now_;
@@ -300,7 +302,7 @@
 
 std::map<std::string, std::string> Simulation::hosts() const {
     std::map<std::string, std::string> all{
-        {"state", ""}, {"cloud", ""}, {"users", ""}};  // regional
+        {"state", ""}, {"cloud", ""}, {"users", ""}};  // regional services: in no zone
     for (const auto& node : nodes_) all[node->name] = node->settings.zone;
     for (const auto& [id, w] : workers_) all[id] = w->zone;
     return all;
--- a/tests/sim/simulation.h
+++ b/tests/sim/simulation.h
@@ -1,5 +1,5 @@
-// A world in virtual time: stand-ins for the state service, the cloud, workers and users, and the
-// real controllers among them.
+// A simulation in virtual time: simulated state service, cloud, workers and users around real
+// controllers.
 #pragma once
 
 #include <deque>
@@ -20,17 +20,17 @@
     int spotCapacity = 20;  // per zone
 };
 
-// What the state service accepts in one transaction.
+// Limits of the state service on one transaction: the size of a value and the number of writes.
 struct RecordLimits {
     double valueKb = 4;
     std::size_t writes = 12;
 };
 
-// Processor time that the controllers have used, of all nodes together.
+// Time spent in the controllers' code, summed over all nodes.
 struct Cost {
     using Time = std::chrono::steady_clock::duration;
 
-    // Adds what the action takes.
+    // Runs the action and adds its duration.
     template <typename Action>
     void measure(Action&& action) {
         const auto began = std::chrono::steady_clock::now();
@@ -47,11 +47,11 @@
 };
 
 struct Costs {
-    Cost heartbeats;  // from workers
-    Cost steps;       // timers: rounds of placement, failovers, maintenance
+    Cost heartbeats;  // heartbeats received from workers
+    Cost steps;       // timer callbacks: placement rounds, failovers, maintenance
 };
 
-// Nodes that are processes of their own, in place of controllers inside the world.
+// Runs the nodes as separate processes instead of controllers inside the simulation.
 class ExternalNodes {
   public:
     virtual ~ExternalNodes() = default;
@@ -60,19 +60,20 @@
     [[nodiscard]] virtual bool up(int node) const = 0;
     virtual void request(int node, const transport::HttpRequest& request,
                          transport::HttpReply reply) = 0;
-    // Where direct orders reach the machine.
+    // Address at which the machine's worker accepts direct commands.
     [[nodiscard]] virtual std::string addressOf(const std::string& machine) = 0;
 };
 
-// What machines that changed hands for good cost, and what their workers noticed.
+// Cost of permanent machine transfers between partitions, and the delays seen by their workers.
 struct TransferStats {
     std::size_t transfers = 0;
-    std::size_t tasksMoved = 0;  // tasks on them
-    std::size_t writes = 0;      // in the transactions that moved them
-    std::size_t responses = 0;   // that the new leader has answered
-    Time totalResponseDelay{};   // of those, in all
+    std::size_t tasksMoved = 0;  // tasks on the transferred machines
+    std::size_t writes = 0;      // in the transactions that transferred machines
+    // Transfers after which the worker accepted a response of the new leader.
+    std::size_t responses = 0;
+    Time totalResponseDelay{};  // from transfer to that response, summed
     Time maxResponseDelay{};
-    Time maxHeartbeatGap{};  // between two answered heartbeats around a move
+    Time maxHeartbeatGap{};  // between the answered heartbeats before and after a transfer
 };
 
 struct SimulationSpec {
@@ -82,18 +83,18 @@
     std::vector<TypeSpec> types;
     std::vector<config::Team> teams;
     config::OperatorSettings operatorSettings;
-    std::set<int> nodesWithoutRebalancing;  // nodes whose operators have not turned it on
+    std::set<int> nodesWithoutRebalancing;  // nodes whose operators have not enabled it
     Time lease{30};
     Time cancel{60};  // `cancel_s`
     Time listLag{4};
     double stateRequests = 120;
     double stateWrites = 60;
     RecordLimits recordLimits;
-    std::optional<RecordLimits> announcedLimits;  // announced; in force from `lowerLimits` on
-    // Nodes behave as the version in production until they are upgraded: they leave no mark of the
-    // new version, and so nobody uses its formats, and know nothing of announced limits.
+    std::optional<RecordLimits> announcedLimits;  // in force once `applyAnnouncedLimits` is called
+    // Nodes behave as the version in production until they are upgraded: they write no record that
+    // announces the new version, so that no node uses its formats, and ignore announced limits.
     bool oldVersion = false;
-    ExternalNodes* externalNodes = nullptr;  // none: the nodes live in the world
+    ExternalNodes* externalNodes = nullptr;  // null: the nodes run inside the simulation
 };
 
 class Simulation {
@@ -106,10 +107,10 @@
     void addMachine(const std::string& type, const std::string& zone, bool spot);
     void at(Time when, std::function<void()> action);
     void run(Time until);
-    // The same in steps: all that is due by then, and the checks at the end.
+    // The two steps of `run`: processes all events due by `until`; makes the final checks.
     void advance(Time until);
     void finish();
-    // A request of a node that lives outside, to a host of the world.
+    // Serves a request of an external node to a simulated host.
     void serveExternal(const std::string& from, const std::string& host,
                        const transport::HttpRequest& request, transport::HttpReply reply) {
         serve(from, host, request, std::move(reply));
@@ -117,20 +118,21 @@
 
     // Users
     void submit(const protocol::JobSpec& spec, Time runs, bool faulty);
-    // Any body, once, to any node that serves; `done` gets the status, 0 if there was no answer.
+    // Posts any body once, without retries, to a random node that serves. `done` gets the HTTP
+    // status, 0 if there was no response, and the job's state.
     void post(const protocol::Json& body, std::function<void(int status, std::string state)> done);
     void cancel(const std::string& job);
     void getStatus(const std::string& job);
 
-    // Troubles
+    // Fault injection
     void kill(int node, Time down);
-    // Kills the node, which comes back with the new version.
+    // Kills the node, which restarts with the new version.
     void upgrade(int node, Time down);
-    // The announced limits are in force from now on.
+    // Puts the announced limits into force.
     void applyAnnouncedLimits();
     void stateOutage(Time length);
     void cloudOutage(Time length);
-    // Lists of machines come as an empty page that says there is more.
+    // The cloud's machine lists are empty pages that claim there is more.
     void breakMachineLists(Time length) { listsBrokenUntil_ = now_ + length; }
     void cutLink(const std::string& one, const std::string& other, Time length, bool delayed);
     void rejectStateRequests(int node, Time length);
@@ -138,53 +140,53 @@
     void failMachine(std::size_t machine);
     void sendInterruptionNotice(std::size_t machine, Time left);
     void makeMachineFaulty(std::size_t machine);  // fails every task
-    // Its heartbeats arrive; answers and orders don't reach it.
+    // The machine's heartbeats arrive, but responses and commands do not reach it.
     void dropDownstream(std::size_t machine, Time length);
-    // Copies of this share of heartbeats come again up to so much later.
+    // This fraction of heartbeats is delivered a second time, up to `latest` later.
     void duplicateHeartbeats(double fraction, Time latest) {
         duplicatedFraction_ = fraction;
         maxDuplicateDelay_ = latest;
     }
-    // This share of requests to anybody is carried out once more, up to so much later.
+    // This fraction of POST requests to any host is executed a second time, up to `latest` later.
     void repeatRequests(double fraction, Time latest) {
         repeatedFraction_ = fraction;
         maxRepeatDelay_ = latest;
     }
-    // This share of transactions gets no answer and is carried out 2 to 12 s later.
-    // The record is gone, and nobody is told: to try the audit.
+    // Deletes the record without an event to any watch, to test the audit.
     void loseRecord(const std::string& key) { records_.erase(key); }
+    // This fraction of transactions gets no response and is executed 2 to 12 s later.
     void delayWrites(double fraction, Time length) {
         delayedWriteFraction_ = fraction;
         writesDelayedUntil_ = now_ + length;
         checker_.faultsUntil(writesDelayedUntil_ + maxWriteDelay);
     }
-    // Requests to the state service and their answers take up to so much longer.
+    // Requests to the state service and its responses take up to `most` longer.
     void slowStateService(Time most, Time length) {
         maxStateDelay_ = most;
         stateSlowUntil_ = now_ + length;
         checker_.faultsUntil(stateSlowUntil_);
     }
-    void dropUpstream(std::size_t machine,
-                      Time length);  // orders reach it, its heartbeats reach nobody
-    // Whatever goes to or from it takes up to so much longer.
+    // Commands reach the machine, but its heartbeats are lost.
+    void dropUpstream(std::size_t machine, Time length);
+    // Messages to and from the machine take up to `most` longer.
     void slowLinks(std::size_t machine, Time most, Time length);
-    // Users call off so many running jobs at once, and up to eight of their machines hang.
+    // Users cancel `count` running jobs at once, and up to eight of their machines hang.
     void cancelRunning(int count, Time hangs);
-    // This share of the jobs that end is called off at that very moment.
+    // This fraction of jobs is cancelled at the moment when the last task is done.
     void cancelAtEnd(double fraction, Time length) {
         cancelAtEndFraction_ = fraction;
         cancelAtEndUntil_ = now_ + length;
     }
-    // Users ask so many times as often.
+    // Users poll `factor` times as often.
     void pollStorm(double factor, Time length) {
         stormFactor_ = factor;
         stormUntil_ = now_ + length;
     }
-    // Submissions are repeated, done jobs called off, and jobs sent that lack a field or fit
-    // nowhere.
+    // Users repeat submissions, cancel jobs that are done, and submit jobs that lack a field, have
+    // a malformed one or fit no machine.
     void sendIrregularRequests(Time length);
-    // Of the frames between nodes, these shares are lost, and handed over once more up to so much
-    // later.
+    // Of the frames between nodes, the fraction `lost` is lost, and the fraction `copied` is
+    // delivered a second time up to `latest` later.
     void disruptFrames(double lost, double copied, Time latest, Time length) {
         lostFrameFraction_ = lost;
         duplicatedFrameFraction_ = copied;
@@ -192,28 +194,29 @@
         framesDisruptedUntil_ = now_ + length;
         checker_.faultsUntil(framesDisruptedUntil_);
     }
-    // So many troubles of any kind at any time from now on for so long, drawn anew with each seed.
+    // Injects `count` faults of random kinds at random times within `length`, chosen by the seed.
     void injectRandomFaults(int count, Time length);
     void cutZone(const std::string& zone, Time length, bool delayed);
     void separateZones(const std::string& one, const std::string& other, Time length, bool delayed);
     void cutPeerLinks(Time length);
-    void isolateFromState(int node, Time length);  // and from its peers, not from its workers
+    // Cuts the node off from the state service and its peers, but not from its workers.
+    void isolateFromState(int node, Time length);
     void loseResponses(double fraction) { lostResponseFraction_ = fraction; }
 
     [[nodiscard]] Checker& checker() { return checker_; }
     [[nodiscard]] std::string lastReportedState(const std::string& job) const;
-    // When the job's user was first told that it is in this state.
+    // When a response first reported this state of the job to its user.
     [[nodiscard]] std::optional<Time> firstReportedAt(const std::string& job,
                                                       const std::string& state) const;
-    // Jobs whose users have not been told of an end.
+    // Jobs that were not yet reported to their users as done or cancelled.
     [[nodiscard]] std::vector<std::string> unfinished() const;
     [[nodiscard]] const Costs& costs() const { return costs_; }
     [[nodiscard]] std::size_t machinesUp() const;
-    // How often machines have changed hands between partitions for good.
+    // Number of permanent machine transfers between partitions.
     [[nodiscard]] std::size_t machineTransfers() const { return transferStats_.transfers; }
     [[nodiscard]] const TransferStats& transferStats() const { return transferStats_; }
     [[nodiscard]] Time now() const { return now_; }
-    // Of all that could be seen so far.
+    // Digest of all observable events so far.
     [[nodiscard]] const HistoryDigest& history() const { return history_; }
     [[nodiscard]] int nodeCount() const { return spec_.nodes; }
 
@@ -251,7 +254,7 @@
     };
 
     void startNode(int index);
-    // One message from host to host: latency, cuts.
+    // Delivers one message from host to host, subject to latency, cut links and other faults.
     void deliver(const std::string& from, const std::string& to, std::function<void()> action);
     void request(const std::string& from, const std::string& address,
                  transport::HttpRequest request, Time timeout, transport::HttpDone done);
@@ -261,22 +264,23 @@
     void serveState(const std::string& from, const transport::HttpRequest& request,
                     const transport::HttpReply& reply);
     transport::HttpResponse stateTransaction(const protocol::Json& body);
-    // Whether a transaction is within the limits in force.
+    // Whether the transaction is within the limits in force.
     [[nodiscard]] bool withinLimits(const protocol::Json& body) const;
-    // Without what the version in production would not have written.
+    // Drops the writes that a node of the version in production would not have made.
     [[nodiscard]] protocol::Json withoutUnsupportedWrites(const std::string& node,
                                                           protocol::Json body) const;
-    // What the node's version makes of the limits in force and those announced.
+    // Sets the limits that the node's version knows: those in force and, in the new version, those
+    // announced.
     void setLimits(Node& node) const;
     void recordChange(const std::string& key, bool deleted);
-    // A transaction moves machines to other partitions for good.
+    // Counts the machines that a transaction transfers to other partitions permanently.
     void recordMachineTransfers(const protocol::Json& writes);
     void recordTransfer(Worker& worker, std::uint64_t floor);
-    // The worker has taken an answer of this node.
+    // The worker has accepted a response of this node.
     void recordAnswered(Worker& worker, const std::string& node, std::uint64_t fencingToken);
     [[nodiscard]] bool nodeUp(std::size_t index) const;
     void answerWatches();
-    void expireWatch(const std::shared_ptr<Watch>& watch);  // its time has run out
+    void expireWatch(const std::shared_ptr<Watch>& watch);  // at the end of its wait time
     [[nodiscard]] bool stateRejects(const std::string& node) const;
     void expireLeases();
     void serveCloud(const transport::HttpRequest& request, const transport::HttpReply& reply);
@@ -293,9 +297,9 @@
     void injectRandomMachineFault();
     // The allocations in the records, as "job/task machine attempt".
     [[nodiscard]] std::set<std::string> recordedAllocations() const;
-    // Whether each task that is on a machine has its allocation in the records.
+    // Reports to the checker whether each task on a machine has its allocation in the records.
     void checkAllocations();
-    // Records, cluster states and machines compared, once all troubles are over.
+    // Compares records, cluster states and machines, if all faults ended long enough ago.
     void audit();
     void auditJob(const std::string& job);
     void auditOrphans();
@@ -327,7 +331,7 @@
     std::map<std::string, Record> records_;
     std::uint64_t revision_ = 0;
     std::deque<std::tuple<std::uint64_t, std::string, std::optional<protocol::Json>>> changeLog_;
-    std::map<std::uint64_t, std::pair<Time, Time>> leases_;  // ends, length
+    std::map<std::uint64_t, std::pair<Time, Time>> leases_;  // expiry, TTL
     std::uint64_t nextLease_ = 1;
     std::vector<std::shared_ptr<Watch>> watches_;
     Time stateOutageUntil_{};
@@ -361,7 +365,7 @@
     Time stormUntil_{};
     int invalidJobCount_ = 0;
     TransferStats transferStats_;
-    Time responseGeneratedAt_{};  // when the answer that is being taken in was given
+    Time responseGeneratedAt_{};  // when the response now being handled was sent
 };
 
 }  // namespace fawnwheel::sim
--- a/tests/sim/simulation_audit.cpp
+++ b/tests/sim/simulation_audit.cpp
@@ -1,4 +1,4 @@
-// Compares what is on the machines, what the records hold and what the nodes know.
+// Compares the tasks on the machines, the records and the nodes' cluster states.
 #include <spdlog/fmt/fmt.h>
 
 #include "sim/simulation_internal.h"
@@ -9,9 +9,10 @@
 namespace {
 
 constexpr Time watchPeriod{5.0};
-constexpr Time heartbeatRound{10.0};  // the longest period, with an answer that does not come
-constexpr Time settled{15.0};         // after a change every node has followed it
-constexpr Time orphansDeleted{90.0};  // after the end of their job, when nothing else is written
+constexpr Time heartbeatRound{
+    10.0};                     // longest time between answered heartbeats with one response lost
+constexpr Time settled{15.0};  // after a record changed, until every node has applied it
+constexpr Time orphansDeleted{90.0};  // after their job ended, if the nodes write nothing else
 constexpr auto slicePrefix = "live/slice/";
 constexpr auto jobPrefix = "live/job/";
 
@@ -20,7 +21,7 @@
     return fmt::format("{}/{} {} {}", job, task, machine, attempt);
 }
 
-// The job and the index that a slice record's key names.
+// The job id and slice index in the key of a slice record.
 std::pair<std::string, std::uint32_t> sliceOfKey(const std::string& key) {
     const auto name = key.substr(std::string_view(slicePrefix).size());
     const auto slash = name.rfind('/');
@@ -72,7 +73,7 @@
 }
 
 void Simulation::auditJob(const std::string& id) {
-    // As a reader sees it that has nothing but the records.
+    // Builds the job from its records alone, as a node that starts up does.
     storage::ClusterState fresh;
     const auto apply = [&](const std::string& key, const Record& record) {
         storage::applyEvent(fresh, {key, record.value, record.version}, {});
@@ -83,14 +84,15 @@
          at != records_.end() && at->first.starts_with(prefix); ++at)
         apply(at->first, at->second);
     const auto* job = fresh.job(id);
-    if (job == nullptr) return checker_.auditFailed(id + " has a record that can't be read");
+    if (job == nullptr) return checker_.auditFailed(id + " has an unreadable record");
     std::vector<int> cover(job->spec.tasks, 0);
     for (const auto& slice : job->slices) {
         for (auto task = slice.first; task < slice.range().end(); ++task) ++cover[task];
         for (const auto& allocation : slice.allocations) {
             const auto machine = worker(allocation.machine);
             if (machine == nullptr)
-                checker_.auditFailed(id + " claims unknown " + allocation.machine);
+                checker_.auditFailed(id + " has an allocation on unknown machine " +
+                                     allocation.machine);
         }
     }
     for (std::size_t task = 0; task < cover.size(); ++task)
@@ -106,7 +108,7 @@
         const auto job = sliceOfKey(at->first).first;
         const auto final = records_.find(storage::keys::terminal(job));
         if (final != records_.end() && now_ - final->second.changedAt > orphansDeleted)
-            checker_.auditFailed(at->first + " has outlived its job");
+            checker_.auditFailed(at->first + " still exists although its job ended");
     }
 }
 
@@ -128,16 +130,16 @@
         const auto live = records_.find(storage::keys::job(id));
         if (live == records_.end() || now_ - live->second.changedAt < settled) continue;
         if (job == nullptr || index >= job->slices.size()) {
-            checker_.auditFailed(node.name + " does not know " + at->first);
+            checker_.auditFailed(node.name + " has no slice for record " + at->first);
             continue;
         }
         const auto& slice = job->slices[index];
         if (slice.version != at->second.version)
-            checker_.auditFailed(fmt::format("{} has {} as of {}, not {}", node.name, at->first,
-                                             slice.version, at->second.version));
+            checker_.auditFailed(fmt::format("{} has {} at version {}, not {}", node.name,
+                                             at->first, slice.version, at->second.version));
         else if (!slice.dirty && storage::sliceValue(slice) != at->second.value)
             checker_.auditFailed(
-                fmt::format("{} has {} otherwise than recorded: {}, not {}", node.name, at->first,
+                fmt::format("{} has {} with value {}, not the recorded {}", node.name, at->first,
                             storage::sliceValue(slice).dump(), at->second.value.dump()));
     }
 }
--- a/tests/sim/simulation_cloud.cpp
+++ b/tests/sim/simulation_cloud.cpp
@@ -1,4 +1,4 @@
-// The stand-in for the cloud.
+// The simulated cloud API.
 #include <algorithm>
 
 #include "sim/simulation_internal.h"
@@ -55,9 +55,9 @@
     }
     if (now_ < listsBrokenUntil_)
         return reply(answer(200, {{wire::machines, Json::array()}, {wire::more, true}}));
-    // A list is as old as its lag.
+    // A list shows the machines as of one to two list lags ago.
     const auto moment = now_ - spec_.listLag * std::uniform_real_distribution<>(1.0, 2.0)(rng_);
-    // In name order, a page at a time.
+    // Pages are in order of machine names.
     const auto query = queryOf(request.path);
     const auto since = query.contains(wire::querySince) ? query.at(wire::querySince) : "";
     const auto most = std::stoul(query.at(wire::queryLimit));
--- a/tests/sim/simulation_faults.cpp
+++ b/tests/sim/simulation_faults.cpp
@@ -1,4 +1,4 @@
-// Troubles drawn at random, singly and overlapping.
+// Random fault injection; faults may overlap.
 #include "sim/simulation_internal.h"
 
 namespace fawnwheel::sim {
@@ -44,8 +44,8 @@
         case 7:
             return slowStateService(between(0.5, 4), between(5, 30));
         case 8:
-            // What hangs past its lease keeps its tasks here until it goes on (docs/questions.md,
-            // 10).
+            // The hang stays below the lease: a simulated worker that hangs past its lease keeps
+            // its tasks until it resumes (docs/questions.md, 10).
             return cancelRunning(std::uniform_int_distribution<>(1, 12)(rng_),
                                  between(0, spec_.lease.count() * fractionOfLease));
         case 9:
--- a/tests/sim/simulation_internal.h
+++ b/tests/sim/simulation_internal.h
@@ -1,4 +1,5 @@
-// What the files of the stand-in world share: a node, a worker and a task as they truly are.
+// Shared by the simulation's source files: the actual state of nodes, workers and tasks, and the
+// timers and network of the simulated nodes.
 #pragma once
 
 #include <map>
@@ -29,7 +30,7 @@
     return {status, protocol::encodeCbor(body), 0};
 }
 
-// The fields of a path's query.
+// Parses the query parameters of a request path.
 std::map<std::string, std::string> queryOf(const std::string& path);
 
 template <typename Map>
@@ -37,7 +38,8 @@
     return *std::next(map.begin(), static_cast<std::ptrdiff_t>(index))->second;
 }
 
-// Timers and network of one life of a node: what an earlier life has planned never happens.
+// Timers and network of one run of a node, from start to kill: callbacks that an earlier run
+// scheduled never fire.
 class NodeClock final : public transport::Timers {
   public:
     NodeClock(Simulation& simulation, std::shared_ptr<bool> alive)
@@ -104,8 +106,8 @@
     std::unique_ptr<NodeClock> clock;
     std::unique_ptr<NodeNetwork> network;
     std::unique_ptr<coordination::Controller> controller;
-    std::vector<std::unique_ptr<coordination::Controller>>
-        stoppedControllers;  // until the world ends
+    // Of earlier runs of the node; kept until the simulation ends.
+    std::vector<std::unique_ptr<coordination::Controller>> stoppedControllers;
     std::vector<std::unique_ptr<NodeClock>> stoppedClocks;
     std::vector<std::unique_ptr<NodeNetwork>> stoppedNetworks;
 };
@@ -122,7 +124,7 @@
     Time progress{};
     std::optional<Time> saveEndsAt;
     std::optional<Time> peerLossDeadline;
-    bool placed = false;  // has its image: counts as being on the machine
+    bool placed = false;  // the image is fetched: the task counts as being on the machine
 };
 
 struct Simulation::Worker {
@@ -153,7 +155,8 @@
     std::vector<std::string> images;
     std::vector<Task> tasks;
     std::optional<Time> answeredAt;
-    // Its record names another partition since then, whose answers begin with this token.
+    // When the machine's record was last transferred to another partition, until a response of that
+    // partition is accepted, and the lowest fencing token of its responses.
     std::optional<Time> transferredAt;
     std::uint64_t transferredFloor = 0;
 };
--- a/tests/sim/simulation_state_service.cpp
+++ b/tests/sim/simulation_state_service.cpp
@@ -1,4 +1,4 @@
-// The stand-in for the state service.
+// The simulated state service.
 #include <algorithm>
 
 #include "sim/simulation_internal.h"
@@ -78,7 +78,7 @@
 
 void Simulation::expireWatch(const std::shared_ptr<Watch>& watch) {
     if (!watch->open) return;
-    // Watches that are open stay open while their node is not served.
+    // Open watches stay open while the state service rejects their node's requests.
     if (stateRejects(watch->from)) {
         at(now_ + Time(1), [this, watch] { expireWatch(watch); });
         return;
--- a/tests/sim/simulation_users.cpp
+++ b/tests/sim/simulation_users.cpp
@@ -1,4 +1,4 @@
-// The stand-ins for users: what they ask, and what they count.
+// The simulated users: submissions, polls, cancellations, and the watch for jobs left waiting.
 #include <algorithm>
 
 #include "sim/simulation_internal.h"
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr Time pollPeriod{5.0};
-constexpr Time acceptancePause{0.05};  // between looks whether a job has been accepted
+constexpr Time acceptancePause{0.05};  // between checks whether the dependencies have been accepted
 
 }  // namespace
 
@@ -32,7 +32,7 @@
 }
 
 void Simulation::submitOnceDependenciesAccepted(const std::string& id) {
-    // A user names only jobs that were accepted.
+    // Users name only accepted jobs as dependencies.
     const auto& dependencies = simulatedJobs_[id].spec.dependencies;
     const bool accepted =
         std::all_of(dependencies.begin(), dependencies.end(),
@@ -162,7 +162,7 @@
     auto body = protocol::encodeJobSpec(spec);
     switch (invalidJobCount_ % 3) {
         case 0:
-            // Any of those that may be neither null nor absent.
+            // Drops one required field; types, zone and deadline are optional.
             for (const auto* field : {wire::types, wire::zone, wire::deadline}) body.erase(field);
             body.erase(std::next(body.begin(), static_cast<std::ptrdiff_t>(rng_() % body.size())));
             break;
@@ -187,7 +187,7 @@
             });
 }
 
-// What users count: a job that waits although a machine that fits has room.
+// Reports to the checker which jobs wait although enough fitting machines have free capacity.
 void Simulation::checkWaitingJobs() {
     for (const auto& [id, simulatedJob] : simulatedJobs_)
         if (simulatedJob.submitted) checker_.observeWaiting(id, couldStart(id), now_);
@@ -227,7 +227,8 @@
             ++places[w->zone];
         }
     }
-    // Spread jobs and arrays of one zone that have begun are bound by where their tasks are.
+    // Spread jobs, and one-zone arrays with placed tasks, are also constrained by the zones of
+    // their other tasks, which this check does not model.
     if (spec.spread || (spec.oneZone && !gang && !placed.empty())) return false;
     if (placed.size() >= spec.tasks || (gang && !placed.empty())) return false;
     const std::uint32_t needed = gang ? spec.tasks : 1;
--- a/tests/sim/simulation_workers.cpp
+++ b/tests/sim/simulation_workers.cpp
@@ -1,4 +1,4 @@
-// The stand-ins for workers: heartbeats, commands, tasks and gangs, and their troubles.
+// The simulated workers: heartbeats, commands, tasks, gangs, and faults of machines.
 #include <algorithm>
 
 #include "sim/simulation_internal.h"
--- a/tests/unit/coordination/api/admission_test.cpp
+++ b/tests/unit/coordination/api/admission_test.cpp
@@ -42,7 +42,8 @@
     }
     Response post(const Json& body) {
         Response response;
-        // Posted from within the simulation, as a user of the cluster does.
+        // Only the response matters: post() does not register the job with the simulation, so that
+        // the simulated workers refuse to launch its tasks (cause "unknown").
         simulation.at(simulation.now(), [this, &response, body] {
             simulation.post(body, [&response](int status, const std::string& state) {
                 response = {status, state};
--- a/tests/unit/sim/audit_test.cpp
+++ b/tests/unit/sim/audit_test.cpp
@@ -1,4 +1,5 @@
-// The audit of records, cluster states and machines must find what is planted.
+// The audit of records, cluster states and machines must detect a record lost by the state service,
+// and report nothing in a run without faults.
 #include <gtest/gtest.h>
 
 #include "sim/small_simulation.h"
@@ -25,12 +26,12 @@
     Simulation simulation;
 };
 
-TEST_F(AuditTest, FindsNothingOnAGoodDay) {
+TEST_F(AuditTest, ReportsNothingWithoutFaults) {
     simulation.run(Time(150));
     EXPECT_TRUE(simulation.checker().violations().empty());
 }
 
-TEST_F(AuditTest, FindsTasksOfALiveJobWhoseSliceHasNoRecord) {
+TEST_F(AuditTest, ReportsTasksOfALiveJobWhoseSliceRecordIsLost) {
     simulation.at(Time(40), [this] { simulation.loseRecord("live/slice/run-1/0"); });
     simulation.run(Time(150));
     EXPECT_GE(countViolations(simulation, "orphaned"), 4U);
--- a/tests/unit/sim/history_digest_test.cpp
+++ b/tests/unit/sim/history_digest_test.cpp
@@ -1,4 +1,5 @@
-// The history digest tells runs apart by what could be seen of them.
+// The history digest must be equal for runs that behaved alike and differ for all others. A digest
+// that misses a difference would hide a change in behaviour or a nondeterministic run.
 #include <gtest/gtest.h>
 
 #include "sim/simulation.h"
@@ -6,7 +7,7 @@
 namespace fawnwheel::sim {
 namespace {
 
-// A small day with one job; `cpus` is what its only task takes.
+// Digest of a 90 s run with one job, whose only task takes so many CPUs.
 std::uint64_t digestOfRun(std::uint64_t seed, double cpus) {
     SimulationSpec spec;
     spec.seed = seed;
@@ -38,11 +39,11 @@
     return simulation.history().value();
 }
 
-TEST(HistoryDigestTest, IsTheSameWhenTheSameSeedIsPlayedAgain) {
+TEST(HistoryDigestTest, IsEqualWhenTheSameSeedRunsAgain) {
     EXPECT_EQ(digestOfRun(1, 2), digestOfRun(1, 2));
 }
 
-TEST(HistoryDigestTest, DiffersWhenOneJobIsAnother) {
+TEST(HistoryDigestTest, DiffersWhenAJobDiffers) {
     EXPECT_NE(digestOfRun(1, 2), digestOfRun(1, 3));
 }
 
--- a/tests/unit/sim/small_simulation.h
+++ b/tests/unit/sim/small_simulation.h
@@ -1,4 +1,5 @@
-// A world of one zone with small machines, and a job of one task for it.
+// The spec of a simulation with one zone and a type of small machines, and a job of one task for
+// it.
 #pragma once
 
 #include "sim/simulation.h"
