--- a/src/coordination/controller.cpp
+++ b/src/coordination/controller.cpp
@@ -142,7 +142,8 @@
     // Conclusions that are not recorded must not survive the loss of a partition. Otherwise this
     // leader could see an allocation end without recording it, and a successor could start the task
     // again from the record. When the partition came back, this leader would remove the allocation:
-    // the task would run untracked, and a second time elsewhere (scenario unrecorded_over_terms).
+    // the task would run untracked, and a second time elsewhere (scenario
+    // unrecorded_completions_across_terms).
     if (pipeline_.busy(partition)) {
         // The outcome of the transactions in flight is unknown, so the records have to be read
         // again.
--- a/src/coordination/membership/failover.cpp
+++ b/src/coordination/membership/failover.cpp
@@ -119,7 +119,8 @@
     // A refusal shows that the cluster state here is outdated, so the next attempt waits until the
     // cluster state has reached the revision of the refusal. Otherwise a node that was cut off from
     // the network retries with stale versions, and these requests, sent with the priority of
-    // leases, starve the reads that would update its records (scenario stale_after_cut).
+    // leases, starve the reads that would update its records (scenario
+    // stale_records_after_isolation).
     const auto failed = failedAcquisitions_.find(partition);
     return failed != failedAcquisitions_.end() &&
            (context_.now() < failed->second.retryAt ||
--- a/src/coordination/membership/partition_leadership.cpp
+++ b/src/coordination/membership/partition_leadership.cpp
@@ -19,10 +19,10 @@
     // job must end within `cancel_s` of the confirmation, and a cancellation that a peer has
     // confirmed recently may be unknown here. Without this check, a leader that the state service
     // refuses just before an outage for all nodes renews leases for the whole outage, and tasks
-    // keep running although a peer has confirmed their cancellation (scenario cancellation_gap).
-    // The slack also limits a leader whose lease is valid while its watch lags. If `cancel_s`
-    // leaves no slack beyond a lease, no leader could meet the limit by waiting; `maxWatchLag` then
-    // applies instead while the node's lease is valid.
+    // keep running although a peer has confirmed their cancellation (scenario
+    // cancel_while_leader_refused). The slack also limits a leader whose lease is valid while its
+    // watch lags. If `cancel_s` leaves no slack beyond a lease, no leader could meet the limit by
+    // waiting; `maxWatchLag` then applies instead while the node's lease is valid.
     auto maxAge = context_.cancellationSlack();
     if (maxAge <= Duration::zero() && lease_.isValid()) maxAge = maxWatchLag;
     return context_.now() <= replica_.currentAsOf() + maxAge || peers_.cancellationsKnown(maxAge);
@@ -37,7 +37,8 @@
     // partition, so a new leader has to wait only this much longer for the leases of this node's
     // workers to expire. A peer may also have acquired the partition before the outage, while this
     // node was cut off. Without the comparison of terms, this node would return to its peers during
-    // the outage and renew leases that the new leader considers expired (scenario back_in_outage).
+    // the outage and renew leases that the new leader considers expired (scenario
+    // isolated_leader_returns_in_outage).
     return peers_.outageConfirmedByAll(partition, acquiredTerms_.termOf(partition).value_or(0));
 }
 
--- a/src/coordination/migration/machine_lending.cpp
+++ b/src/coordination/migration/machine_lending.cpp
@@ -66,7 +66,7 @@
     // Some of what it lacks is of no use to it unless the rest can come free or be provisioned, but
     // asking costs little and unused loans go back. A busy machine kept here does not spare the
     // request: two partitions with an idle machine each once left gangs of two waiting for minutes
-    // (largest_first).
+    // (largest_gang_before_queued_small_gangs).
     auto missing = entry.tasksWithoutFreeMachine;
     std::sort(lenders.begin(), lenders.end(),
               [](const Lender& a, const Lender& b) { return a.idle > b.idle; });
@@ -75,7 +75,8 @@
         missing -= lender.requested;
     }
     // Under a load that never leaves a machine idle, peers have to keep some as they come free: a
-    // gang larger than its partition else never began (scenario largest_first).
+    // gang larger than its partition else never began (scenario
+    // largest_gang_before_queued_small_gangs).
     missing = std::min(missing, entry.tasks);
     if (placement_.canProvision(gang, entry.zone)) return;
     std::sort(lenders.begin(), lenders.end(),
@@ -170,7 +171,7 @@
 
 bool MachineLending::keepsOthersWaiting(ClusterState& clusterState, const Machine& machine) const {
     // A gang that can't get the rest of its machines once kept a borrowed one idle for minutes,
-    // while work that goes before it waited and may not use a loan (slice_left_behind).
+    // while work that goes before it waited and may not use a loan (partly_started_slice_migrates).
     const Job* gang = clusterState.job(machine.reservedFor);
     const auto* type = context_.findMachineType(machine.type);
     if (gang == nullptr || type == nullptr || context_.now() - machine.knownSince < loanPatience)
--- a/src/coordination/migration/machine_transfers.cpp
+++ b/src/coordination/migration/machine_transfers.cpp
@@ -8,7 +8,7 @@
 
 // A transfer that was given up may still be carried out late, and its giver's token grows
 // meanwhile: the next leader's begins well above it. With the very next one two leaders once
-// answered a worker with the same token (rebalancing_troubles).
+// answered a worker with the same token (rebalancing_random_failures).
 constexpr std::uint64_t tokenReserve = 256;
 
 }  // namespace
--- a/src/coordination/migration/work_migrator.cpp
+++ b/src/coordination/migration/work_migrator.cpp
@@ -16,7 +16,7 @@
 constexpr auto promiseDuration = 3s;
 constexpr std::size_t maxPendingMigrations = 16;
 // What found no place here for so long counts as above high, however short the queue is: the
-// average of one waiting task stays below any threshold (slice_left_behind).
+// average of one waiting task stays below any threshold (partly_started_slice_migrates).
 constexpr auto longWait = 30s;
 // The thresholds' upper bounds come from the settings; a partition that runs few tasks at a time is
 // congested by a shorter queue.
@@ -113,7 +113,7 @@
     if (slice.migrating) return {};
     if (slice.hasNotStarted()) return slice.dirty ? storage::TaskRange{} : slice.range();
     // The rest of a slice that has begun becomes a slice of its own. It once never moved, and
-    // waited beside idle machines of other partitions (slice_left_behind).
+    // waited beside idle machines of other partitions (partly_started_slice_migrates).
     if (!context_.jobDependenciesEnabled(*context_.clusterState.lock())) return {};
     return slice.trailingUnstarted();
 }
--- a/src/coordination/provisioning/machine_inventory.cpp
+++ b/src/coordination/provisioning/machine_inventory.cpp
@@ -42,7 +42,7 @@
             listed.insert(listed.end(), page->machines.begin(), page->machines.end());
             if (page->more) {
                 // A copy: arguments are evaluated in any order, so that the name once was read
-                // from a list that had been moved away (scenario grown_fleet).
+                // from a list that had been moved away (scenario large_fleet_all_nodes_crash).
                 const auto last = listed.back().id;
                 return listPage(last, asked, std::move(listed), pages + 1);
             }
--- a/src/coordination/replication/slice_writer.cpp
+++ b/src/coordination/replication/slice_writer.cpp
@@ -82,7 +82,7 @@
         written.cuts = cutsToFit(slice);
     // Counts the pieces already added in this transaction. If two slices of one job were divided in
     // it and both added pieces under the same index, the tasks of one piece would no longer be in
-    // any slice (scenario rebalancing_limit).
+    // any slice (scenario rebalancing_at_quota).
     auto& added = batch.addedSlices[job.spec.id];
     written.nextIndex = static_cast<std::uint32_t>(job.slices.size()) + added;
     const auto pieces = storage::cutSlice(slice, written.cuts, written.nextIndex);
--- a/src/coordination/scheduling/placement_constraints.cpp
+++ b/src/coordination/scheduling/placement_constraints.cpp
@@ -57,7 +57,7 @@
 bool mayUseLoan(const Context& context, const Job& job, const Machine& machine) {
     // A machine is lent so that a gang can start. A job of another kind may use the capacity beside
     // the gang's tasks after it has waited for 45 s: that may be the only free capacity, and
-    // without it such a job would wait forever (scenario slice_left_behind).
+    // without it such a job would wait forever (scenario partly_started_slice_migrates).
     if (!machine.lender || job.spec.kind == JobKind::gang) return true;
     return !machine.allocations.empty() &&
            context.timers.wallNow() > addSeconds(job.readySince, minWaitToUseLoan);
--- a/src/coordination/workers/heartbeat_validator.cpp
+++ b/src/coordination/workers/heartbeat_validator.cpp
@@ -50,7 +50,7 @@
     // node's lease is valid no other node leads the partition, so this leader may continue above
     // that token. The token must not change while the machine is being transferred: raised to the
     // first token of the next leader, it would let two leaders respond to the worker with the same
-    // token (scenario rebalancing_troubles).
+    // token (scenario rebalancing_random_failures).
     if (!membership_.isLeaseValid() || machine.transferring) return false;
     machine.firstFencingToken = machine.fencingToken = heartbeat.fencingToken + 1;
     requireAcknowledgement(machine, machine.fencingToken, context_.now());
