--- a/tests/sim/scenario_main.cpp
+++ b/tests/sim/scenario_main.cpp
@@ -1,7 +1,8 @@
-// Runs one scenario file: `scenario_runner FILE [SEEDS | FROM-TO] [MODE]`. The words of the files
-// are described in tests/scenarios/README.md. Modes: `costs` prints what each seed cost, `digest` a
-// digest of each seed's history, `repeat` plays each seed twice and fails if the digests differ,
-// any other word prints the controllers' log.
+// Runs one scenario file: `scenario_runner FILE [SEEDS | FROM-TO] [MODE]`.
+// tests/scenarios/README.md describes the language of these files. Modes: `costs` prints the
+// processor time that each seed used, `digest` prints a digest of each seed's history, `repeat`
+// runs each seed twice and fails if the digests differ, and any other word prints the controllers'
+// log.
 #include <spdlog/fmt/fmt.h>
 #include <spdlog/spdlog.h>
 
@@ -16,11 +17,11 @@
 using namespace fawnwheel;
 using sim::Time;
 
-struct BadScenario : std::runtime_error {
+struct InvalidScenario : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
-// The words of a line: a name, then values by key.
+// The words of a line: a statement, then options and keys followed by their values.
 struct Line {
     std::vector<std::string> words;
     [[nodiscard]] bool has(const std::string& key) const {
@@ -36,21 +37,21 @@
         return value.empty() ? fallback : std::stod(value);
     }
     [[nodiscard]] const std::string& at(std::size_t index) const {
-        if (index >= words.size()) throw BadScenario("too few words: " + words.front());
+        if (index >= words.size()) throw InvalidScenario("too few words: " + words.front());
         return words[index];
     }
     [[nodiscard]] double numberAt(std::size_t index) const { return std::stod(at(index)); }
 };
 
-// "a,b" as a list.
-std::vector<std::string> names(const std::string& text) {
+// Splits "a,b" at its commas.
+std::vector<std::string> splitNames(const std::string& text) {
     std::vector<std::string> list;
     std::istringstream in(text);
     for (std::string name; std::getline(in, name, ',');) list.push_back(name);
     return list;
 }
 
-protocol::JobSpec jobFrom(const Line& line, std::size_t from) {
+protocol::JobSpec parseJob(const Line& line, std::size_t from) {
     protocol::JobSpec spec;
     spec.id = line.at(from);
     spec.jobClass = line.text("class", "test");
@@ -77,7 +78,7 @@
     spec.checkpointInterval = Time(line.number("checkpoint-interval", 0));
     spec.checkpointDuration = Time(line.number("checkpoint-duration", 1));
     if (line.has("deadline")) spec.deadline = Time(line.number("deadline"));
-    if (line.has("after")) spec.dependencies = names(line.text("after"));
+    if (line.has("after")) spec.dependencies = splitNames(line.text("after"));
     return spec;
 }
 
@@ -85,7 +86,7 @@
   public:
     explicit Scenario(const std::string& path) {
         std::ifstream file(path);
-        if (!file) throw BadScenario("can't read " + path);
+        if (!file) throw InvalidScenario("cannot read " + path);
         std::string text;
         while (std::getline(file, text)) {
             text = text.substr(0, text.find('#'));
@@ -96,22 +97,22 @@
         }
     }
 
-    // A large scenario names how many seeds are enough.
-    [[nodiscard]] unsigned long long mostSeeds() const {
+    // A large scenario limits the number of its seeds.
+    [[nodiscard]] unsigned long long maxSeeds() const {
         for (const auto& line : lines_)
             if (line.words.front() == "seeds") return std::stoull(line.at(1));
         return 1000;
     }
 
-    // Of the last run.
+    // Costs and history of the last run.
     [[nodiscard]] const sim::Costs& costs() const { return costs_; }
     [[nodiscard]] const sim::HistoryDigest& history() const { return history_; }
 
-    // The failures; none: passed.
+    // Returns the failures; the scenario passed if there are none.
     std::vector<std::string> run(std::uint64_t seed) {
         sim::WorldSpec spec;
         spec.seed = seed;
-        for (const auto& line : lines_) describe(spec, line);
+        for (const auto& line : lines_) applySetting(spec, line);
         sim::World world(spec);
         Time end(300);
         for (const auto& line : lines_) {
@@ -124,19 +125,19 @@
             else if (word == "end")
                 end = Time(line.numberAt(1));
             else if (word == "at")
-                world.at(Time(line.numberAt(1)), [&world, line] { act(world, line); });
+                world.at(Time(line.numberAt(1)), [&world, line] { performAction(world, line); });
         }
         world.run(end);
         costs_ = world.costs();
         history_ = world.history();
         auto failures = world.checker().breaches();
         for (const auto& line : lines_)
-            if (line.words.front() == "expect") expect(world, line, failures);
+            if (line.words.front() == "expect") checkExpectation(world, line, failures);
         return failures;
     }
 
   private:
-    static void describeRebalancing(sim::WorldSpec& spec, const Line& line) {
+    static void applyRebalancingSettings(sim::WorldSpec& spec, const Line& line) {
         auto& rebalancing = spec.tuning.rebalancing;
         rebalancing.enabled = true;
         rebalancing.period = Time(line.number("period", rebalancing.period.count()));
@@ -145,11 +146,11 @@
         rebalancing.high = line.number("high", rebalancing.high);
         rebalancing.transfersPerMinute = line.number("transfers", rebalancing.transfersPerMinute);
         rebalancing.busyMachines = !line.has("idle-only");
-        for (const auto& node : names(line.text("without")))
+        for (const auto& node : splitNames(line.text("without")))
             spec.withoutRebalancing.insert(std::stoi(node));
     }
 
-    static void describe(sim::WorldSpec& spec, const Line& line) {
+    static void applySetting(sim::WorldSpec& spec, const Line& line) {
         const auto& word = line.words.front();
         if (word == "nodes") spec.nodes = static_cast<int>(line.numberAt(1));
         if (word == "zones") spec.zones.assign(line.words.begin() + 1, line.words.end());
@@ -166,7 +167,7 @@
         if (word == "next-limits")
             spec.nextLimits = {line.numberAt(1), static_cast<std::size_t>(line.numberAt(2))};
         if (word == "old-version") spec.oldVersion = true;
-        if (word == "rebalancing") describeRebalancing(spec, line);
+        if (word == "rebalancing") applyRebalancingSettings(spec, line);
         if (word == "team") {
             config::Team team;
             team.name = line.at(1);
@@ -190,7 +191,8 @@
         }
     }
 
-    // A first job ID-0-0, and behind it so many chains side by side: ID-1-0, ID-2-0 and so on.
+    // Submits job ID-0-0 and `width` parallel chains of jobs that depend on it. Chain C consists of
+    // ID-1-C, ID-2-C and so on.
     static void submitChains(sim::World& world, const Line& line) {
         const int stages = static_cast<int>(line.number("stages", 3));
         const int width = static_cast<int>(line.number("width", 1));
@@ -199,16 +201,16 @@
         };
         for (int stage = 0; stage < stages; ++stage)
             for (int chain = 0; chain < (stage == 0 ? 1 : width); ++chain) {
-                auto job = jobFrom(line, 3);
+                auto job = parseJob(line, 3);
                 job.id = name(stage, chain);
                 if (stage > 0) job.dependencies = {name(stage - 1, stage == 1 ? 0 : chain)};
                 world.submit(job, Time(line.number("runs", 10)), false);
             }
     }
 
-    static void act(sim::World& world, const Line& line) {
+    static void performAction(sim::World& world, const Line& line) {
         const auto& word = line.at(2);
-        const auto length = [&](std::size_t i) { return Time(line.numberAt(i)); };
+        const auto duration = [&](std::size_t i) { return Time(line.numberAt(i)); };
         const auto index = [&](std::size_t i) { return static_cast<int>(line.numberAt(i)); };
         const auto machine = [&](std::size_t i) {
             return static_cast<std::size_t>(line.numberAt(i));
@@ -216,7 +218,7 @@
         if (word == "job") {
             const int count = static_cast<int>(line.number("count", 1));
             for (int i = 0; i < count; ++i) {
-                auto job = jobFrom(line, 3);
+                auto job = parseJob(line, 3);
                 if (count > 1) job.id += "-" + std::to_string(i);
                 world.submit(job, Time(line.number("runs", 10)), line.has("faulty"));
             }
@@ -230,110 +232,112 @@
         } else if (word == "get-status") {
             world.getStatus(line.at(3));
         } else if (word == "kill") {
-            world.kill(index(3), length(5));
+            world.kill(index(3), duration(5));
         } else if (word == "upgrade") {
-            world.upgrade(index(3), length(5));
+            world.upgrade(index(3), duration(5));
         } else if (word == "upgrade-roll") {
             for (int node = 0; node < world.nodeCount(); ++node)
-                world.at(world.now() + length(4) * node,
+                world.at(world.now() + duration(4) * node,
                          [&world, node, line] { world.upgrade(node, Time(line.numberAt(6))); });
         } else if (word == "lower-limits") {
             world.lowerLimits();
         } else if (word == "state-outage") {
-            world.stateOutage(length(3));
+            world.stateOutage(duration(3));
         } else if (word == "cloud-outage") {
-            world.cloudOutage(length(3));
+            world.cloudOutage(duration(3));
         } else if (word == "break-lists") {
-            world.breakLists(length(3));
+            world.breakLists(duration(3));
         } else if (word == "refuse-state") {
-            world.refuseState(index(3), length(5));
+            world.refuseState(index(3), duration(5));
         } else if (word == "cut") {
-            world.cut(line.at(3), line.at(4), length(6), line.has("hold"));
+            world.cut(line.at(3), line.at(4), duration(6), line.has("hold"));
         } else if (word == "cut-workers") {
             for (int i = 0; i < 60; ++i) {
-                world.cut("node-" + line.at(3), fmt::format("m-{:06}", i), length(5),
+                world.cut("node-" + line.at(3), fmt::format("m-{:06}", i), duration(5),
                           line.has("hold"));
             }
         } else if (word == "hang") {
-            world.hang(machine(3), length(5));
+            world.hang(machine(3), duration(5));
         } else if (word == "die") {
             world.die(machine(3));
         } else if (word == "interruption-notice") {
-            world.sendInterruptionNotice(machine(3), length(4));
+            world.sendInterruptionNotice(machine(3), duration(4));
         } else if (word == "break") {
             world.breakMachine(machine(3));
         } else if (word == "drop-downstream") {
-            world.dropDownstream(machine(3), length(5));
+            world.dropDownstream(machine(3), duration(5));
         } else if (word == "duplicate-heartbeats") {
-            world.duplicateHeartbeats(line.numberAt(3), length(4));
+            world.duplicateHeartbeats(line.numberAt(3), duration(4));
         } else if (word == "repeat-requests") {
-            world.repeatRequests(line.numberAt(3), length(4));
+            world.repeatRequests(line.numberAt(3), duration(4));
         } else if (word == "late-writes") {
-            world.lateWrites(line.numberAt(3), length(5));
+            world.lateWrites(line.numberAt(3), duration(5));
         } else if (word == "poll-storm") {
-            world.pollStorm(line.numberAt(3), length(5));
+            world.pollStorm(line.numberAt(3), duration(5));
         } else if (word == "slow-state") {
-            world.slowState(length(3), length(5));
+            world.slowState(duration(3), duration(5));
         } else if (word == "drop-upstream") {
-            world.dropUpstream(machine(3), length(5));
+            world.dropUpstream(machine(3), duration(5));
         } else if (word == "slow-links") {
-            world.slowLinks(machine(3), length(4), length(6));
+            world.slowLinks(machine(3), duration(4), duration(6));
         } else if (word == "cancel-running") {
             world.cancelRunning(index(3), Time(line.number("hang")));
         } else if (word == "cancel-at-end") {
-            world.cancelAtEnd(line.numberAt(3), length(5));
+            world.cancelAtEnd(line.numberAt(3), duration(5));
         } else if (word == "odd-requests") {
-            world.oddRequests(length(4));
+            world.oddRequests(duration(4));
         } else if (word == "random-troubles") {
-            world.randomTroubles(index(3), length(5));
+            world.randomTroubles(index(3), duration(5));
         } else if (word == "cut-zone") {
-            world.cutZone(line.at(3), length(5), line.has("hold"));
+            world.cutZone(line.at(3), duration(5), line.has("hold"));
         } else if (word == "separate-zones") {
-            world.separateZones(line.at(3), line.at(4), length(6), line.has("hold"));
+            world.separateZones(line.at(3), line.at(4), duration(6), line.has("hold"));
         } else if (word == "refuse-peers") {
-            world.refusePeers(length(4));
+            world.refusePeers(duration(4));
         } else if (word == "isolate-from-state") {
-            world.isolateFromState(index(3), length(5));
+            world.isolateFromState(index(3), duration(5));
         } else if (word == "roll") {
             for (int node = 0; node < world.nodeCount(); ++node)
-                world.at(world.now() + length(4) * node,
+                world.at(world.now() + duration(4) * node,
                          [&world, node, line] { world.kill(node, Time(line.numberAt(6))); });
         } else if (word == "lose-answers") {
             world.loseAnswers(line.numberAt(3));
         } else {
-            throw BadScenario("unknown: " + word);
+            throw InvalidScenario("unknown action: " + word);
         }
     }
 
-    static void expect(sim::World& world, const Line& line, std::vector<std::string>& failures) {
+    static void checkExpectation(sim::World& world, const Line& line,
+                                 std::vector<std::string>& failures) {
         const auto& word = line.at(1);
         if (word == "status") {
-            const auto told = world.lastTold(line.at(2));
-            if (told != line.at(3))
-                failures.push_back(line.at(2) + " was told " + told + ", not " + line.at(3));
+            const auto state = world.lastTold(line.at(2));
+            if (state != line.at(3))
+                failures.push_back(line.at(2) + " was reported as " + state + ", not " +
+                                   line.at(3));
         } else if (word == "status-by") {
-            const auto when = world.firstTold(line.at(2), line.at(3));
-            if (!when || *when > Time(line.numberAt(4)))
-                failures.push_back(line.at(2) + " was not told " + line.at(3) + " by " +
+            const auto reportedAt = world.firstTold(line.at(2), line.at(3));
+            if (!reportedAt || *reportedAt > Time(line.numberAt(4)))
+                failures.push_back(line.at(2) + " was not reported as " + line.at(3) + " by " +
                                    line.at(4));
         } else if (word == "starts-at-most") {
             if (static_cast<double>(world.checker().starts()) > line.numberAt(2))
-                failures.push_back(std::to_string(world.checker().starts()) + " starts");
+                failures.push_back(std::to_string(world.checker().starts()) + " task starts");
         } else if (word == "transfers-at-least") {
             if (static_cast<double>(world.machineTransfers()) < line.numberAt(2))
-                failures.push_back(std::to_string(world.machineTransfers()) + " machine moves");
+                failures.push_back(std::to_string(world.machineTransfers()) + " machine transfers");
         } else if (word == "transfers-at-most") {
             if (static_cast<double>(world.machineTransfers()) > line.numberAt(2))
-                failures.push_back(std::to_string(world.machineTransfers()) + " machine moves");
+                failures.push_back(std::to_string(world.machineTransfers()) + " machine transfers");
         } else if (word == "starts-after-cancel-at-most") {
             if (static_cast<double>(world.checker().startsAfterCancel()) > line.numberAt(2))
                 failures.push_back(std::to_string(world.checker().startsAfterCancel()) +
-                                   " starts after a confirmed cancellation");
+                                   " task starts after a confirmed cancellation");
         } else if (word == "machines-at-most") {
             if (static_cast<double>(world.machinesUp()) > line.numberAt(2))
                 failures.push_back(std::to_string(world.machinesUp()) + " machines up");
         } else {
-            throw BadScenario("unknown: expect " + word);
+            throw InvalidScenario("unknown expectation: " + word);
         }
     }
 
@@ -342,29 +346,29 @@
     sim::HistoryDigest history_;
 };
 
-void print(std::uint64_t seed, const sim::Costs& costs) {
+void printCosts(std::uint64_t seed, const sim::Costs& costs) {
     const auto micros = [](sim::Cost::Time time) {
         return std::chrono::duration<double, std::micro>(time).count();
     };
     const auto& [heartbeats, steps] = costs;
     std::cout << fmt::format(
-        "seed {}: {} reports of {:.1f} us; {} steps, {:.0f} ms in all, the longest {:.1f} ms\n",
+        "seed {}: {} heartbeats of {:.1f} us; {} steps, {:.0f} ms in all, the longest {:.1f} ms\n",
         seed, heartbeats.count,
         micros(heartbeats.total) / std::max(1.0, static_cast<double>(heartbeats.count)),
         steps.count, micros(steps.total) / 1000, micros(steps.longest) / 1000);
 }
 
-std::string textOf(const sim::HistoryDigest& history) {
+std::string formatDigest(const sim::HistoryDigest& history) {
     return fmt::format("{:016x} of {} events", history.value(), history.events());
 }
 
-// Whether the seed, played once more, has the same history as its last run.
-bool repeats(Scenario& scenario, std::uint64_t seed) {
-    const auto first = textOf(scenario.history());
+// Whether the seed, when run again, has the same history as in its last run.
+bool hasRepeatableHistory(Scenario& scenario, std::uint64_t seed) {
+    const auto first = formatDigest(scenario.history());
     scenario.run(seed);
-    const auto second = textOf(scenario.history());
+    const auto second = formatDigest(scenario.history());
     if (first == second) return true;
-    std::cout << fmt::format("seed {}: digest {}, and {} when played again\n", seed, first, second);
+    std::cout << fmt::format("seed {}: digest {}, and {} when run again\n", seed, first, second);
     return false;
 }
 
@@ -380,17 +384,18 @@
         Scenario scenario(argv[1]);
         const std::string range = argc > 2 ? argv[2] : "3";
         const auto dash = range.find('-');
-        const bool chosen = dash != std::string::npos;
-        const auto first = chosen ? std::stoull(range.substr(0, dash)) : 1;
-        const auto seeds = chosen ? std::stoull(range.substr(dash + 1))
-                                  : std::min(std::stoull(range), scenario.mostSeeds());
+        const bool isRange = dash != std::string::npos;
+        const auto first = isRange ? std::stoull(range.substr(0, dash)) : 1;
+        const auto seeds = isRange ? std::stoull(range.substr(dash + 1))
+                                   : std::min(std::stoull(range), scenario.maxSeeds());
         bool passed = true;
         for (std::uint64_t seed = first; seed <= seeds; ++seed) {
             const auto failures = scenario.run(seed);
-            if (mode == "costs") print(seed, scenario.costs());
+            if (mode == "costs") printCosts(seed, scenario.costs());
             if (mode == "digest")
-                std::cout << fmt::format("seed {}: digest {}\n", seed, textOf(scenario.history()));
-            if (mode == "repeat") passed = repeats(scenario, seed) && passed;
+                std::cout << fmt::format("seed {}: digest {}\n", seed,
+                                         formatDigest(scenario.history()));
+            if (mode == "repeat") passed = hasRepeatableHistory(scenario, seed) && passed;
             for (const auto& failure : failures) {
                 std::cout << "seed " << seed << ": " << failure << '\n';
                 passed = false;
