--- a/src/coordination/api/admission.cpp
+++ b/src/coordination/api/admission.cpp
@@ -200,7 +200,7 @@
 void Admission::create(const SubmissionPtr& submission, const DependencyCheck& dependencyCheck) {
     const auto& spec = submission->spec;
     Job job = makeJob(spec);
-    job.partition = migrator_.mapJob(job);
+    job.partition = migrator_.choosePartition(job);
     const auto key = storage::keys::job(spec.id);
     const auto value = storage::jobValue(job);
     // A late execution of this transaction cannot revive a job, because the terminal record of an
--- a/src/coordination/controller.cpp
+++ b/src/coordination/controller.cpp
@@ -64,7 +64,7 @@
 }
 
 void Controller::onReplicaChanged() {
-    catalog_.adoptRecorded();
+    catalog_.restoreRecorded();
     membership_.reconcile();
     stopCancelledJobs();
     completionNotifier_.resolveDependencies();
--- a/src/coordination/migration/work_migrator.cpp
+++ b/src/coordination/migration/work_migrator.cpp
@@ -352,7 +352,7 @@
     return std::nullopt;
 }
 
-std::uint32_t WorkMigrator::mapJob(const Job& job) {
+std::uint32_t WorkMigrator::choosePartition(const Job& job) {
     // Greedy: where it would run first, by the queue there and by what its image takes to fetch.
     // Jobs of one image so come together in few partitions, whose machines have it.
     if (const auto partition = partitionOfDependencies(job)) return *partition;
--- a/src/coordination/migration/work_migrator.h
+++ b/src/coordination/migration/work_migrator.h
@@ -38,7 +38,7 @@
     void onMigrationResponse(const protocol::MigrationResponse& answer);
     /// The partition that a new job starts out in: that of its last active dependency, else where
     /// it would run first.
-    [[nodiscard]] std::uint32_t mapJob(const Job& job);
+    [[nodiscard]] std::uint32_t choosePartition(const Job& job);
 
   private:
     /// Work for which a peer is being found.
--- a/src/coordination/provisioning/machine_catalog.cpp
+++ b/src/coordination/provisioning/machine_catalog.cpp
@@ -69,7 +69,7 @@
     if (clusterState.catalog.empty() && !context_.catalog.empty() && !pipeline_.busy(0)) record();
 }
 
-void MachineCatalog::adoptRecorded() {
+void MachineCatalog::restoreRecorded() {
     auto clusterState = context_.clusterState.lock();
     if (!context_.catalog.empty() || clusterState->catalog.empty()) return;
     context_.catalog = clusterState->catalog;
--- a/src/coordination/provisioning/machine_catalog.h
+++ b/src/coordination/provisioning/machine_catalog.h
@@ -17,7 +17,7 @@
     /// Begins to load the catalog, again and again.
     void start();
     /// Uses the recorded catalog as long as the cloud has not answered.
-    void adoptRecorded();
+    void restoreRecorded();
     /// Records the catalog if none is recorded and nothing else is being written.
     void recordIfMissing(const ClusterState& clusterState);
 
