--- a/src/coordination/replication/replica.cpp
+++ b/src/coordination/replication/replica.cpp
@@ -60,11 +60,11 @@
 }
 
 void Replica::readSnapshotPage(const std::string& after, std::uint64_t generation) {
-    context_.state.readRange(storage::keys::activePrefix, after,
-                             [this, after, generation](const protocol::ReadResponse& answer) {
-                                 if (generation == generation_)
-                                     onSnapshotPage(after, generation, answer);
-                             });
+    context_.stateClient.readRange(storage::keys::activePrefix, after,
+                                   [this, after, generation](const protocol::ReadResponse& answer) {
+                                       if (generation == generation_)
+                                           onSnapshotPage(after, generation, answer);
+                                   });
 }
 
 void Replica::onSnapshotPage(const std::string& after, std::uint64_t generation,
@@ -97,7 +97,7 @@
             storage::applyEvent(*clusterState, {item.key, item.value, item.version}, now);
         }
         clusterState->rebuildIndexes();
-        clusterState->applied = firstPageRevision_;
+        clusterState->appliedRevision = firstPageRevision_;
         spdlog::info("replica: read_complete records={} jobs={} machines={} revision={}",
                      snapshotItems_.size(), clusterState->jobs.size(),
                      clusterState->machines.size(), firstPageRevision_);
@@ -124,24 +124,24 @@
 void Replica::completeSync() {
     // Until the watch reaches the last page's revision, the records are inconsistent: an allocation
     // may be known whose machine is not.
-    if (synced_ || context_.clusterState.lock()->applied < lastPageRevision_) return;
+    if (synced_ || context_.clusterState.lock()->appliedRevision < lastPageRevision_) return;
     synced_ = everSynced_ = true;
     currentAsOf_ = std::max(currentAsOf_, snapshotStarted_);
     observer_.onReplicaChanged();
 }
 
 void Replica::watch(std::uint64_t generation) {
-    const auto since = context_.clusterState.lock()->applied;
+    const auto since = context_.clusterState.lock()->appliedRevision;
     const auto requested = context_.now();
     // If cancellations must take effect within a short time, the watch returns more often to prove
     // that the cluster state is current.
     const auto wait = std::clamp(context_.cancellationSlack() / watchesPerCancellationSlack,
                                  minWatchDuration, maxWatchDuration);
-    context_.state.watch(storage::keys::activePrefix, since, wait,
-                         [this, generation, requested](const protocol::WatchResponse& answer) {
-                             if (generation == generation_)
-                                 onWatchResponse(answer, requested, generation);
-                         });
+    context_.stateClient.watch(
+        storage::keys::activePrefix, since, wait,
+        [this, generation, requested](const protocol::WatchResponse& answer) {
+            if (generation == generation_) onWatchResponse(answer, requested, generation);
+        });
 }
 
 void Replica::onWatchResponse(const protocol::WatchResponse& answer, SteadyTime requested,
@@ -157,7 +157,7 @@
     const auto requestsPerSecond =
         context_.settings.stateRequests / static_cast<double>(context_.nodes.size());
     const Seconds pause(1.0 / (requestsPerSecond * watchFractionOfRequests));
-    afterDelay(ticks(pause), generation, [this, generation] { watch(generation); });
+    afterDelay(toSteadyDuration(pause), generation, [this, generation] { watch(generation); });
 }
 
 void Replica::applyEvents(const protocol::WatchResponse& answer) {
@@ -178,7 +178,7 @@
         // (test AllocationsWatchedBeforeMigrationResponseAreApplied).
         deferredEvents_[event.key] = event;
     }
-    clusterState->applied = std::max(clusterState->applied, answer.revision);
+    clusterState->appliedRevision = std::max(clusterState->appliedRevision, answer.revision);
 }
 
 }  // namespace fawnwheel::coordination
--- a/src/coordination/replication/slice_writer.cpp
+++ b/src/coordination/replication/slice_writer.cpp
@@ -107,7 +107,7 @@
                                       const WrittenSlice& written, std::uint64_t revision,
                                       std::set<std::string>& machines) const {
     Job& job = *clusterState.job(written.job);
-    const Slice& slice = job.sliceAt(written.index);
+    const Slice& slice = job.ensureSlice(written.index);
     if (batch.generation != clusterState.generation || slice.version != written.version ||
         slice.range() != written.range) {
         // The slice was read again while the transaction was in flight, possibly as it was before
@@ -155,7 +155,7 @@
     // Tasks that have migrated are observed by their new leader; this leader's changes since the
     // transaction was built are discarded.
     for (const auto& piece : pieces) {
-        Slice& current = job.sliceAt(piece.index);
+        Slice& current = job.ensureSlice(piece.index);
         if (!written.migrating.contains(piece.range()) || !current.dirty) continue;
         auto recorded = current.recorded;
         clusterState.replaceSlice(job, current, std::move(recorded));
@@ -166,11 +166,11 @@
     // Starts are sent to workers only for durable allocations. The others can therefore be undone
     // and decided again.
     Job& job = *clusterState.job(written.job);
-    Slice& slice = job.sliceAt(written.index);
+    Slice& slice = job.ensureSlice(written.index);
     std::vector<std::uint32_t> undone;
     for (const auto& allocation : slice.allocations)
         // If a worker has reported the task, a second allocation would let the task run twice.
-        if (!allocation.durable && !allocation.seen) undone.push_back(allocation.task);
+        if (!allocation.durable && !allocation.reported) undone.push_back(allocation.task);
     for (const auto task : undone) clusterState.removeAllocation(job, slice, task);
 }
 
--- a/src/coordination/replication/state_writer.cpp
+++ b/src/coordination/replication/state_writer.cpp
@@ -62,10 +62,10 @@
 bool StateWriter::isTerminal(ClusterState& clusterState, const Job& job) const {
     if (!job.cancelled) return job.complete();
     // A cancelled job ends when every one of its tasks is proved to have stopped. Allocations made
-    // by the leaders of other partitions are known up to the revision `applied`, except in slices
-    // that this node's transactions are writing. Later allocations fail, because their transactions
-    // compare the job's version.
-    if (job.anyAllocation() || clusterState.applied < job.version || hasSliceInFlight(job))
+    // by the leaders of other partitions are known up to the revision `appliedRevision`, except in
+    // slices that this node's transactions are writing. Later allocations fail, because their
+    // transactions compare the job's version.
+    if (job.hasAllocations() || clusterState.appliedRevision < job.version || hasSliceInFlight(job))
         return false;
     // The active record is kept until all active dependents are cancelled. Otherwise a dependent
     // could be treated as waiting for a job that is done. A dependent can't be created later as if
@@ -116,8 +116,8 @@
     for (const auto& slice : job.slices) {
         // Slice records that don't fit into this transaction become orphans when the job has ended,
         // and are deleted then. If they were deleted earlier and the job's end failed, the job
-        // would have no slice records and its running tasks would be unknown to every leader (test
-        // FailedJobCompletionKeepsSliceRecords).
+        // would have no slice records and its running tasks would be unknown to every leader
+        // (test FailedJobCompletionKeepsSliceRecords).
         if (slice.version == 0 || writes.size() >= writer_.maxWrites()) continue;
         const auto key = storage::keys::slice(job.spec.id, slice.index);
         writes.push_back({key, std::nullopt, 0});
@@ -261,7 +261,7 @@
         spdlog::debug("state_writer: job_terminal job={} outcome={}", id,
                       state.cancelled ? "cancelled" : "done");
         clusterState.dependencyGraph.recordTerminal(id, state);
-        clusterState.dropJob(id);
+        clusterState.removeJob(id);
         observer_.onJobTerminal(id, state.cancelled);
     }
 }
--- a/src/coordination/replication/transaction_pipeline.cpp
+++ b/src/coordination/replication/transaction_pipeline.cpp
@@ -62,7 +62,7 @@
     const auto found = queues_.find(partition);
     if (found == queues_.end() || found->second.empty()) return;
     PendingTransaction& pending = found->second.front();
-    // A callback of the previous transaction may have queued this one, which sent it already.
+    // A callback of the previous transaction may already have queued and sent this one.
     if (pending.awaitingResponse) return;
     pending.awaitingResponse = true;
     protocol::CompareAndSwap transaction = pending.transaction;
@@ -72,7 +72,7 @@
     // in one term could be committed in a later term, against changes that another leader had made
     // in between (test TransactionDecidedInEarlierTermIsNotCommittedInLaterTerm).
     transaction.compares.push_back({storage::keys::partition(partition), pending.partitionVersion});
-    context_.state.transact(
+    context_.stateClient.transact(
         std::move(transaction), protocol::RequestPriority::write,
         [this, partition, id = pending.id](const protocol::CompareAndSwapResponse& answer) {
             onResponse(partition, id, answer);
@@ -132,7 +132,7 @@
     auto reads = std::make_shared<RecordReads>();
     reads->outstanding = keys.size();
     for (const auto& key : keys) {
-        context_.state.read(
+        context_.stateClient.read(
             key, [this, partition, key, reads, id](const protocol::ReadResponse& answer) {
                 if (answer.result != protocol::StateResult::ok)
                     reads->failed = true;
--- a/src/coordination/scheduling/fragmentation_guard.cpp
+++ b/src/coordination/scheduling/fragmentation_guard.cpp
@@ -28,7 +28,7 @@
         // As much of a job as comes to one partition together.
         largest = std::max(largest, std::min(job.spec.tasks, job.sliceSize));
         for (const auto& slice : job.slices)
-            if (slice.partition == partition) needed += slice.waiting();
+            if (slice.partition == partition) needed += slice.waitingTasks();
     }
     return needed + largest;
 }
@@ -42,7 +42,7 @@
         for (const auto& pool : capacityIndex.pools()) {
             if (!typeAllowed(spec, *pool.type, pool.zone, pool.spot)) continue;
             for (const auto& machineCapacity : pool.machines)
-                slots += countThatFit(*largerTask.job, machineCapacity.unreserved, spec.tasks);
+                slots += countFittingTasks(*largerTask.job, machineCapacity.unreserved, spec.tasks);
         }
         largerTask.spareSlots = slots > needed ? slots - needed : 0;
     }
@@ -70,8 +70,8 @@
         return 0;
     Resources after = slot.free;
     after -= job.spec.each;
-    return countThatFit(*largerTask.job, slot.free, spec.tasks) -
-           countThatFit(*largerTask.job, after, spec.tasks);
+    return countFittingTasks(*largerTask.job, slot.free, spec.tasks) -
+           countFittingTasks(*largerTask.job, after, spec.tasks);
 }
 
 LostSlots FragmentationGuard::slotsLost(const CandidateSlot& slot, const Job& job) const {
--- a/src/coordination/scheduling/gang_assembler.cpp
+++ b/src/coordination/scheduling/gang_assembler.cpp
@@ -26,10 +26,11 @@
         // one never holds what completes an earlier one.
         const bool gang = job != nullptr && job->spec.kind == JobKind::gang;
         // A peer's gang asks again and again for what is reserved for it.
-        const bool ofPeer = gang && job->partition != partition && !job->anyAllocation();
+        const bool ofPeer = gang && job->partition != partition && !job->hasAllocations();
         if (job == nullptr || job->cancelled || (job->partition != partition && !ofPeer) ||
             (gang && !ofPeer &&
-             (job->anyAllocation() || (machine->lastHeartbeat && now >= job->preemptedUntil))))
+             (job->hasAllocations() ||
+              (machine->lastHeartbeat && now >= job->preemptionReservedUntil))))
             machine->reservedUntil = now;
     }
 }
@@ -39,13 +40,13 @@
     const auto now = context_.now();
     std::map<std::string, ZoneMachines> zones;
     for (const auto* machine : clusterState.machinesOf(partition)) {
-        const auto* type = context_.type(machine->type);
+        const auto* type = context_.findMachineType(machine->type);
         if (machine->decommissioned || type == nullptr ||
             !typeAllowed(job.spec, *type, machine->zone, machine->spot))
             continue;
         auto& machines = zones[machine->zone];
         ++machines.all;
-        if ((takesWork(context_, *machine) && canHost(context_, job, *machine)) ||
+        if ((acceptsTasks(context_, *machine) && canHost(context_, job, *machine)) ||
             (now < machine->reservedUntil && machine->reservedFor == job.spec.id))
             ++machines.free;
     }
@@ -125,8 +126,8 @@
         for (auto& machineCapacity : pool.machines) {
             if (reserved >= tasks) return reserved;
             if (now < machineCapacity.machine->reservedUntil) continue;
-            const auto fit = countThatFit(job, capacityIndex.capacityFor(job, machineCapacity),
-                                          tasks - reserved);
+            const auto fit = countFittingTasks(job, capacityIndex.capacityFor(job, machineCapacity),
+                                               tasks - reserved);
             if (fit == 0) continue;
             reserveOn(machineCapacity, job, fit);
             reserved += fit;
@@ -161,7 +162,7 @@
     std::uint32_t reserved = 0;
     for (const auto& entry : busy) {
         if (reserved >= tasks) break;
-        const auto fit = countThatFit(job, entry.type->capacity, tasks - reserved);
+        const auto fit = countFittingTasks(job, entry.type->capacity, tasks - reserved);
         reserveOn(*entry.machineCapacity, job, fit);
         reserved += fit;
     }
--- a/src/coordination/scheduling/placement_constraints.cpp
+++ b/src/coordination/scheduling/placement_constraints.cpp
@@ -35,23 +35,23 @@
     return spec.each.fits(type.capacity);
 }
 
-std::uint32_t countThatFit(const Job& job, Resources capacity, std::uint32_t limit) {
+std::uint32_t countFittingTasks(const Job& job, Resources capacity, std::uint32_t limit) {
     std::uint32_t count = 0;
     for (; count < limit && job.spec.each.fits(capacity); ++count) capacity -= job.spec.each;
     return count;
 }
 
-bool takesWork(const Context& context, const Machine& machine) {
-    return takesWork(context, machine, context.now());
+bool acceptsTasks(const Context& context, const Machine& machine) {
+    return acceptsTasks(context, machine, context.now());
 }
 
-bool takesWork(const Context& context, const Machine& machine, SteadyTime now) {
+bool acceptsTasks(const Context& context, const Machine& machine, SteadyTime now) {
     return machine.version != 0 && machine.acknowledged() && !machine.transferring &&
            !machine.decommissioned && !machine.consolidating && !machine.interruptionAt &&
            machine.lastHeartbeat &&
            now - *machine.lastHeartbeat <
-               ticks(context.settings.heartbeatInterval * maxMissedHeartbeats) &&
-           now >= machine.notBefore;
+               toSteadyDuration(context.settings.heartbeatInterval * maxMissedHeartbeats) &&
+           now >= machine.unschedulableUntil;
 }
 
 bool mayUseLoan(const Context& context, const Job& job, const Machine& machine) {
@@ -59,11 +59,11 @@
     // that is left, and work that waits on and on beside it is not served (slice_left_behind).
     if (!machine.lender || job.spec.kind == JobKind::gang) return true;
     return !machine.allocations.empty() &&
-           context.timers.wallNow() > plus(job.readySince, loanClosedToOthers);
+           context.timers.wallNow() > addSeconds(job.readySince, loanClosedToOthers);
 }
 
 bool canHost(const Context& context, const Job& job, const Machine& machine) {
-    const auto* type = context.type(machine.type);
+    const auto* type = context.findMachineType(machine.type);
     if (type == nullptr || !typeAllowed(job.spec, *type, machine.zone, machine.spot)) return false;
     if (job.avoids(machine.id, context.now())) return false;
     if (!mayUseLoan(context, job, machine)) return false;
--- a/src/coordination/scheduling/queue_order.cpp
+++ b/src/coordination/scheduling/queue_order.cpp
@@ -30,15 +30,16 @@
         if (latest > now && (!next || latest < *next)) next = latest;
     };
     // A job that had to wait for others is late only from when it could have begun.
-    const auto sinceReady = [&job](Seconds time) { return plus(job.readySince, time); };
+    const auto sinceReady = [&job](Seconds time) { return addSeconds(job.readySince, time); };
     for (const auto& objective : context_.settings.objectives) {
         if (objective.jobClass != job.spec.jobClass) continue;
         if (objective.kind == config::ObjectiveKind::wait) consider(sinceReady(objective.within));
         if (objective.kind == config::ObjectiveKind::finished)
             consider(sinceReady(objective.within - job.spec.estimate));
     }
-    if (job.spec.deadline) consider(plus(job.submitted, *job.spec.deadline - job.spec.estimate));
-    if (job.latestEnd) consider(plus(*job.latestEnd, -job.spec.estimate));
+    if (job.spec.deadline)
+        consider(addSeconds(job.submitted, *job.spec.deadline - job.spec.estimate));
+    if (job.latestEnd) consider(addSeconds(*job.latestEnd, -job.spec.estimate));
     const auto latest = next ? *next : sinceReady(defaultStartWithin);
     // A day on which a class's largest gangs don't begin in time is lost, and they need the most
     // machines at once: behind what is easier to place, under half of them began.
@@ -53,7 +54,7 @@
            job.spec.tasks >= largest->second;
 }
 
-Seconds QueueOrder::stepTime(const protocol::JobSpec& spec) const {
+Seconds QueueOrder::estimatedTurnaround(const protocol::JobSpec& spec) const {
     // A start waits for a worker's heartbeat, and so may an end that was reported while one was
     // in flight.
     return spec.estimate + fetchTime(spec) + context_.settings.heartbeatInterval;
@@ -72,10 +73,10 @@
 bool QueueOrder::isSloAtRisk(const Job& job) const {
     const Seconds needed =
         fetchTime(job.spec) + context_.settings.heartbeatInterval * 2 + riskMargin;
-    return latestStart(job) < plus(context_.timers.wallNow(), needed);
+    return latestStart(job) < addSeconds(context_.timers.wallNow(), needed);
 }
 
-bool QueueOrder::before(const Job& one, const Job& other) const {
+bool QueueOrder::precedes(const Job& one, const Job& other) const {
     return std::tuple(one.priority, latestStart(one), one.spec.id) <
            std::tuple(other.priority, latestStart(other), other.spec.id);
 }
@@ -93,8 +94,8 @@
     const auto now = context_.now();
     recordLargestGangs(clusterState);
     for (auto& [id, job] : clusterState.jobs) {
-        if (!clusterState.startable(job) || now < job.notBefore) continue;
-        if (job.spec.kind == JobKind::gang && job.anyAllocation()) {
+        if (!clusterState.startable(job) || now < job.backoffUntil) continue;
+        if (job.spec.kind == JobKind::gang && job.hasAllocations()) {
             if (job.partition == partition) stopIncompleteGang(job);
             continue;
         }
@@ -104,7 +105,7 @@
         }
         std::uint32_t tasks = 0;
         for (const auto& slice : job.slices)
-            if (slice.partition == partition) tasks += slice.waiting();
+            if (slice.partition == partition) tasks += slice.waitingTasks();
         if (tasks > 0) ready.push_back({&job, tasks, latestStart(job)});
     }
     std::sort(ready.begin(), ready.end(), [](const ReadyJob& a, const ReadyJob& b) {
@@ -116,9 +117,9 @@
 
 bool QueueOrder::mayProbe(const Job& job, PartitionId partition) {
     // One task at a time for the whole job, wherever its slices lie: by the first that waits.
-    if (job.anyAllocation()) return false;
+    if (job.hasAllocations()) return false;
     const auto first = std::find_if(job.slices.begin(), job.slices.end(),
-                                    [](const Slice& slice) { return slice.waiting() > 0; });
+                                    [](const Slice& slice) { return slice.waitingTasks() > 0; });
     return first != job.slices.end() && first->partition == partition;
 }
 
@@ -131,8 +132,9 @@
     std::uint32_t allocated = 0;
     for (const auto& slice : job.slices)
         for (const auto& allocation : slice.allocations) {
-            if (allocation.ran &&
-                now - *allocation.ran > ticks(context_.settings.heartbeatInterval * 2))
+            if (allocation.runningSince &&
+                now - *allocation.runningSince >
+                    toSteadyDuration(context_.settings.heartbeatInterval * 2))
                 return maxPlacementsPerRun;
             ++allocated;
         }
@@ -144,7 +146,7 @@
     // The rest would wait for a task that is not started again under this attempt.
     for (auto& slice : job.slices) {
         for (auto& allocation : slice.allocations) {
-            allocation.abandoned = true;
+            allocation.startCancelled = true;
             allocation.stopGrace = Seconds(0);
         }
     }
@@ -161,7 +163,7 @@
             return slice.partition == partition && slice.dirty &&
                    std::any_of(slice.allocations.begin(), slice.allocations.end(),
                                [&](const Allocation& allocation) {
-                                   return !allocation.durable && allocation.made < oldest;
+                                   return !allocation.durable && allocation.createdAt < oldest;
                                });
         });
     });
@@ -172,11 +174,11 @@
     const auto now = context_.now();
     auto clusterState = context_.clusterState.lock();
     for (const auto& [id, job] : clusterState->jobs) {
-        if (!clusterState->schedulable(job) || now < job.notBefore ||
-            (job.spec.kind == JobKind::gang && job.anyAllocation()))
+        if (!clusterState->schedulable(job) || now < job.backoffUntil ||
+            (job.spec.kind == JobKind::gang && job.hasAllocations()))
             continue;
         for (const auto& slice : job.slices)
-            if (slice.partition < lengths.size()) lengths[slice.partition] += slice.waiting();
+            if (slice.partition < lengths.size()) lengths[slice.partition] += slice.waitingTasks();
     }
     return lengths;
 }
--- a/src/coordination/workers/command_sender.cpp
+++ b/src/coordination/workers/command_sender.cpp
@@ -60,9 +60,10 @@
     if (!machine.lastHeartbeat || !membership_.isLeader(machine.partition) ||
         machine.interruptionAt || machine.transferring)
         return false;
-    const auto nextDue = *machine.lastHeartbeat + ticks(context_.settings.heartbeatInterval);
-    return now - machine.heartbeatRequested >=
-               ticks(context_.settings.lease * requestIntervalLeases) &&
+    const auto nextDue =
+        *machine.lastHeartbeat + toSteadyDuration(context_.settings.heartbeatInterval);
+    return now - machine.heartbeatRequestedAt >=
+               toSteadyDuration(context_.settings.lease * requestIntervalLeases) &&
            nextDue - now >= minTimeToNextHeartbeat;
 }
 
@@ -75,7 +76,7 @@
         // A higher token is a change for which the worker sends a heartbeat; it does so once in
         // half a lease. Late, this raises the token to no more than heartbeats are answered with by
         // then, and commands nothing.
-        machine->heartbeatRequested = context_.now();
+        machine->heartbeatRequestedAt = context_.now();
         ++machine->fencingToken;
         send(*machine, {});
     }
--- a/tests/unit/coordination/membership/membership_fixture.h
+++ b/tests/unit/coordination/membership/membership_fixture.h
@@ -37,7 +37,7 @@
 };
 
 /// A node with its membership, beside the records and their writers.
-class MembershipBench : public ReplicationTest {
+class MembershipFixture : public ReplicationTest {
   protected:
     FakeReplicaStatus replicaStatus;
     RecordingObserver observer;
--- a/tests/unit/coordination/replication/replication_fixture.h
+++ b/tests/unit/coordination/replication/replication_fixture.h
@@ -83,7 +83,7 @@
         auto clusterState = context.clusterState.lock();
         for (const auto& [key, record] : state.records)
             storage::applyEvent(*clusterState, {key, record.value, record.version}, context.now());
-        clusterState->applied = state.revision;
+        clusterState->appliedRevision = state.revision;
     }
     /// Serves all pending requests in 200 rounds, so that requests sent in response are served too.
     /// Watches are served only in the first half of the rounds, because each response to a watch
