--- a/src/config/operator_settings.cpp
+++ b/src/config/operator_settings.cpp
@@ -65,20 +65,20 @@
 
 const std::map<std::string, Setter>& setters() {
     static const std::map<std::string, Setter> all{
-        {"moves.sample_period_s", seconds(field(&OperatorSettings::samplePeriod), 0.1, 60)},
-        {"moves.low", number(field(&OperatorSettings::low), 0, 1e6)},
-        {"moves.high", number(field(&OperatorSettings::high), 1, 1e6)},
-        {"moves.probability", number(field(&OperatorSettings::probability), 0, 1)},
-        {"moves.weight", number(field(&OperatorSettings::weight), 0.001, 1)},
+        {"moves.sample_period_s", seconds(field(&OperatorSettings::queueSamplePeriod), 0.1, 60)},
+        {"moves.low", number(field(&OperatorSettings::lowQueueLength), 0, 1e6)},
+        {"moves.high", number(field(&OperatorSettings::highQueueLength), 1, 1e6)},
+        {"moves.probability", number(field(&OperatorSettings::migrationProbability), 0, 1)},
+        {"moves.weight", number(field(&OperatorSettings::latestSampleWeight), 0.001, 1)},
         {"machines.idle_before_return_s",
          seconds(field(&OperatorSettings::idleBeforeScaleIn), 0, 86400)},
         {"machines.use_spot", flag(field(&OperatorSettings::useSpot))},
         {"leadership.node_lease_s", seconds(field(&OperatorSettings::nodeLease), 1, 60)},
         {"sharing.enabled", flag(field(&RebalancingSettings::enabled))},
         {"sharing.period_s", seconds(field(&RebalancingSettings::period), 0.2, 60)},
-        {"sharing.low", number(field(&RebalancingSettings::low), 0, 1e6)},
-        {"sharing.high", number(field(&RebalancingSettings::high), 0, 1e6)},
-        {"sharing.weight", number(field(&RebalancingSettings::weight), 0.001, 1)},
+        {"sharing.low", number(field(&RebalancingSettings::lowThreshold), 0, 1e6)},
+        {"sharing.high", number(field(&RebalancingSettings::highThreshold), 0, 1e6)},
+        {"sharing.weight", number(field(&RebalancingSettings::latestSampleWeight), 0.001, 1)},
         {"sharing.hold_s", seconds(field(&RebalancingSettings::minTenure), 0, 86400)},
         {"sharing.moves_per_minute",
          number(field(&RebalancingSettings::transfersPerMinute), 1, 1e5)},
@@ -120,9 +120,9 @@
     const int line = ini_parse_string(text.c_str(), onEntry, &parse);
     if (!parse.error.empty()) throw SettingsError(parse.error);
     if (line != 0) throw SettingsError("operator settings: line " + std::to_string(line));
-    if (parse.settings.high <= parse.settings.low)
+    if (parse.settings.highQueueLength <= parse.settings.lowQueueLength)
         throw SettingsError("moves.high: must be above moves.low");
-    if (parse.settings.rebalancing.high <= parse.settings.rebalancing.low)
+    if (parse.settings.rebalancing.highThreshold <= parse.settings.rebalancing.lowThreshold)
         throw SettingsError("sharing.high: must be above sharing.low");
     return parse.settings;
 }
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -94,14 +94,14 @@
 // the smaller of both from the start, so that the change is never noticed.
 void applyNextLimits(const Section& next, Settings& s) {
     Settings later = s;
-    next.number("rps", later.stateRequests, 1);
-    next.number("write_rps", later.stateWrites, 1);
-    next.number("value_kb", later.valueKb, 1);
-    next.count("txn_ops", later.transactionChanges);
-    s.stateRequests = std::min(s.stateRequests, later.stateRequests);
-    s.stateWrites = std::min(s.stateWrites, later.stateWrites);
-    s.valueKb = std::min(s.valueKb, later.valueKb);
-    s.transactionChanges = std::min(s.transactionChanges, later.transactionChanges);
+    next.number("rps", later.stateRequestsPerSecond, 1);
+    next.number("write_rps", later.stateWritesPerSecond, 1);
+    next.number("value_kb", later.maxValueKb, 1);
+    next.count("txn_ops", later.maxTransactionWrites);
+    s.stateRequestsPerSecond = std::min(s.stateRequestsPerSecond, later.stateRequestsPerSecond);
+    s.stateWritesPerSecond = std::min(s.stateWritesPerSecond, later.stateWritesPerSecond);
+    s.maxValueKb = std::min(s.maxValueKb, later.maxValueKb);
+    s.maxTransactionWrites = std::min(s.maxTransactionWrites, later.maxTransactionWrites);
 }
 
 void parseTeams(const Section& deployment, Settings& s) {
@@ -132,17 +132,17 @@
     const Section workers = deployment.section("workers");
     workers.seconds("report_s", s.heartbeatInterval);
     workers.seconds("lease_s", s.lease);
-    workers.seconds("gang_wait_s", s.gangWait);
-    workers.seconds("gang_peer_s", s.gangPeer);
-    workers.seconds("cancel_s", s.cancel);
+    workers.seconds("gang_wait_s", s.gangWaitTimeout);
+    workers.seconds("gang_peer_s", s.gangPeerTimeout);
+    workers.seconds("cancel_s", s.cancellationTimeout);
     const Section state = deployment.section("state");
-    state.number("rps", s.stateRequests, 1);
-    state.number("write_rps", s.stateWrites, 1);
-    state.number("value_kb", s.valueKb, 1);
-    state.count("txn_ops", s.transactionChanges);
+    state.number("rps", s.stateRequestsPerSecond, 1);
+    state.number("write_rps", s.stateWritesPerSecond, 1);
+    state.number("value_kb", s.maxValueKb, 1);
+    state.count("txn_ops", s.maxTransactionWrites);
     applyNextLimits(state.section("next"), s);
     const Section cloud = deployment.section("cloud");
-    cloud.number("rps", s.cloudCalls, 0.01);
+    cloud.number("rps", s.cloudCallsPerSecond, 0.01);
     cloud.seconds("list_lag_s", s.listLag);
     const Section limits = deployment.section("machine_limits");
     limits.number("core_share", s.coreFraction, 0.001);
@@ -173,13 +173,13 @@
     Settings s;
     s.name = top.text("host_name");
     s.zone = top.text("area");
-    s.front = top.text("front");
+    s.frontAddress = top.text("front");
     s.internalAddress = top.text("internal_addr");
     for (const auto& peer : top.list("others"))
         s.peers.push_back({peer.text("host_name"), peer.text("area"), peer.text("address")});
     const Section outside = top.section("outside");
-    s.cloud = outside.text("cloud");
-    s.state = outside.text("state");
+    s.cloudAddress = outside.text("cloud");
+    s.stateAddress = outside.text("state");
     const Section deployment = top.section("deployment");
     parseTeams(deployment, s);
     parseObjectives(deployment, s);
--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -48,32 +48,32 @@
 struct Settings {
     std::string name;
     std::string zone;
-    std::string front;
+    std::string frontAddress;
     std::string internalAddress;
     std::vector<Peer> peers;
-    std::string cloud;
-    std::string state;
+    std::string cloudAddress;
+    std::string stateAddress;
     std::vector<Team> teams;
     std::vector<ServiceLevelObjective> objectives;
     Seconds heartbeatInterval{3};
     Seconds lease{30};
-    Seconds gangWait{30};
-    Seconds gangPeer{4};
-    Seconds cancel{60};
+    Seconds gangWaitTimeout{30};
+    Seconds gangPeerTimeout{4};
+    Seconds cancellationTimeout{60};
     /// Of the state service: the smaller of its present limits and of those announced as `next`.
-    double stateRequests = 60;
-    double stateWrites = 20;
-    double valueKb = 4;
-    std::size_t transactionChanges = 12;
+    double stateRequestsPerSecond = 60;
+    double stateWritesPerSecond = 20;
+    double maxValueKb = 4;
+    std::size_t maxTransactionWrites = 12;
     /// Compares that a transaction may have for each write that it may have.
-    static constexpr std::size_t conditionsPerChange = 4;
-    [[nodiscard]] std::size_t transactionConditions() const {
-        return transactionChanges * conditionsPerChange;
+    static constexpr std::size_t comparesPerWrite = 4;
+    [[nodiscard]] std::size_t maxTransactionCompares() const {
+        return maxTransactionWrites * comparesPerWrite;
     }
-    [[nodiscard]] std::size_t valueBytes() const {
-        return static_cast<std::size_t>(valueKb * 1024);
+    [[nodiscard]] std::size_t maxValueBytes() const {
+        return static_cast<std::size_t>(maxValueKb * 1024);
     }
-    double cloudCalls = 2;
+    double cloudCallsPerSecond = 2;
     Seconds listLag{5};
     double coreFraction = 1;
     double memoryMb = 128;
@@ -93,11 +93,11 @@
 /// [sharing]: machines that change hands between controllers while jobs run (docs/sharing.md).
 struct RebalancingSettings {
     bool enabled = false;
-    Seconds period{2};      ///< between planning rounds
-    double low = 0.5;       ///< of averaged tasks without a place: below it nothing is asked
-    double high = 8;        ///< from here on all that is lacking is asked
-    double weight = 0.3;    ///< of the latest sample in the average
-    Seconds minTenure{30};  ///< shortest time that a partition keeps a machine
+    Seconds period{2};          ///< between planning rounds
+    double lowThreshold = 0.5;  ///< of averaged tasks without a place: below it nothing is asked
+    double highThreshold = 8;   ///< from here on all that is lacking is asked
+    double latestSampleWeight = 0.3;    ///< of the latest sample in the average
+    Seconds minTenure{30};              ///< shortest time that a partition keeps a machine
     double transfersPerMinute = 60;     ///< of each controller
     double fractionOfWrites = 0.1;      ///< of the measured write rate
     bool busyMachines = true;           ///< also machines that run tasks
@@ -107,11 +107,11 @@
 /// What operators may tune. Every value has a default that serves.
 struct OperatorSettings {
     // [moves]: DESIGN's open values
-    Seconds samplePeriod{2};
-    double low = 20;
-    double high = 200;
-    double probability = 0.1;
-    double weight = 0.2;
+    Seconds queueSamplePeriod{2};
+    double lowQueueLength = 20;
+    double highQueueLength = 200;
+    double migrationProbability = 0.1;
+    double latestSampleWeight = 0.2;
     // [machines]
     Seconds idleBeforeScaleIn{20};
     bool useSpot = true;
--- a/src/coordination/api/admission.cpp
+++ b/src/coordination/api/admission.cpp
@@ -59,9 +59,9 @@
     if (team != nullptr) {
         const double concurrentTasks = spec.kind == protocol::JobKind::array ? 1 : spec.tasks;
         if ((team->cpusMax > 0 &&
-             spec.each.cpus * concurrentTasks > team->cpusMax + quotaTolerance) ||
+             spec.taskResources.cpus * concurrentTasks > team->cpusMax + quotaTolerance) ||
             (team->gpusMax > 0 &&
-             spec.each.gpus * concurrentTasks > team->gpusMax + quotaTolerance))
+             spec.taskResources.gpus * concurrentTasks > team->gpusMax + quotaTolerance))
             return HttpResponse{422, {}, 0};
     }
     return std::nullopt;
@@ -71,18 +71,18 @@
     Job job;
     job.spec = spec;
     job.submitted = context_.timers.wallNow();
-    job.sliceSize =
-        storage::sliceSizeFor(spec, {context_.settings.valueKb, context_.settings.stateWrites},
-                              context_.jobDependenciesEnabled(*context_.clusterState.lock()));
+    job.sliceSize = storage::sliceSizeFor(
+        spec, {context_.settings.maxValueKb, context_.settings.stateWritesPerSecond},
+        context_.jobDependenciesEnabled(*context_.clusterState.lock()));
     return job;
 }
 
 bool Admission::fitsRecordLimits(const protocol::JobSpec& spec) const {
     Job job = makeJob(spec);
     job.partition = context_.partitionCount();
-    return storage::jobValue(job).dump().size() <= context_.settings.valueBytes() &&
+    return storage::jobValue(job).dump().size() <= context_.settings.maxValueBytes() &&
            spec.dependencies.size() + comparesPerNewJob <=
-               context_.settings.transactionConditions();
+               context_.settings.maxTransactionCompares();
 }
 
 void Admission::submit(const std::string& body, HttpReply reply) {
--- a/src/coordination/api/job_status_reader.cpp
+++ b/src/coordination/api/job_status_reader.cpp
@@ -46,7 +46,7 @@
     if (flushing_) return;
     flushing_ = true;
     // Requests are delayed briefly, so that one compare-only transaction covers many of them.
-    const double batchesPerSecond = context_.settings.stateRequests /
+    const double batchesPerSecond = context_.settings.stateRequestsPerSecond /
                                     static_cast<double>(context_.nodes.size()) *
                                     statusFractionOfRequests;
     context_.timers.after(
@@ -63,7 +63,7 @@
 
 void JobStatusReader::flushQueue(std::deque<StatusRequest>& queue,
                                  protocol::RequestPriority priority) {
-    const auto maxCompares = context_.settings.transactionConditions();
+    const auto maxCompares = context_.settings.maxTransactionCompares();
     while (!queue.empty()) {
         protocol::CompareAndSwap compare;
         auto batch = std::make_shared<std::vector<SentRequest>>();
@@ -132,8 +132,8 @@
     // it to be blocked after all its dependencies have left the active records. These dependencies
     // are done: otherwise the job would be cancelled, because the record of a cancelled job is kept
     // for as long as the record of any job that depends on it.
-    const bool replicaIsCurrent =
-        context_.now() - replica_.currentAsOf() < toSteadyDuration(context_.settings.cancel / 2);
+    const bool replicaIsCurrent = context_.now() - replica_.currentAsOf() <
+                                  toSteadyDuration(context_.settings.cancellationTimeout / 2);
     return job.dependencyCancelled || !replicaIsCurrent ? JobStatus::undetermined
                                                         : JobStatus::active;
 }
--- a/src/coordination/context.h
+++ b/src/coordination/context.h
@@ -47,10 +47,10 @@
           timers(clock),
           network(net),
           nodes(platform.nodeNames()),
-          stateClient(clock, net, platform.state, stateLimits()),
-          cloudClient(
-              clock, net, platform.cloud,
-              platform.cloudCalls * usableFractionOfRateLimit / static_cast<double>(nodes.size())),
+          stateClient(clock, net, platform.stateAddress, stateLimits()),
+          cloudClient(clock, net, platform.cloudAddress,
+                      platform.cloudCallsPerSecond * usableFractionOfRateLimit /
+                          static_cast<double>(nodes.size())),
           rng(seed) {
         for (std::uint32_t i = 0; i < nodes.size(); ++i)
             if (nodes[i] == settings.name) preferredPartition = i;
@@ -106,8 +106,8 @@
     /// cancellation. A result of zero or less means that `cancel_s` leaves no time besides the
     /// lease.
     [[nodiscard]] Duration cancellationSlack() const {
-        return toSteadyDuration(settings.cancel * minClockRatio - settings.lease * maxClockRatio -
-                                cancelMargin);
+        return toSteadyDuration(settings.cancellationTimeout * minClockRatio -
+                                settings.lease * maxClockRatio - cancelMargin);
     }
     /// Varies a duration at random by up to a quarter, so that nodes do not act simultaneously.
     Duration jittered(Duration around) {
@@ -136,7 +136,7 @@
 
     [[nodiscard]] protocol::StateLimits stateLimits() const {
         const auto count = static_cast<double>(nodes.size());
-        return {settings.stateRequests, settings.stateWrites, count};
+        return {settings.stateRequestsPerSecond, settings.stateWritesPerSecond, count};
     }
 };
 
--- a/src/coordination/membership/node_lease.cpp
+++ b/src/coordination/membership/node_lease.cpp
@@ -67,7 +67,7 @@
 void NodeLease::writeNodeRecord(std::uint64_t leaseId, SteadyTime sentAt) {
     // With more partitions than the transaction has compares for, this process erases the excess
     // ones and acquires them anew.
-    const auto maxCompares = std::max<std::size_t>(1, context_.settings.transactionConditions());
+    const auto maxCompares = std::max<std::size_t>(1, context_.settings.maxTransactionCompares());
     acquiredTerms_.truncate(maxCompares - 1);
     const auto onResponse = [this, leaseId,
                              sentAt](const protocol::CompareAndSwapResponse& response) {
--- a/src/coordination/migration/machine_lending.cpp
+++ b/src/coordination/migration/machine_lending.cpp
@@ -137,7 +137,8 @@
                 (reserving != nullptr && placement_.precedes(gang, *reserving)))
                 lendable.busy.push_back(machine);
         } else if (lendable.idle.size() <
-                   std::min<std::size_t>(request.machines, context_.settings.transactionChanges)) {
+                   std::min<std::size_t>(request.machines,
+                                         context_.settings.maxTransactionWrites)) {
             lendable.idle.push_back(machine->id);
         }
     }
@@ -206,7 +207,7 @@
             }
             auto& names = back[*machine->lender];
             if ((inTheWay || now - machine->idleSince > unusedLoan) &&
-                names.size() < context_.settings.transactionChanges)
+                names.size() < context_.settings.maxTransactionWrites)
                 names.push_back(machine->id);
         }
     }
--- a/src/coordination/migration/machine_transfers.cpp
+++ b/src/coordination/migration/machine_transfers.cpp
@@ -105,7 +105,7 @@
         addMachine(transfer, machine, next);
     }
     return fits && addQuotas(transfer, clusterState, handover, from, to) &&
-           compares.size() < context_.settings.transactionConditions();
+           compares.size() < context_.settings.maxTransactionCompares();
 }
 
 void MachineTransfers::undo(const Transfer& transfer, ClusterState& clusterState) {
--- a/src/coordination/migration/rebalancer.cpp
+++ b/src/coordination/migration/rebalancer.cpp
@@ -52,8 +52,8 @@
 }
 
 rebalancing::TaskShape shapeOf(const protocol::JobSpec& spec, const std::string& zone) {
-    rebalancing::TaskShape shape{spec.each, spec.types.value_or(std::vector<std::string>{}), zone,
-                                 spec.spot};
+    rebalancing::TaskShape shape{spec.taskResources,
+                                 spec.types.value_or(std::vector<std::string>{}), zone, spec.spot};
     std::sort(shape.types.begin(), shape.types.end());
     return shape;
 }
@@ -153,7 +153,8 @@
 
 void Rebalancer::announceDemand(PartitionId partition) {
     const auto& tuning = context_.operatorSettings.rebalancing;
-    const rebalancing::DemandThresholds thresholds{tuning.low, tuning.high, tuning.weight};
+    const rebalancing::DemandThresholds thresholds{tuning.lowThreshold, tuning.highThreshold,
+                                                   tuning.latestSampleWeight};
     auto& average = averages_.try_emplace(partition, thresholds).first->second;
     auto demands = demandsOf(unschedulable_[partition]);
     // What was provisioned for a gang has been counted as no longer lacking.
@@ -352,7 +353,7 @@
     const rebalancing::HandoverRules rules{
         transfer.from,
         recipientOf(transfer),
-        context_.settings.transactionChanges,
+        context_.settings.maxTransactionWrites,
         context_.now(),
         toSteadyDuration(tuning.minTenure),
         toSteadyDuration(context_.settings.heartbeatInterval * silentHeartbeats),
--- a/src/coordination/migration/work_migrator.cpp
+++ b/src/coordination/migration/work_migrator.cpp
@@ -36,11 +36,12 @@
             running += static_cast<double>(machine->allocations.size());
     }
     QueueAverage::Tuning tuning;
-    tuning.weight = context_.operatorSettings.weight;
-    tuning.probability = context_.operatorSettings.probability;
-    tuning.low =
-        std::min(context_.operatorSettings.low, std::max(1.0, running * lowFractionOfRunning));
-    tuning.high = std::min(context_.operatorSettings.high, std::max(tuning.low + 1, running));
+    tuning.weight = context_.operatorSettings.latestSampleWeight;
+    tuning.probability = context_.operatorSettings.migrationProbability;
+    tuning.low = std::min(context_.operatorSettings.lowQueueLength,
+                          std::max(1.0, running * lowFractionOfRunning));
+    tuning.high =
+        std::min(context_.operatorSettings.highQueueLength, std::max(tuning.low + 1, running));
     return tuning;
 }
 
@@ -60,7 +61,7 @@
 
 void WorkMigrator::sampleAll() {
     for (const auto partition : membership_.ledPartitions()) samplePartition(partition);
-    context_.timers.after(toSteadyDuration(context_.operatorSettings.samplePeriod),
+    context_.timers.after(toSteadyDuration(context_.operatorSettings.queueSamplePeriod),
                           [this] { sampleAll(); });
 }
 
--- a/src/coordination/provisioning/autoscaler.cpp
+++ b/src/coordination/provisioning/autoscaler.cpp
@@ -110,10 +110,10 @@
             std::find_if(incoming.begin(), incoming.end(), [&](const IncomingMachine& c) {
                 return typeAllowed(job.spec, *context_.findMachineType(c.pool.type), c.pool.zone,
                                    c.pool.spot) &&
-                       job.spec.each.fits(c.available);
+                       job.spec.taskResources.fits(c.available);
             });
         if (fits != incoming.end()) {
-            fits->available -= job.spec.each;
+            fits->available -= job.spec.taskResources;
             continue;
         }
         const auto pool = cheapest(job, left, {});
@@ -122,7 +122,7 @@
             break;
         ++requests[*pool].count;
         incoming.push_back({*pool, context_.findMachineType(pool->type)->capacity});
-        incoming.back().available -= job.spec.each;
+        incoming.back().available -= job.spec.taskResources;
     }
 }
 
--- a/src/coordination/provisioning/machine_inventory.cpp
+++ b/src/coordination/provisioning/machine_inventory.cpp
@@ -49,7 +49,7 @@
             applyMachineList(asked, listed);
         }
         const auto fraction =
-            context_.settings.cloudCalls / static_cast<double>(context_.nodes.size());
+            context_.settings.cloudCallsPerSecond / static_cast<double>(context_.nodes.size());
         const auto pause = std::max<Duration>(
             minListInterval, toSteadyDuration(Seconds(pages / (fraction * listFractionOfCalls))));
         context_.timers.after(context_.jittered(pause), [this] { listMachines(); });
--- a/src/coordination/provisioning/machine_records.cpp
+++ b/src/coordination/provisioning/machine_records.cpp
@@ -21,7 +21,7 @@
     // Many in one transaction, and half of what it may hold, so that allocations don't wait for
     // long. With one write after the other a thousand machines took minutes to record, and idle
     // ones to be given back.
-    const auto limit = std::max<std::size_t>(1, context_.settings.transactionChanges / 2);
+    const auto limit = std::max<std::size_t>(1, context_.settings.maxTransactionWrites / 2);
     auto& batches = batches_[change];
     auto& queue = batches.queues[partition];
     Batch batch;
--- a/src/coordination/replication/replica.cpp
+++ b/src/coordination/replication/replica.cpp
@@ -155,7 +155,7 @@
     completeSync();
     if (!answer.events.empty()) observer_.onReplicaChanged();
     const auto requestsPerSecond =
-        context_.settings.stateRequests / static_cast<double>(context_.nodes.size());
+        context_.settings.stateRequestsPerSecond / static_cast<double>(context_.nodes.size());
     const Seconds pause(1.0 / (requestsPerSecond * watchFractionOfRequests));
     afterDelay(toSteadyDuration(pause), generation, [this, generation] { watch(generation); });
 }
--- a/src/coordination/replication/slice_writer.h
+++ b/src/coordination/replication/slice_writer.h
@@ -51,8 +51,8 @@
   public:
     explicit SliceWriter(Context& context)
         : context_(context),
-          maxWrites_(context.settings.transactionChanges),
-          maxValueBytes_(context.settings.valueBytes()) {}
+          maxWrites_(context.settings.maxTransactionWrites),
+          maxValueBytes_(context.settings.maxValueBytes()) {}
 
     /// Adds the slice's record, or the records of the pieces into which it is divided. Returns
     /// false and leaves the batch's transaction unchanged if they don't fit.
--- a/src/coordination/scheduling/capacity_estimator.cpp
+++ b/src/coordination/scheduling/capacity_estimator.cpp
@@ -28,7 +28,7 @@
         Resources free = type->capacity;
         free -= machine->used;
         const auto fitting = countFittingTasks(job, free, limit - capacity);
-        for (std::uint32_t i = 0; i < fitting; ++i, free -= job.spec.each, ++capacity)
+        for (std::uint32_t i = 0; i < fitting; ++i, free -= job.spec.taskResources, ++capacity)
             if (!guard.empty() &&
                 guard.slotsLost({*type, machine->zone, machine->spot, free}, job).protectedSlots >
                     0)
--- a/src/coordination/scheduling/capacity_index.cpp
+++ b/src/coordination/scheduling/capacity_index.cpp
@@ -78,7 +78,7 @@
     for (const auto& pool : pools_) {
         if (!pool.allows(job, zoneUse)) continue;
         for (const auto& machineCapacity : pool.machines) {
-            if (!job.spec.each.fits(machineCapacity.free)) continue;
+            if (!job.spec.taskResources.fits(machineCapacity.free)) continue;
             slots +=
                 countFittingTasks(job, capacityFor(job, machineCapacity), job.spec.tasks - slots);
             if (slots >= job.spec.tasks) return slots;
--- a/src/coordination/scheduling/consolidation.cpp
+++ b/src/coordination/scheduling/consolidation.cpp
@@ -32,7 +32,7 @@
         Machine after = *other;
         after.used += consumed[other->id];
         if (!canHost(context_, job, after)) continue;
-        consumed[other->id] += job.spec.each;
+        consumed[other->id] += job.spec.taskResources;
         return true;
     }
     return false;
--- a/src/coordination/scheduling/fragmentation_guard.cpp
+++ b/src/coordination/scheduling/fragmentation_guard.cpp
@@ -13,7 +13,7 @@
             [&](const LargerTask& other) { return other.job->spec.jobClass == job.spec.jobClass; });
         if (same == largestTaskByClass_.end())
             largestTaskByClass_.push_back({&job, 0});
-        else if (job.spec.each.cpus > same->job->spec.each.cpus)
+        else if (job.spec.taskResources.cpus > same->job->spec.taskResources.cpus)
             same->job = &job;
     }
 }
@@ -59,17 +59,17 @@
 bool FragmentationGuard::isGuardedAgainst(const LargerTask& largerTask, const Job& job) {
     return largerTask.job->spec.jobClass != job.spec.jobClass &&
            largerTask.job->priority <= job.priority &&
-           !largerTask.job->spec.each.fits(job.spec.each);
+           !largerTask.job->spec.taskResources.fits(job.spec.taskResources);
 }
 
 std::uint32_t FragmentationGuard::slotsLost(const LargerTask& largerTask, const CandidateSlot& slot,
                                             const Job& job) {
     const auto& spec = largerTask.job->spec;
-    if (!isGuardedAgainst(largerTask, job) || !spec.each.fits(slot.free) ||
+    if (!isGuardedAgainst(largerTask, job) || !spec.taskResources.fits(slot.free) ||
         !typeAllowed(spec, slot.type, slot.zone, slot.spot))
         return 0;
     Resources after = slot.free;
-    after -= job.spec.each;
+    after -= job.spec.taskResources;
     return countFittingTasks(*largerTask.job, slot.free, spec.tasks) -
            countFittingTasks(*largerTask.job, after, spec.tasks);
 }
--- a/src/coordination/scheduling/machine_selector.cpp
+++ b/src/coordination/scheduling/machine_selector.cpp
@@ -57,11 +57,12 @@
 double MachineSelector::costSeconds(ClusterState& clusterState, const Job& job,
                                     const Machine& machine, const MachineType& type) {
     double seconds = fetchCostSeconds(clusterState, job, machine, type);
-    if (job.spec.each.gpus <= 0 && type.capacity.gpus > 0)
-        seconds += idleGpuPenaltySeconds * job.spec.each.cpus / std::max(1.0, type.capacity.cpus) +
+    if (job.spec.taskResources.gpus <= 0 && type.capacity.gpus > 0)
+        seconds += idleGpuPenaltySeconds * job.spec.taskResources.cpus /
+                       std::max(1.0, type.capacity.cpus) +
                    idleGpuPenaltySeconds;
     const double freeFraction =
-        1.0 - (machine.used.cpus + job.spec.each.cpus) / std::max(1.0, type.capacity.cpus);
+        1.0 - (machine.used.cpus + job.spec.taskResources.cpus) / std::max(1.0, type.capacity.cpus);
     seconds += freeCpusPenaltySeconds * freeFraction;
     return seconds;
 }
@@ -75,8 +76,8 @@
     for (auto& pool : capacityIndex.pools()) {
         if (!pool.allows(job, zoneUse)) continue;
         for (auto& machineCapacity : pool.machines) {
-            if (!job.spec.each.fits(machineCapacity.free) ||
-                !job.spec.each.fits(capacityIndex.capacityFor(job, machineCapacity)))
+            if (!job.spec.taskResources.fits(machineCapacity.free) ||
+                !job.spec.taskResources.fits(capacityIndex.capacityFor(job, machineCapacity)))
                 continue;
             const auto lost =
                 guard.slotsLost({*pool.type, pool.zone, pool.spot, machineCapacity.free}, job);
--- a/src/coordination/scheduling/placement.cpp
+++ b/src/coordination/scheduling/placement.cpp
@@ -119,7 +119,7 @@
                                            std::uint32_t task) {
     Job& job = array.job;
     if (array.placed >= array.limit) return TaskResult::stop;
-    if (!job.spec.each.fits(array.quotaLeft)) {
+    if (!job.spec.taskResources.fits(array.quotaLeft)) {
         array.overQuota = true;
         return TaskResult::stop;
     }
@@ -132,7 +132,7 @@
     }
     const auto attempt = nextAttempt(run.partition);
     ++array.zoneUse[machine.zone];
-    array.quotaLeft -= job.spec.each;
+    array.quotaLeft -= job.spec.taskResources;
     spdlog::debug("placement: task_placed task={}/{} machine={} type={} class={} wait_s={:.1f}",
                   job.spec.id, task, machine.id, machine.type, job.spec.jobClass,
                   Seconds(context_.timers.wallNow() - job.submitted).count());
@@ -201,7 +201,7 @@
 Placement::GangResult Placement::placeGang(PlacementRun& run, Job& job) {
     auto& quotaLeft = run.quotaLeft(job.spec.team);
     Resources all;
-    for (std::uint32_t i = 0; i < job.spec.tasks; ++i) all += job.spec.each;
+    for (std::uint32_t i = 0; i < job.spec.tasks; ++i) all += job.spec.taskResources;
     if (!all.fits(quotaLeft)) return GangResult::overQuota;
     // For a gang that must run in one zone, the zones are tried one by one; otherwise all together.
     std::set<std::string> zones;
@@ -247,7 +247,7 @@
 void Placement::rollBackGang(PlacementRun& run, Job& job,
                              const std::vector<MachineCapacity*>& chosen,
                              const std::vector<bool>& dirty) {
-    for (auto* machineCapacity : chosen) machineCapacity->restore(job.spec.each);
+    for (auto* machineCapacity : chosen) machineCapacity->restore(job.spec.taskResources);
     for (auto& slice : job.slices) {
         while (!slice.allocations.empty())
             run.clusterState.removeAllocation(job, slice, slice.allocations.front().task);
@@ -266,7 +266,7 @@
     allocation.attempt = attempt;
     allocation.createdAt = context_.now();
     run.clusterState.addAllocation(job, slice, std::move(allocation));
-    machineCapacity.consume(job.spec.each);
+    machineCapacity.consume(job.spec.taskResources);
 }
 
 std::uint64_t Placement::nextAttempt(PartitionId partition) {
--- a/src/coordination/scheduling/placement_constraints.cpp
+++ b/src/coordination/scheduling/placement_constraints.cpp
@@ -32,12 +32,13 @@
     if (spec.types &&
         std::find(spec.types->begin(), spec.types->end(), type.name) == spec.types->end())
         return false;
-    return spec.each.fits(type.capacity);
+    return spec.taskResources.fits(type.capacity);
 }
 
 std::uint32_t countFittingTasks(const Job& job, Resources capacity, std::uint32_t limit) {
     std::uint32_t count = 0;
-    for (; count < limit && job.spec.each.fits(capacity); ++count) capacity -= job.spec.each;
+    for (; count < limit && job.spec.taskResources.fits(capacity); ++count)
+        capacity -= job.spec.taskResources;
     return count;
 }
 
@@ -72,7 +73,7 @@
     capacity -= machine.used;
     if (context.now() < machine.reservedUntil && machine.reservedFor != job.spec.id)
         capacity -= machine.reservedCapacity;
-    return job.spec.each.fits(capacity);
+    return job.spec.taskResources.fits(capacity);
 }
 
 void reserve(const Context& context, Machine& machine, const Job& job, std::uint32_t tasks,
@@ -80,7 +81,7 @@
     machine.reservedFor = job.spec.id;
     machine.reservedTasks = tasks;
     machine.reservedCapacity = {};
-    for (std::uint32_t i = 0; i < tasks; ++i) machine.reservedCapacity += job.spec.each;
+    for (std::uint32_t i = 0; i < tasks; ++i) machine.reservedCapacity += job.spec.taskResources;
     machine.reservedUntil = context.now() + length;
 }
 
--- a/src/coordination/scheduling/preemption.cpp
+++ b/src/coordination/scheduling/preemption.cpp
@@ -26,7 +26,7 @@
         const auto [other, slice, allocation] = clusterState.findAllocation(ref);
         if (allocation == nullptr || !allocation->durable) continue;
         if (allocation->stopGrace) {
-            available += other->spec.each;  // already being stopped
+            available += other->spec.taskResources;  // already being stopped
             continue;
         }
         // Only tasks of strictly lower priority are stopped, and none of gangs: stopping one task
@@ -54,12 +54,12 @@
     Resources available = machineCapacity.free;
     Choice choice{&machine, {}, 0};
     for (const auto& candidate : candidatesOn(clusterState, machine, job, available)) {
-        if (job.spec.each.fits(available)) break;
-        available += candidate.job->spec.each;
+        if (job.spec.taskResources.fits(available)) break;
+        available += candidate.job->spec.taskResources;
         choice.victims.push_back(candidate);
         choice.lossSeconds += candidate.lossSeconds;
     }
-    if (!job.spec.each.fits(available) || choice.lossSeconds >= best.lossSeconds) return;
+    if (!job.spec.taskResources.fits(available) || choice.lossSeconds >= best.lossSeconds) return;
     best = std::move(choice);
 }
 
--- a/src/coordination/scheduling/quota_exchange.cpp
+++ b/src/coordination/scheduling/quota_exchange.cpp
@@ -79,9 +79,11 @@
     };
     storage::QuotaShare amount;
     if (team.cpusMax > 0)
-        amount.cpus = grantAmount(job.spec.each.cpus, borrowerRemaining.cpus, lenderRemaining.cpus);
+        amount.cpus =
+            grantAmount(job.spec.taskResources.cpus, borrowerRemaining.cpus, lenderRemaining.cpus);
     if (team.gpusMax > 0)
-        amount.gpus = grantAmount(job.spec.each.gpus, borrowerRemaining.gpus, lenderRemaining.gpus);
+        amount.gpus =
+            grantAmount(job.spec.taskResources.gpus, borrowerRemaining.gpus, lenderRemaining.gpus);
     return amount;
 }
 
--- a/src/coordination/scheduling/team_quotas.cpp
+++ b/src/coordination/scheduling/team_quotas.cpp
@@ -56,7 +56,7 @@
 bool TeamQuotas::withinGuarantee(const ClusterState& clusterState, const Job& job) const {
     const auto* team = context_.findTeam(job.spec.team);
     if (team == nullptr || (team->cpus <= 0 && team->gpus <= 0)) return false;
-    Resources used = job.spec.each;
+    Resources used = job.spec.taskResources;
     for (PartitionId partition = 0; partition < context_.partitionCount(); ++partition)
         used += clusterState.usedBy(job.spec.team, partition);
     return (team->cpus <= 0 || used.cpus <= team->cpus) &&
--- a/src/coordination/workers/start_policy.cpp
+++ b/src/coordination/workers/start_policy.cpp
@@ -53,7 +53,7 @@
                                     const Job& job, const Allocation& allocation) const {
     if (!mayStartOn(machine) || !isStartable(clusterState, job, allocation) ||
         context_.now() - allocation.createdAt >
-            toSteadyDuration(context_.settings.gangWait * maxGangWaitFactor))
+            toSteadyDuration(context_.settings.gangWaitTimeout * maxGangWaitFactor))
         return false;
     return std::all_of(job.slices.begin(), job.slices.end(), [](const Slice& slice) {
         return std::none_of(slice.allocations.begin(), slice.allocations.end(),
--- a/src/coordination/workers/task_status_applier.cpp
+++ b/src/coordination/workers/task_status_applier.cpp
@@ -33,7 +33,7 @@
     allocation->reported = true;
     allocation->state = task.state;
     if (task.state == TaskState::exited) {
-        if (task.cause != ExitCause::alone ||
+        if (task.cause != ExitCause::gangIncomplete ||
             !startPolicy_.mayExtendGangWait(clusterState, machine, *job, *allocation))
             return applyExit(clusterState, machine, *job, *slice, *allocation, task);
         // Other tasks of the gang are still fetching. The allocation is kept and the task waits
@@ -132,7 +132,7 @@
         case ExitCause::error:
             return faultAttribution_.onTaskFailed(clusterState, machine, job, slice, allocation);
         case ExitCause::noCapacity:
-        case ExitCause::busy:
+        case ExitCause::duplicateTask:
             machine.unschedulableUntil = context_.now() + pauseAfterRefusal;
             return;
         case ExitCause::unknown:
@@ -140,7 +140,7 @@
             return;
         case ExitCause::stopped:
         case ExitCause::peersGone:
-        case ExitCause::alone:
+        case ExitCause::gangIncomplete:
             return;
     }
 }
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -45,7 +45,7 @@
     for (const auto& peer : settings.peers) peers[peer.name] = peer.address;
     coordination::Controller* controller = nullptr;
     transport::HttpClient client(loop, fractionOf(settings.sockets, commandFractionOfSockets),
-                                 {settings.state, settings.cloud});
+                                 {settings.stateAddress, settings.cloudAddress});
     transport::TcpNetwork network(loop, std::move(client), settings.internalAddress, peers,
                                   [&controller](const std::string& payload) {
                                       if (controller != nullptr) controller->onFrame(payload);
@@ -53,11 +53,11 @@
     coordination::Controller service(settings, tuning, loop, network, std::random_device{}());
     controller = &service;
     const transport::HttpServer front(
-        loop, settings.front, fractionOf(settings.sockets, frontFractionOfSockets),
+        loop, settings.frontAddress, fractionOf(settings.sockets, frontFractionOfSockets),
         [&service](const transport::HttpRequest& request, transport::HttpReply reply) {
             service.onRequest(request, std::move(reply));
         });
-    spdlog::info("fawnwheel {} serves on {} as {}", FAWNWHEEL_VERSION, settings.front,
+    spdlog::info("fawnwheel {} serves on {} as {}", FAWNWHEEL_VERSION, settings.frontAddress,
                  settings.name);
     service.start();
     loop.run();
--- a/src/protocol/messages.cpp
+++ b/src/protocol/messages.cpp
@@ -35,11 +35,11 @@
                                 Word<TaskState>{wire::stateExited, TaskState::exited}};
 constexpr std::array causes{Word<ExitCause>{wire::causeDone, ExitCause::done},
                             Word<ExitCause>{wire::causeStopped, ExitCause::stopped},
-                            Word<ExitCause>{wire::causePeers, ExitCause::peersGone},
-                            Word<ExitCause>{wire::causeAlone, ExitCause::alone},
+                            Word<ExitCause>{wire::causePeersGone, ExitCause::peersGone},
+                            Word<ExitCause>{wire::causeGangIncomplete, ExitCause::gangIncomplete},
                             Word<ExitCause>{wire::causeError, ExitCause::error},
                             Word<ExitCause>{wire::causeNoCapacity, ExitCause::noCapacity},
-                            Word<ExitCause>{wire::causeBusy, ExitCause::busy},
+                            Word<ExitCause>{wire::causeDuplicateTask, ExitCause::duplicateTask},
                             Word<ExitCause>{wire::causeUnknown, ExitCause::unknown}};
 
 template <typename Table, typename Enum>
@@ -159,7 +159,8 @@
     spec.kind = read.word<JobKind>(wire::kind, kinds);
     spec.priority = read.word<Priority>(wire::priority, priorities);
     spec.tasks = read.count(wire::tasks, maxTasks);
-    spec.each = {read.amount(wire::cpus), read.amount(wire::gpus), read.amount(wire::memory)};
+    spec.taskResources = {read.amount(wire::cpus), read.amount(wire::gpus),
+                          read.amount(wire::memory)};
     spec.image = read.text(wire::image);
     spec.imageSize = read.amount(wire::imageSize);
     if (const Json* types = read.find(wire::types)) {
@@ -193,9 +194,9 @@
              {wire::kind, wordFor(kinds, spec.kind)},
              {wire::priority, wordFor(priorities, spec.priority)},
              {wire::tasks, spec.tasks},
-             {wire::cpus, spec.each.cpus},
-             {wire::gpus, spec.each.gpus},
-             {wire::memory, spec.each.memory},
+             {wire::cpus, spec.taskResources.cpus},
+             {wire::gpus, spec.taskResources.gpus},
+             {wire::memory, spec.taskResources.memory},
              {wire::image, spec.image},
              {wire::imageSize, spec.imageSize},
              {wire::oneZone, spec.oneZone},
--- a/src/protocol/messages.h
+++ b/src/protocol/messages.h
@@ -53,7 +53,7 @@
     JobKind kind = JobKind::array;
     Priority priority = Priority::normal;
     std::uint32_t tasks = 0;
-    Resources each;
+    Resources taskResources;
     std::string image;
     double imageSize = 0;                           ///< GB
     std::optional<std::vector<std::string>> types;  ///< allowed; none: any
@@ -76,7 +76,16 @@
 /// State of a task as its worker reports it.
 enum class TaskState { fetching, waiting, running, saving, exited };
 /// Why a task ended, as its worker reports it.
-enum class ExitCause { done, stopped, peersGone, alone, error, noCapacity, busy, unknown };
+enum class ExitCause {
+    done,
+    stopped,
+    peersGone,
+    gangIncomplete,
+    error,
+    noCapacity,
+    duplicateTask,
+    unknown
+};
 
 /// One task attempt in a heartbeat.
 struct TaskStatus {
--- a/src/rebalancing/handover.cpp
+++ b/src/rebalancing/handover.cpp
@@ -162,7 +162,7 @@
             if (machines_.contains(allocation.machine)) here.add(allocation.task);
         for (std::uint32_t i = 0; i < slice.size(); ++i)
             if (slice.done[i]) done.add(slice.first + i);
-        plan_.used[job.spec.team] += times(job.spec.each, here.cardinality());
+        plan_.used[job.spec.team] += times(job.spec.taskResources, here.cardinality());
         SliceHandover partition{job.spec.id, slice.index, rangesOf(here, done), 1};
         if (job.requiresSingleLeader()) {
             // A slice without a record follows its job's.
--- a/src/storage/cluster_state.cpp
+++ b/src/storage/cluster_state.cpp
@@ -86,7 +86,7 @@
             for (const auto& allocation : slice.allocations)
                 if (allocation.machine == machine.id) {
                     machine.allocations.push_back({name, allocation.task, allocation.attempt});
-                    machine.used += job.spec.each;
+                    machine.used += job.spec.taskResources;
                 }
 }
 
@@ -111,7 +111,7 @@
     auto& refs = known->allocations;
     if (std::find(refs.begin(), refs.end(), ref) != refs.end()) return;
     refs.push_back(ref);
-    known->used += job.spec.each;
+    known->used += job.spec.taskResources;
     ++allocationsByImage_[job.spec.image][known->partition];
 }
 
@@ -120,7 +120,7 @@
     if (known == nullptr) return;
     const TaskRef ref{job.spec.id, allocation.task, allocation.attempt};
     if (std::erase(known->allocations, ref) == 0) return;
-    known->used -= job.spec.each;
+    known->used -= job.spec.taskResources;
     // Resets rounding errors of the sum.
     if (known->allocations.empty()) known->used = {};
 }
@@ -295,7 +295,8 @@
         for (const auto& slice : activeJob.slices) {
             if (slice.partition != partition) continue;
             // Adds one by one, because a product would round differently.
-            for (std::size_t i = 0; i < slice.allocations.size(); ++i) total += activeJob.spec.each;
+            for (std::size_t i = 0; i < slice.allocations.size(); ++i)
+                total += activeJob.spec.taskResources;
         }
     }
     return total;
--- a/tests/loopback/loopback_main.cpp
+++ b/tests/loopback/loopback_main.cpp
@@ -37,7 +37,7 @@
     spec.kind = kind;
     spec.priority = protocol::Priority::normal;
     spec.tasks = tasks;
-    spec.each = each;
+    spec.taskResources = each;
     spec.image = "img-1";
     spec.imageSize = 0.1;
     // So long that a short queue sends the next gang of a wave to another controller.
--- a/tests/sim/checker.cpp
+++ b/tests/sim/checker.cpp
@@ -67,7 +67,8 @@
         for (const auto& [other, truth] : jobs_)
             if (truth.spec.team == team.name)
                 for (const auto& [index, places] : truth.on)
-                    for (std::size_t i = 0; i < places.size(); ++i) used += truth.spec.each;
+                    for (std::size_t i = 0; i < places.size(); ++i)
+                        used += truth.spec.taskResources;
         if ((team.cpusMax > 0 && used.cpus > team.cpusMax + 1e-6) ||
             (team.gpusMax > 0 && used.gpus > team.gpusMax + 1e-6))
             breach("quota", team.name + " with " + name);
--- a/tests/sim/scenario_main.cpp
+++ b/tests/sim/scenario_main.cpp
@@ -65,7 +65,7 @@
                     : priority == "low"      ? protocol::Priority::low
                                              : protocol::Priority::normal;
     spec.tasks = static_cast<std::uint32_t>(line.number("tasks", 1));
-    spec.each = {line.number("cpus", 1), line.number("gpus", 0), line.number("memory", 1)};
+    spec.taskResources = {line.number("cpus", 1), line.number("gpus", 0), line.number("memory", 1)};
     spec.image = line.text("image", "img-1");
     spec.imageSize = line.number("image_gb", 1);
     if (line.has("type")) spec.types = {{line.text("type")}};
@@ -141,8 +141,8 @@
         rebalancing.enabled = true;
         rebalancing.period = Time(line.number("period", rebalancing.period.count()));
         rebalancing.minTenure = Time(line.number("min-tenure", rebalancing.minTenure.count()));
-        rebalancing.low = line.number("low", rebalancing.low);
-        rebalancing.high = line.number("high", rebalancing.high);
+        rebalancing.lowThreshold = line.number("low", rebalancing.lowThreshold);
+        rebalancing.highThreshold = line.number("high", rebalancing.highThreshold);
         rebalancing.transfersPerMinute = line.number("transfers", rebalancing.transfersPerMinute);
         rebalancing.busyMachines = !line.has("idle-only");
         for (const auto& node : names(line.text("without")))
--- a/tests/sim/world.cpp
+++ b/tests/sim/world.cpp
@@ -43,17 +43,17 @@
         auto& s = node->settings;
         s.name = node->name;
         s.zone = spec_.zones[static_cast<std::size_t>(i) % spec_.zones.size()];
-        s.state = "state";
-        s.cloud = "cloud";
+        s.stateAddress = "state";
+        s.cloudAddress = "cloud";
         s.teams = spec_.teams;
         s.lease = spec_.lease;
-        s.cancel = spec_.cancel;
-        s.gangWait = gangWait;
-        s.gangPeer = gangPeer;
+        s.cancellationTimeout = spec_.cancel;
+        s.gangWaitTimeout = gangWait;
+        s.gangPeerTimeout = gangPeer;
         s.listLag = spec_.listLag;
-        s.stateRequests = spec_.stateRequests;
-        s.stateWrites = spec_.stateWrites;
-        s.cloudCalls = 6;
+        s.stateRequestsPerSecond = spec_.stateRequests;
+        s.stateWritesPerSecond = spec_.stateWrites;
+        s.cloudCallsPerSecond = 6;
         for (int j = 0; j < spec_.nodes; ++j)
             if (j != i)
                 s.peers.push_back({"node-" + std::to_string(j),
@@ -131,11 +131,12 @@
 
 void World::setLimits(Node& node) const {
     auto& settings = node.settings;
-    settings.valueKb = spec_.recordLimits.valueKb;
-    settings.transactionChanges = spec_.recordLimits.writes;
+    settings.maxValueKb = spec_.recordLimits.valueKb;
+    settings.maxTransactionWrites = spec_.recordLimits.writes;
     if (node.oldVersion || !spec_.nextLimits) return;
-    settings.valueKb = std::min(settings.valueKb, spec_.nextLimits->valueKb);
-    settings.transactionChanges = std::min(settings.transactionChanges, spec_.nextLimits->writes);
+    settings.maxValueKb = std::min(settings.maxValueKb, spec_.nextLimits->valueKb);
+    settings.maxTransactionWrites =
+        std::min(settings.maxTransactionWrites, spec_.nextLimits->writes);
 }
 
 void World::lowerLimits() {
--- a/tests/sim/world_state.cpp
+++ b/tests/sim/world_state.cpp
@@ -88,7 +88,7 @@
 bool World::withinLimits(const Json& body) const {
     const auto& writes = protocol::listOf(body, wire::writes);
     const auto& compares = protocol::listOf(body, wire::compares);
-    const auto conditionsMost = limits_.writes * config::Settings::conditionsPerChange;
+    const auto conditionsMost = limits_.writes * config::Settings::comparesPerWrite;
     return writes.size() <= limits_.writes && compares.size() <= conditionsMost &&
            std::all_of(writes.begin(), writes.end(), [this](const Json& write) {
                const auto value = write.find(wire::value);
--- a/tests/sim/world_workers.cpp
+++ b/tests/sim/world_workers.cpp
@@ -191,15 +191,15 @@
             const auto& truth = truths_[job];
             const auto type = std::find_if(spec_.types.begin(), spec_.types.end(),
                                            [&](const auto& t) { return t.type.name == w.type; });
-            protocol::Resources used = truth.spec.each;
+            protocol::Resources used = truth.spec.taskResources;
             bool busy = false;
             for (const auto& other : w.tasks) {
                 if (other.state == wire::stateExited) continue;
-                used += truths_[other.job].spec.each;
+                used += truths_[other.job].spec.taskResources;
                 busy = busy || (other.job == job && other.index == index);
             }
             const char* refusal = !truth.submitted                  ? wire::causeUnknown
-                                  : busy                            ? wire::causeBusy
+                                  : busy                            ? wire::causeDuplicateTask
                                   : !used.fits(type->type.capacity) ? wire::causeNoCapacity
                                                                     : nullptr;
             if (refusal != nullptr) {
@@ -328,11 +328,11 @@
                     task->state = wire::stateRunning;
                     scheduleHeartbeat(*w);
                 } else if (now_ - task->waitingSince > gangWait) {
-                    endTask(*w, *task, wire::causeAlone, false);
+                    endTask(*w, *task, wire::causeGangIncomplete, false);
                 }
             } else if (task->state == wire::stateRunning && !whole) {
                 if (!task->peersGoneAt) task->peersGoneAt = now_ + gangPeer;
-                if (now_ >= *task->peersGoneAt) endTask(*w, *task, wire::causePeers, false);
+                if (now_ >= *task->peersGoneAt) endTask(*w, *task, wire::causePeersGone, false);
             }
         }
     }
--- a/tests/unit/config/settings_test.cpp
+++ b/tests/unit/config/settings_test.cpp
@@ -47,14 +47,14 @@
     auto settings = parseSettings(with(
         R"({"rps": 60, "write_rps": 20, "value_kb": 4, "txn_ops": 12,
             "next": {"write_rps": 15, "value_kb": 2, "txn_ops": 4}})"));
-    EXPECT_EQ(settings.stateRequests, 60);
-    EXPECT_EQ(settings.stateWrites, 15);
-    EXPECT_EQ(settings.valueBytes(), 2048U);
-    EXPECT_EQ(settings.transactionChanges, 4U);
-    EXPECT_EQ(settings.transactionConditions(), 16U);
+    EXPECT_EQ(settings.stateRequestsPerSecond, 60);
+    EXPECT_EQ(settings.stateWritesPerSecond, 15);
+    EXPECT_EQ(settings.maxValueBytes(), 2048U);
+    EXPECT_EQ(settings.maxTransactionWrites, 4U);
+    EXPECT_EQ(settings.maxTransactionCompares(), 16U);
     settings = parseSettings(with(R"({"value_kb": 4, "txn_ops": 12, "next": {"txn_ops": 50}})"));
-    EXPECT_EQ(settings.transactionChanges, 12U);
-    EXPECT_EQ(settings.valueKb, 4);
+    EXPECT_EQ(settings.maxTransactionWrites, 12U);
+    EXPECT_EQ(settings.maxValueKb, 4);
     EXPECT_TRUE(errorOf(with(R"({"next": null})")).empty());
     EXPECT_NE(
         errorOf(with(R"({"next": {"txn_ops": "few"}})")).find("deployment.state.next.txn_ops"),
@@ -66,8 +66,8 @@
     const auto settings = parseOperatorSettings(
         "[moves]\nlow = 5\nhigh=50\n; note\n"
         "[machines]\nuse_spot = no\n");
-    EXPECT_EQ(settings.low, 5);
-    EXPECT_EQ(settings.high, 50);
+    EXPECT_EQ(settings.lowQueueLength, 5);
+    EXPECT_EQ(settings.highQueueLength, 50);
     EXPECT_FALSE(settings.useSpot);
     for (const auto* bad : {"[moves]\nlow = many\n", "[moves]\nlow = -1\n", "[other]\nlow = 1\n",
                             "[moves]\nlow = 30\nhigh = 20\n", "[machines]\nuse_spot = maybe\n"})
--- a/tests/unit/coordination/api/admission_test.cpp
+++ b/tests/unit/coordination/api/admission_test.cpp
@@ -126,7 +126,7 @@
     first.id = "run-first";
     first.jobClass = first.team = first.image = "x";
     first.tasks = 1;
-    first.each = {1, 0, 1};
+    first.taskResources = {1, 0, 1};
     world.at(Time(5), [&] { world.submit(first, Time(300), false); });
     auto body = protocol::encodeJobSpec(first);
     body[wire::id] = "run-next";
--- a/tests/unit/coordination/membership/membership_test.cpp
+++ b/tests/unit/coordination/membership/membership_test.cpp
@@ -74,7 +74,7 @@
   protected:
     ShortCancelLimitTest() {
         settings_.lease = Seconds(20);
-        settings_.cancel = Seconds(25);
+        settings_.cancellationTimeout = Seconds(25);
     }
 };
 
--- a/tests/unit/coordination/migration/machine_transfers_test.cpp
+++ b/tests/unit/coordination/migration/machine_transfers_test.cpp
@@ -78,7 +78,7 @@
         putSlice(made, made.slices[0]);
     }
     [[nodiscard]] rebalancing::HandoverRules rules() const {
-        return {0, {2, 0, 0}, settings_.transactionChanges, context.now(), 30s, 10s, true};
+        return {0, {2, 0, 0}, settings_.maxTransactionWrites, context.now(), 30s, 10s, true};
     }
     rebalancing::HandoverPlan planFor(const std::string& id) {
         return rebalancing::planHandover(*context.clusterState.lock(), id, rules());
@@ -247,7 +247,7 @@
 
 class FewTransferChanges : public TransferBench {
   protected:
-    FewTransferChanges() { settings_.transactionChanges = 4; }
+    FewTransferChanges() { settings_.maxTransactionWrites = 4; }
 };
 
 TEST_F(FewTransferChanges, WhatDoesNotFitIntoOneTransactionStays) {
--- a/tests/unit/coordination/replication/replication_fixture.h
+++ b/tests/unit/coordination/replication/replication_fixture.h
@@ -40,11 +40,11 @@
         config::Settings made;
         made.name = "node-0";
         made.peers = {{"node-1", "a", ""}, {"node-2", "a", ""}};
-        made.state = "state";
-        made.stateRequests = 100'000;
-        made.stateWrites = 100'000;
-        made.valueKb = valueKb;
-        made.transactionChanges = writes;
+        made.stateAddress = "state";
+        made.stateRequestsPerSecond = 100'000;
+        made.stateWritesPerSecond = 100'000;
+        made.maxValueKb = valueKb;
+        made.maxTransactionWrites = writes;
         return made;
     }
 
@@ -58,7 +58,7 @@
         job.spec.jobClass = "c";
         job.spec.team = "t";
         job.spec.tasks = tasks;
-        job.spec.each = {1, 0, 1};
+        job.spec.taskResources = {1, 0, 1};
         job.spec.image = "i";
         job.sliceSize = sliceSize;
         job.slices = storage::makeSlices(job.spec, sliceSize, 0);
--- a/tests/unit/coordination/workers/fault_attribution_test.cpp
+++ b/tests/unit/coordination/workers/fault_attribution_test.cpp
@@ -16,7 +16,7 @@
         job.spec.jobClass = "class";
         job.spec.team = "crew";
         job.spec.image = "image";
-        job.spec.each = {1, 0, 1};
+        job.spec.taskResources = {1, 0, 1};
         job.spec.tasks = 8;
         job.sliceSize = 4;
         job.slices = makeSlices(job.spec, 4, 0);
--- a/tests/unit/protocol/messages_test.cpp
+++ b/tests/unit/protocol/messages_test.cpp
@@ -18,7 +18,7 @@
     spec.kind = JobKind::gang;
     spec.priority = Priority::high;
     spec.tasks = 16;
-    spec.each = {8, 1, 64};
+    spec.taskResources = {8, 1, 64};
     spec.image = "img-07";
     spec.imageSize = 6.2;
     spec.types = {{"g8"}};
--- a/tests/unit/sim/checker_test.cpp
+++ b/tests/unit/sim/checker_test.cpp
@@ -12,7 +12,7 @@
         spec.id = "run-1";
         spec.team = "crew";
         spec.tasks = 3;
-        spec.each = {2, 0, 1};
+        spec.taskResources = {2, 0, 1};
         spec.types = {{"small"}};
         spec.zone = "a";
         checker.submitted(spec, Time(0));
@@ -165,7 +165,7 @@
 }
 TEST_F(Planted, TooManyInOneZone) {
     spec.id = "run-2";
-    spec.each = {0.5, 0, 1};
+    spec.taskResources = {0.5, 0, 1};
     spec.spread = true;
     checker.submitted(spec, Time(0));
     for (std::uint32_t task = 0; task < 3; ++task) checker.started("run-2", task, here, Time(1));
--- a/tests/unit/sim/history_digest_test.cpp
+++ b/tests/unit/sim/history_digest_test.cpp
@@ -28,7 +28,7 @@
         job.jobClass = "test";
         job.team = "crew";
         job.tasks = 1;
-        job.each = {cpus, 0, 1};
+        job.taskResources = {cpus, 0, 1};
         job.image = "img-1";
         job.imageSize = 1;
         job.estimate = Time(10);
--- a/tests/unit/sim/small_world.h
+++ b/tests/unit/sim/small_world.h
@@ -23,7 +23,7 @@
     job.jobClass = "test";
     job.team = "crew";
     job.tasks = 1;
-    job.each = {1, 0, 1};
+    job.taskResources = {1, 0, 1};
     job.image = "img";
     job.estimate = Time(5);
     return job;
--- a/tests/unit/storage/records_test.cpp
+++ b/tests/unit/storage/records_test.cpp
@@ -20,7 +20,7 @@
         job.spec.jobClass = "c";
         job.spec.team = "t";
         job.spec.tasks = tasks;
-        job.spec.each = {2, 0, 1};
+        job.spec.taskResources = {2, 0, 1};
         job.spec.image = "i";
         job.sliceSize = 4;
         job.slices = makeSlices(job.spec, 4, 1);
