--- a/src/protocol/adaptive_rate_limiter.cpp
+++ b/src/protocol/adaptive_rate_limiter.cpp
@@ -4,26 +4,26 @@
 
 namespace {
 
-constexpr double secondsBeforeGrowth = 1;  // seconds without a 429
-constexpr double growthPerSecond = 0.2;    // of the fair share
+constexpr double secondsBeforeGrowth = 1;        // time without a 429 before the rate grows
+constexpr double growthFractionPerSecond = 0.2;  // as a fraction of the fair rate
 constexpr double shrinkFactor = 0.8;
-constexpr double pauseAfterThrottle = 0.2;  // seconds
+constexpr double pauseSecondsAfterThrottle = 0.2;
 
 }  // namespace
 
-void AdaptiveRateLimiter::fill(double seconds, bool waiting) {
+void AdaptiveRateLimiter::refill(double seconds, bool waiting) {
     secondsSinceThrottled_ += seconds;
     if (waiting && secondsSinceThrottled_ > secondsBeforeGrowth)
-        rate_ = std::min(maxRate_, rate_ + fairRate_ * growthPerSecond * seconds);
+        rate_ = std::min(maxRate_, rate_ + fairRate_ * growthFractionPerSecond * seconds);
     else if (!waiting && rate_ > fairRate_)
-        rate_ = std::max(fairRate_, rate_ - fairRate_ * growthPerSecond * seconds);
+        rate_ = std::max(fairRate_, rate_ - fairRate_ * growthFractionPerSecond * seconds);
     tokens_ = std::min(tokens_ + seconds * rate_, std::max(1.0, rate_));
 }
 
 void AdaptiveRateLimiter::onThrottled() {
     secondsSinceThrottled_ = 0;
     rate_ = std::max(minRate_, rate_ * shrinkFactor);
-    tokens_ = std::min(tokens_, -rate_ * pauseAfterThrottle);
+    tokens_ = std::min(tokens_, -rate_ * pauseSecondsAfterThrottle);
 }
 
 }  // namespace fawnwheel::protocol
--- a/src/protocol/cbor.cpp
+++ b/src/protocol/cbor.cpp
@@ -8,34 +8,34 @@
 
 constexpr unsigned char breakByte = 0xff;
 
-// Checks the nesting of one CBOR value before the library sees it: the library parses containers
-// recursively, so a body of nothing but opening bytes could exhaust the stack.
+// Checks the nesting of one CBOR value before the library parses it. The library parses containers
+// recursively, so a body that consists only of container heads could exhaust the stack.
 class NestingCheck {
   public:
     explicit NestingCheck(const std::string& bytes) : bytes_(bytes) {}
 
-    // True if the value is complete and no deeper than `maxDepth`.
+    // True if the bytes are complete CBOR and nested no deeper than `maxDepth`.
     bool run() {
-        while (at_ < bytes_.size())
+        while (position_ < bytes_.size())
             if (!readItem() || open_.size() > maxDepth) return false;
         return open_.empty();
     }
 
   private:
     struct Container {
-        std::uint64_t left;
+        std::uint64_t remaining;
         bool indefinite;
     };
 
     bool readItem() {
-        const auto head = static_cast<unsigned char>(bytes_[at_++]);
+        const auto head = static_cast<unsigned char>(bytes_[position_++]);
         if (head == breakByte) return closeIndefinite();
-        const unsigned major = head >> 5U;
-        const unsigned minor = head & 31U;
-        std::uint64_t argument = minor;
-        if (!readArgument(minor, argument)) return false;
-        const bool indefinite = minor == 31;
-        switch (major) {
+        const unsigned majorType = head >> 5U;
+        const unsigned additionalInfo = head & 31U;
+        std::uint64_t argument = additionalInfo;
+        if (!readArgument(additionalInfo, argument)) return false;
+        const bool indefinite = additionalInfo == 31;
+        switch (majorType) {
             case 2:
             case 3:
                 return readString(argument, indefinite);
@@ -51,14 +51,14 @@
         }
     }
 
-    bool readArgument(unsigned minor, std::uint64_t& argument) {
-        if (minor < 24 || minor == 31) return true;
-        if (minor > 27) return false;
-        const std::size_t length = std::size_t{1} << (minor - 24U);
-        if (bytes_.size() - at_ < length) return false;
+    bool readArgument(unsigned additionalInfo, std::uint64_t& argument) {
+        if (additionalInfo < 24 || additionalInfo == 31) return true;
+        if (additionalInfo > 27) return false;
+        const std::size_t length = std::size_t{1} << (additionalInfo - 24U);
+        if (bytes_.size() - position_ < length) return false;
         argument = 0;
         for (std::size_t i = 0; i < length; ++i)
-            argument = (argument << 8U) | static_cast<unsigned char>(bytes_[at_++]);
+            argument = (argument << 8U) | static_cast<unsigned char>(bytes_[position_++]);
         return true;
     }
 
@@ -67,8 +67,8 @@
             open_.push_back({0, true});
             return true;
         }
-        if (length > bytes_.size() - at_) return false;
-        at_ += length;
+        if (length > bytes_.size() - position_) return false;
+        position_ += length;
         closeFilled();
         return true;
     }
@@ -91,14 +91,14 @@
         return true;
     }
 
-    // Counts an item as read, and closes the containers that it completes.
+    // Counts one item as read and closes the containers that this item completes.
     void closeFilled() {
-        while (!open_.empty() && !open_.back().indefinite && --open_.back().left == 0)
+        while (!open_.empty() && !open_.back().indefinite && --open_.back().remaining == 0)
             open_.pop_back();
     }
 
     const std::string& bytes_;
-    std::size_t at_ = 0;
+    std::size_t position_ = 0;
     std::vector<Container> open_;
 };
 
@@ -137,7 +137,7 @@
     const Json* found = member(map, field);
     if (found == nullptr) return fallback;
     if (found->is_number_unsigned()) return found->get<std::uint64_t>();
-    // Some encoders write whole numbers as signed or as floats.
+    // Some encoders write whole numbers as signed integers or as floats.
     if (found->is_number_integer() && found->get<std::int64_t>() >= 0)
         return static_cast<std::uint64_t>(found->get<std::int64_t>());
     if (found->is_number_float() && found->get<double>() >= 0 && found->get<double>() < 9e15)
--- a/src/protocol/cbor.h
+++ b/src/protocol/cbor.h
@@ -1,5 +1,5 @@
 /// @file
-/// CBOR bodies, on nlohmann::json; nothing here throws.
+/// CBOR encoding and decoding of message bodies, on nlohmann::json. No function here throws.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -10,12 +10,13 @@
 
 using Json = nlohmann::json;
 
-/// CBOR bytes of the value.
+/// Encodes the value as CBOR.
 std::string encodeCbor(const Json& value);
-/// Empty on anything that is not one well-formed, moderately nested CBOR value.
+/// Decodes one CBOR value; empty if the bytes are malformed or nested too deeply.
 std::optional<Json> decodeCbor(const std::string& bytes);
 
-/// Readers that fall back instead of failing: for messages from components we trust to be sane.
+/// Field readers that return the fallback if the field is missing or has another type. They are for
+/// messages from components that are trusted to send valid values.
 std::string textOf(const Json& map, const char* field, const std::string& fallback = {});
 double numberOf(const Json& map, const char* field, double fallback = 0.0);
 std::uint64_t countOf(const Json& map, const char* field, std::uint64_t fallback = 0);
--- a/src/protocol/cloud_client.cpp
+++ b/src/protocol/cloud_client.cpp
@@ -11,11 +11,11 @@
 using namespace std::chrono_literals;
 
 constexpr auto callTimeout = 5s;
-constexpr auto pumpPeriod = 50ms;
-constexpr double burstSeconds = 2;  // what the cloud allows
-constexpr int listPage = 500;
+constexpr auto sendRetryInterval = 50ms;
+constexpr double burstSeconds = 2;  // the cloud allows a burst of this many seconds' calls
+constexpr int listPageSize = 500;
 
-std::optional<Json> okBody(const std::optional<transport::HttpResponse>& response) {
+std::optional<Json> bodyIfOk(const std::optional<transport::HttpResponse>& response) {
     if (!response || response->status != 200) return std::nullopt;
     return decodeCbor(response->body);
 }
@@ -40,33 +40,33 @@
       address_(std::move(address)),
       rate_(callsPerSecond),
       tokens_(std::max(1.0, burstSeconds * callsPerSecond)),
-      filled_(timers.now()) {}
+      refilledAt_(timers.now()) {}
 
 void CloudClient::enqueue(transport::HttpRequest request, transport::HttpDone done) {
     queue_.push_back({std::move(request), std::move(done)});
-    if (!pumping_) pump();
+    if (!sending_) sendQueued();
 }
 
-void CloudClient::pump() {
-    pumping_ = true;
+void CloudClient::sendQueued() {
+    sending_ = true;
     const auto now = timers_.now();
-    tokens_ = std::min(tokens_ + Seconds(now - filled_).count() * rate_,
+    tokens_ = std::min(tokens_ + Seconds(now - refilledAt_).count() * rate_,
                        std::max(1.0, burstSeconds * rate_));
-    filled_ = now;
+    refilledAt_ = now;
     while (!queue_.empty() && tokens_ >= 1) {
         tokens_ -= 1;
         Call call = std::move(queue_.front());
         queue_.pop_front();
         network_.call(address_, std::move(call.request), callTimeout, std::move(call.done));
     }
-    pumping_ = !queue_.empty();
-    if (pumping_) timers_.after(pumpPeriod, [this] { pump(); });
+    sending_ = !queue_.empty();
+    if (sending_) timers_.after(sendRetryInterval, [this] { sendQueued(); });
 }
 
 void CloudClient::catalog(std::function<void(std::optional<std::vector<MachineType>>)> done) {
     enqueue({"GET", wire::pathCatalog, {}},
             [done = std::move(done)](const std::optional<transport::HttpResponse>& response) {
-                const auto body = okBody(response);
+                const auto body = bodyIfOk(response);
                 if (!body) return done(std::nullopt);
                 done(parseCatalog(*body));
             });
@@ -74,12 +74,12 @@
 
 void CloudClient::list(const std::string& after,
                        std::function<void(std::optional<CloudPage>)> done) {
-    std::string path =
-        std::string(wire::pathMachines) + "?" + wire::queryLimit + "=" + std::to_string(listPage);
+    std::string path = std::string(wire::pathMachines) + "?" + wire::queryLimit + "=" +
+                       std::to_string(listPageSize);
     if (!after.empty()) path += std::string("&") + wire::querySince + "=" + after;
     enqueue({"GET", std::move(path), {}},
             [done = std::move(done)](const std::optional<transport::HttpResponse>& response) {
-                const auto body = okBody(response);
+                const auto body = bodyIfOk(response);
                 if (!body) return done(std::nullopt);
                 done(parseCloudPage(*body));
             });
--- a/src/protocol/cloud_client.h
+++ b/src/protocol/cloud_client.h
@@ -1,5 +1,5 @@
 /// @file
-/// Client of the cloud, paced to this node's share of the call limit.
+/// Client of the cloud API, rate-limited to this node's share of the call limit.
 #pragma once
 
 #include <deque>
@@ -10,7 +10,8 @@
 
 namespace fawnwheel::protocol {
 
-/// Outcome of a provisioning call; `unknown`: no answer, so machines may have been started.
+/// Outcome of a provisioning call. `unknown` means that no response arrived, so machines may have
+/// been started.
 enum class ProvisioningResult { provisioned, noCapacity, failed, unknown };
 
 /// Asynchronous client of the cloud API. Calls are queued and sent in order at the given rate.
@@ -20,18 +21,19 @@
     CloudClient(transport::Timers& timers, transport::Network& network, std::string address,
                 double callsPerSecond);
 
-    /// Machine types on offer; empty: no usable answer.
+    /// Reads the machine types on offer; `done` gets none if there is no usable response.
     void catalog(std::function<void(std::optional<std::vector<MachineType>>)> done);
-    /// One page of this account's machines, those after the id `after`; empty: no answer.
+    /// Reads one page of this account's machines, in the order of ids and starting after the id
+    /// `after`; `done` gets none if there is no usable response.
     void list(const std::string& after, std::function<void(std::optional<CloudPage>)> done);
-    /// Requests `count` machines; `done` gets the ids of those provisioned.
+    /// Requests `count` machines; `done` gets the ids of the machines provisioned.
     void provision(const std::string& provisioningRequest, const std::string& type,
                    const std::string& zone, bool spot, int count,
                    std::function<void(ProvisioningResult, std::vector<std::string>)> done);
-    /// True: the machines and all on them are gone.
+    /// Releases machines; `done` gets true once the machines and everything on them are removed.
     void release(const std::vector<std::string>& machines, std::function<void(bool)> done);
 
-    /// Calls queued and not yet sent.
+    /// Number of calls queued and not yet sent.
     [[nodiscard]] std::size_t waiting() const { return queue_.size(); }
 
   private:
@@ -41,16 +43,16 @@
     };
 
     void enqueue(transport::HttpRequest request, transport::HttpDone done);
-    void pump();
+    void sendQueued();
 
     transport::Timers& timers_;
     transport::Network& network_;
     std::string address_;
     double rate_;
     double tokens_;
-    transport::SteadyTime filled_;
+    transport::SteadyTime refilledAt_;
     std::deque<Call> queue_;
-    bool pumping_ = false;
+    bool sending_ = false;
 };
 
 }  // namespace fawnwheel::protocol
--- a/src/protocol/messages.cpp
+++ b/src/protocol/messages.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 constexpr std::uint32_t maxTasks = 100'000;
-constexpr std::size_t maxText = 120;
+constexpr std::size_t maxTextLength = 120;
 constexpr double maxAmount = 1e9;
 
 template <typename Enum>
@@ -43,7 +43,7 @@
                             Word<ExitCause>{wire::causeUnknown, ExitCause::unknown}};
 
 template <typename Table, typename Enum>
-bool lookUp(const Table& table, const std::string& text, Enum& out) {
+bool parseWord(const Table& table, const std::string& text, Enum& out) {
     for (const auto& word : table) {
         if (text == word.text) {
             out = word.value;
@@ -60,7 +60,7 @@
     return "";
 }
 
-// Collects the first thing that is wrong with a description.
+// Reads the fields of a job description and keeps the first error found.
 class FieldReader {
   public:
     explicit FieldReader(const Json& map) : map_(map) {}
@@ -69,23 +69,24 @@
         const Json* found = find(field);
         if (found == nullptr || !found->is_string()) return fail(field), std::string();
         auto value = found->get<std::string>();
-        if ((value.empty() && !mayBeEmpty) || value.size() > maxText) fail(field);
+        if ((value.empty() && !mayBeEmpty) || value.size() > maxTextLength) fail(field);
         return value;
     }
-    double amount(const char* field, double least = 0.0) {
+    double amount(const char* field, double minimum = 0.0) {
         const Json* found = find(field);
         if (found == nullptr || !found->is_number()) return fail(field), 0.0;
         const auto value = found->get<double>();
-        if (!std::isfinite(value) || value < least || value > maxAmount) fail(field);
+        if (!std::isfinite(value) || value < minimum || value > maxAmount) fail(field);
         return value;
     }
-    std::uint32_t count(const char* field, std::uint32_t most) {
+    std::uint32_t count(const char* field, std::uint32_t maximum) {
         const double value = amount(field, 1.0);
-        if (value > most || value != std::floor(value)) return fail(field), 0U;
+        if (value > maximum || value != std::floor(value)) return fail(field), 0U;
         return static_cast<std::uint32_t>(value);
     }
     bool flag(const char* field) {
-        // Only what may be null may also be left out: jobs without one of these were once accepted.
+        // A flag may not be null, so leaving the flag out is an error too: only fields that may be
+        // null are optional. Otherwise jobs without a required flag would be accepted.
         const Json* found = find(field);
         if (found == nullptr || !found->is_boolean()) return fail(field), false;
         return found->get<bool>();
@@ -93,10 +94,10 @@
     template <typename Enum, typename Table>
     Enum word(const char* field, const Table& table) {
         Enum value{};
-        if (!lookUp(table, text(field), value)) fail(field);
+        if (!parseWord(table, text(field), value)) fail(field);
         return value;
     }
-    // Null and absent are the same.
+    // A null field counts as absent.
     const Json* find(const char* field) const {
         const auto found = map_.find(field);
         return found == map_.end() || found->is_null() ? nullptr : &*found;
@@ -124,7 +125,8 @@
 
 bool validJobId(const std::string& id) {
     const std::string_view prefix = wire::jobPrefix;
-    if (id.size() <= prefix.size() || id.size() > maxText || !id.starts_with(prefix)) return false;
+    if (id.size() <= prefix.size() || id.size() > maxTextLength || !id.starts_with(prefix))
+        return false;
     return std::all_of(
         id.begin() + static_cast<std::ptrdiff_t>(prefix.size()), id.end(),
         [](unsigned char c) { return std::isalnum(c) != 0 || c == '-' || c == '_'; });
@@ -132,16 +134,16 @@
 
 namespace {
 
-void readPredecessors(FieldReader& read, JobSpec& spec) {
+void readDependencies(FieldReader& read, JobSpec& spec) {
     const Json* list = read.find(wire::dependencies);
     if (list == nullptr) return;
     if (!list->is_array()) return read.fail(wire::dependencies);
-    std::set<std::string> named;
+    std::set<std::string> seen;
     for (const auto& entry : *list) {
         if (!entry.is_string() || !validJobId(entry.get_ref<const std::string&>()) ||
             entry.get_ref<const std::string&>() == spec.id)
             return read.fail(wire::dependencies);
-        if (named.insert(entry.get<std::string>()).second)
+        if (seen.insert(entry.get<std::string>()).second)
             spec.dependencies.push_back(entry.get<std::string>());
     }
 }
@@ -182,7 +184,7 @@
     spec.checkpointInterval = Seconds(read.amount(wire::checkpointInterval));
     spec.checkpointDuration = Seconds(read.amount(wire::checkpointDuration));
     if (read.find(wire::deadline) != nullptr) spec.deadline = Seconds(read.amount(wire::deadline));
-    readPredecessors(read, spec);
+    readDependencies(read, spec);
     if (!read.error().empty()) return read.error();
     return spec;
 }
@@ -230,13 +232,13 @@
         TaskStatus task;
         if (!splitTask(textOf(entry, wire::task), task.job, task.index)) return std::nullopt;
         task.attempt = countOf(entry, wire::attempt);
-        // A state we don't know must not count as an exit: taken as running.
-        lookUp(taskStates, textOf(entry, wire::state), task.state);
-        lookUp(causes, textOf(entry, wire::cause), task.cause);
+        // An unknown state keeps the default `running`, so that the task is not treated as exited.
+        parseWord(taskStates, textOf(entry, wire::state), task.state);
+        parseWord(causes, textOf(entry, wire::cause), task.cause);
         task.saved = flagOf(entry, wire::saved);
         heartbeat.tasks.push_back(std::move(task));
     }
-    if (heartbeat.machine.empty() || heartbeat.machine.size() > maxText ||
+    if (heartbeat.machine.empty() || heartbeat.machine.size() > maxTextLength ||
         heartbeat.machine.find_first_of(" /") != std::string::npos || heartbeat.agentEpoch == 0)
         return std::nullopt;
     return heartbeat;
--- a/src/protocol/messages.h
+++ b/src/protocol/messages.h
@@ -1,5 +1,5 @@
 /// @file
-/// Typed messages of users, workers and the cloud, with their validation.
+/// Typed messages exchanged with users, workers and the cloud, with their validation.
 #pragma once
 
 #include <chrono>
@@ -14,9 +14,9 @@
 
 using Seconds = std::chrono::duration<double>;
 
-/// How the tasks of a job relate: independent, all together (gang), or a service.
+/// Kind of a job: independent tasks, a gang whose tasks run all together, or a service.
 enum class JobKind { array, gang, service };
-/// Scheduling priority, the most urgent first.
+/// Scheduling priority, most urgent first.
 enum class Priority { production, high, normal, low };
 
 /// Amounts of resources that a task needs or a machine has.
@@ -42,7 +42,7 @@
                memory <= capacity.memory + slack;
     }
 
-    static constexpr double slack = 1e-9;  // sums of decimal amounts
+    static constexpr double slack = 1e-9;  // sums of decimal amounts have rounding errors
 };
 
 /// A job as submitted by a user.
@@ -56,7 +56,7 @@
     Resources taskResources;
     std::string image;
     double imageSize = 0;                           ///< GB
-    std::optional<std::vector<std::string>> types;  ///< allowed; none: any
+    std::optional<std::vector<std::string>> types;  ///< allowed machine types; none: any
     std::optional<std::string> zone;
     bool oneZone = false;
     bool spread = false;
@@ -65,17 +65,17 @@
     Seconds checkpointInterval{};
     Seconds checkpointDuration{};
     std::optional<Seconds> deadline;
-    std::vector<std::string> dependencies;  ///< jobs that have to be done first, each named once
+    std::vector<std::string> dependencies;  ///< jobs that must be done first; no duplicates
 };
 
-/// The job, or the reason why the submission is invalid.
+/// Returns the job, or the reason why the submission is invalid.
 std::variant<JobSpec, std::string> parseJobSpec(const Json& body);
 Json encodeJobSpec(const JobSpec& spec);
 bool validJobId(const std::string& id);
 
-/// State of a task as its worker reports it.
+/// State of a task as reported by its worker.
 enum class TaskState { fetching, waiting, running, saving, exited };
-/// Why a task ended, as its worker reports it.
+/// Why a task ended, as reported by its worker.
 enum class ExitCause {
     done,
     stopped,
@@ -93,11 +93,11 @@
     std::uint32_t index = 0;
     std::uint64_t attempt = 0;
     TaskState state = TaskState::running;
-    ExitCause cause = ExitCause::stopped;  ///< when exited
+    ExitCause cause = ExitCause::stopped;  ///< valid if `state` is `exited`
     bool saved = false;
 };
 
-/// Periodic message of the agent on a machine to the leader of its partition.
+/// Periodic message from the agent on a machine to the leader of the machine's partition.
 struct Heartbeat {
     std::string machine;
     std::string address;
@@ -111,10 +111,10 @@
     std::vector<TaskStatus> tasks;
 };
 
-/// Empty if the body is not a valid heartbeat.
+/// Parses a heartbeat; empty if the body is not a valid heartbeat.
 std::optional<Heartbeat> parseHeartbeat(const Json& body);
 
-/// What a worker is told to do with a task attempt.
+/// Action that a worker takes on a task attempt.
 enum class CommandKind { start, stop, forget };
 
 /// A command to a worker, for one task attempt.
@@ -126,31 +126,31 @@
     Seconds grace{};
 };
 
-/// Body of a heartbeat response: the fencing token and the commands to carry out.
+/// Body of a heartbeat response: the fencing token and the commands to execute.
 Json encodeCommands(std::uint64_t fencingToken, const std::vector<Command>& commands);
-/// Body of a redirect to the node that leads the partition; an empty name names nobody.
+/// Body of a redirect to the node that leads the partition; without a target if `node` is empty.
 Json encodeRedirect(const std::string& node);
 Json encodeJobState(const std::string& id, const char* state);
 Json encodeJobState(const std::string& id, const char* state, std::uint32_t done,
                     std::uint32_t running);
 
-/// A machine type of the cloud catalogue.
+/// A machine type of the cloud's catalog.
 struct MachineType {
     std::string name;
     Resources capacity;
-    double cacheSize = 0;
-    double fetchRate = 0.1;  ///< GB a second
-    double price = 0;        ///< an hour
+    double cacheSize = 0;    ///< GB
+    double fetchRate = 0.1;  ///< GB per second
+    double price = 0;        ///< per hour
     double spotPrice = 0;
     Seconds bootTime{};
     std::vector<std::string> zones;
 };
 
-/// Reads the cloud's catalogue of machine types.
+/// Parses the cloud's catalog of machine types.
 std::vector<MachineType> parseCatalog(const Json& body);
 Json encodeCatalog(const std::vector<MachineType>& types);
 
-/// State of a machine as the cloud lists it.
+/// State of a machine in the cloud's list.
 enum class CloudState { booting, running, failed };
 
 /// A machine in the cloud's list.
@@ -164,13 +164,13 @@
     Seconds age{};
 };
 
-/// One page of the cloud's machine list; `more`: further pages follow.
+/// One page of the cloud's machine list. `more` is true if further pages follow.
 struct CloudPage {
     std::vector<CloudMachine> machines;
     bool more = false;
 };
 
-/// Reads one page of the cloud's machine list.
+/// Parses one page of the cloud's machine list.
 CloudPage parseCloudPage(const Json& body);
 
 }  // namespace fawnwheel::protocol
--- a/src/protocol/names.h
+++ b/src/protocol/names.h
@@ -1,5 +1,5 @@
 /// @file
-/// The one table of the wire's own words. Everything else in the project uses the field's terms.
+/// The only table of the strings used in HTTP messages. The rest of the project uses the C++ names.
 #pragma once
 
 namespace fawnwheel::protocol::wire {
--- a/src/protocol/peer_codec.cpp
+++ b/src/protocol/peer_codec.cpp
@@ -8,10 +8,11 @@
 constexpr unsigned maxVarintBytes = 10;
 
 template <typename Visit>
-void fields(DemandEntry& entry, Visit visit);
+void visitFields(DemandEntry& entry, Visit visit);
 
-// One function a message lists its fields, for writing and reading alike.
-struct Write {
+// Each message has one `visitFields` function, which lists the message's visitFields for both
+// writing and reading. `FieldWriter` and `FieldReader` are the visitors.
+struct FieldWriter {
     VarintWriter& out;
     void operator()(std::uint64_t& v) { out.number(v); }
     void operator()(std::uint32_t& v) { out.number(v); }
@@ -27,30 +28,31 @@
     }
     void operator()(std::vector<DemandEntry>& v) {
         out.number(v.size());
-        for (auto& entry : v) fields(entry, *this);
+        for (auto& entry : v) visitFields(entry, *this);
     }
 };
 
-struct Read {
+struct FieldReader {
     VarintReader& in;
     void operator()(std::uint64_t& v) { v = in.number(); }
     void operator()(std::uint32_t& v) { v = static_cast<std::uint32_t>(in.number()); }
     void operator()(bool& v) { v = in.flag(); }
     void operator()(std::string& v) { v = in.text(); }
     void operator()(std::vector<std::string>& v) {
-        // Grows only with what the frame holds, whatever count it claims.
+        // The count is not trusted: the vector grows only by entries that the frame contains.
         for (auto left = in.number(); left > 0 && in.ok(); --left) v.push_back(in.text());
     }
     void operator()(std::vector<std::uint64_t>& v) {
         for (auto left = in.number(); left > 0 && in.ok(); --left) v.push_back(in.number());
     }
     void operator()(std::vector<DemandEntry>& v) {
-        for (auto left = in.number(); left > 0 && in.ok(); --left) fields(v.emplace_back(), *this);
+        for (auto left = in.number(); left > 0 && in.ok(); --left)
+            visitFields(v.emplace_back(), *this);
     }
 };
 
 template <typename Visit>
-void fields(PeerHeartbeat& m, Visit visit) {
+void visitFields(PeerHeartbeat& m, Visit visit) {
     visit(m.sentAt);
     visit(m.echo);
     visit(m.stateReachable);
@@ -66,7 +68,7 @@
     visit(m.cancelled);
 }
 template <typename Visit>
-void fields(MigrationRequest& m, Visit visit) {
+void visitFields(MigrationRequest& m, Visit visit) {
     visit(m.requestId);
     visit(m.partition);
     visit(m.job);
@@ -75,12 +77,12 @@
     visit(m.tasks);
 }
 template <typename Visit>
-void fields(MigrationResponse& m, Visit visit) {
+void visitFields(MigrationResponse& m, Visit visit) {
     visit(m.requestId);
     visit(m.accepted);
 }
 template <typename Visit>
-void fields(CapacityExhausted& m, Visit visit) {
+void visitFields(CapacityExhausted& m, Visit visit) {
     visit(m.type);
     visit(m.zone);
     visit(m.spot);
@@ -88,7 +90,7 @@
 }
 
 template <typename Visit>
-void fields(LoanRequest& m, Visit visit) {
+void visitFields(LoanRequest& m, Visit visit) {
     visit(m.lender);
     visit(m.borrower);
     visit(m.job);
@@ -97,19 +99,19 @@
 }
 
 template <typename Visit>
-void fields(QuotaRequest& m, Visit visit) {
+void visitFields(QuotaRequest& m, Visit visit) {
     visit(m.lender);
     visit(m.borrower);
     visit(m.job);
 }
 
 template <typename Visit>
-void fields(JobCompleted& m, Visit visit) {
+void visitFields(JobCompleted& m, Visit visit) {
     visit(m.job);
 }
 
 template <typename Visit>
-void fields(DemandEntry& entry, Visit visit) {
+void visitFields(DemandEntry& entry, Visit visit) {
     visit(entry.cpus);
     visit(entry.gpus);
     visit(entry.memory);
@@ -123,23 +125,23 @@
 }
 
 template <typename Visit>
-void fields(DemandUpdate& m, Visit visit) {
+void visitFields(DemandUpdate& m, Visit visit) {
     visit(m.partition);
     visit(m.demands);
 }
 
 template <typename Visit>
-void fields(LeaderHeartbeat& m, Visit visit) {
-    fields(m.status, visit);
+void visitFields(LeaderHeartbeat& m, Visit visit) {
+    visitFields(m.status, visit);
     visit(m.partitions);
     visit(m.terms);
 }
 
 template <std::size_t Index = 0>
-bool readKind(std::uint64_t kind, VarintReader& in, PeerMessage& out) {
+bool readMessage(std::uint64_t kind, VarintReader& in, PeerMessage& out) {
     if constexpr (Index < std::variant_size_v<PeerMessage>) {
-        if (kind != Index) return readKind<Index + 1>(kind, in, out);
-        fields(out.emplace<Index>(), Read{in});
+        if (kind != Index) return readMessage<Index + 1>(kind, in, out);
+        visitFields(out.emplace<Index>(), FieldReader{in});
         return true;
     } else {
         return false;
@@ -193,7 +195,7 @@
     out.number(envelope.message.index());
     out.text(envelope.sender);
     PeerMessage message = envelope.message;
-    std::visit([&out](auto& m) { fields(m, Write{out}); }, message);
+    std::visit([&out](auto& m) { visitFields(m, FieldWriter{out}); }, message);
     return out.finish();
 }
 
@@ -203,7 +205,7 @@
     const auto kind = in.number();
     PeerEnvelope envelope;
     envelope.sender = in.text();
-    if (!in.ok() || !readKind(kind, in, envelope.message) || !in.atEnd()) return std::nullopt;
+    if (!in.ok() || !readMessage(kind, in, envelope.message) || !in.atEnd()) return std::nullopt;
     return envelope;
 }
 
--- a/src/protocol/peer_codec.h
+++ b/src/protocol/peer_codec.h
@@ -1,6 +1,7 @@
 /// @file
-/// The codec between our own processes: a version byte, a kind byte, then varint fields. Bounded:
-/// a decoder never reads past the frame and never allocates more than the frame holds.
+/// Codec of the messages between nodes. A frame contains the codec version, the message kind and
+/// the sender, then the message's fields as varints. The decoder never reads past the frame and
+/// never allocates more than the frame contains.
 #pragma once
 
 #include <cstdint>
@@ -24,7 +25,7 @@
     std::string out_;
 };
 
-/// Reads varint-encoded fields. After malformed input `ok` is false and the reads return defaults.
+/// Reads varint-encoded fields. After malformed input, `ok` is false and all reads return defaults.
 class VarintReader {
   public:
     explicit VarintReader(std::string_view in) : in_(in) {}
@@ -39,44 +40,46 @@
     bool ok_ = true;
 };
 
-/// Sent at every heartbeat interval. The echo lets the receiver date what the sender says: it was
-/// said after the receiver's own clock showed `echo`.
+/// Sent to each peer at every heartbeat interval. The echo lets the receiver date the heartbeat on
+/// its own clock: the sender made the heartbeat after the receiver's clock showed `echo`.
 struct PeerHeartbeat {
     std::uint64_t sentAt = 0;  ///< sender's steady clock, microseconds
-    std::uint64_t echo = 0;    ///< receiver's `sentAt` as last heard
+    std::uint64_t echo = 0;    ///< last `sentAt` that the sender got from the receiver
     bool stateReachable = false;
     bool ready = false;
-    // Cancellations. The sender guarantees that all that it or an earlier incarnation of it has
-    // told any user until now is in the receiver's records, in what the receiver has acknowledged,
-    // or listed here; with `complete` nothing is left for the next message.
-    std::uint64_t incarnation = 0;  ///< of the sender: a new one for each start
+    // Cancellations. With `cancellationsCovered`, the sender guarantees that each cancellation that
+    // it or an earlier incarnation of it has confirmed to a user is in the receiver's records, is
+    // acknowledged by the receiver, or is in the list that starts in this message. With `complete`,
+    // the list ends in this message.
+    std::uint64_t incarnation = 0;  ///< of the sender's process; new at each start
     std::uint64_t applied = 0;      ///< the sender's records are complete up to this revision
-    std::uint64_t acknowledgedIncarnation = 0;  ///< the receiver's incarnation as last heard
-    std::uint64_t acknowledged = 0;             ///< position up to which the sender has its list
-    bool cancellationsCovered = false;          ///< the sender guarantees the above
+    std::uint64_t acknowledgedIncarnation = 0;  ///< last incarnation received from the receiver
+    std::uint64_t acknowledged = 0;     ///< position up to which the sender has the receiver's list
+    bool cancellationsCovered = false;  ///< the guarantee above holds
     bool complete = false;
-    std::uint64_t position = 0;          ///< of the list's first entry
-    std::uint64_t next = 0;              ///< after its last
-    std::vector<std::string> cancelled;  ///< jobs
+    std::uint64_t position = 0;          ///< position of the first entry of `cancelled`
+    std::uint64_t next = 0;              ///< position after the last entry of `cancelled`
+    std::vector<std::string> cancelled;  ///< job ids
 };
 
-/// "May I migrate these tasks to your partition?"
+/// Asks the leader of `partition` whether the tasks may migrate to that partition.
 struct MigrationRequest {
     std::uint64_t requestId = 0;
-    std::uint32_t partition = 0;  ///< the partition asked
+    std::uint32_t partition = 0;  ///< target partition
     std::string job;
     std::uint32_t slice = 0;
     bool wholeJob = false;
     std::uint32_t tasks = 0;
 };
 
-/// Answer to a `MigrationRequest`, matched by `requestId`.
+/// Response to the `MigrationRequest` with the same `requestId`.
 struct MigrationResponse {
     std::uint64_t requestId = 0;
     bool accepted = false;
 };
 
-/// "The cloud has no more machines of this kind": spares the peers the same call.
+/// Reports that the cloud has no more machines of this kind, so that the peers do not make the same
+/// call.
 struct CapacityExhausted {
     std::string type;
     std::string zone;
@@ -84,7 +87,8 @@
     std::uint64_t pauseMillis = 0;
 };
 
-/// "Lend my partition machines for this gang." The answer is the change of the machines' records.
+/// Asks the lender partition to lend machines to the borrower partition for a gang. There is no
+/// response message: the lender's leader changes the machines' records.
 struct LoanRequest {
     std::uint32_t lender = 0;  ///< partitions
     std::uint32_t borrower = 0;
@@ -93,15 +97,16 @@
     std::uint32_t machines = 0;
 };
 
-/// "Give my partition of what your partition does not use of its team's limit, for this job."
+/// Asks the lender partition to transfer unused quota of the job's team to the borrower partition,
+/// for this job.
 struct QuotaRequest {
     std::uint32_t lender = 0;  ///< partitions
     std::uint32_t borrower = 0;
     std::string job;
 };
 
-/// "This job has ended": the terminal record, which says how, may be read now. Unknown to the first
-/// version, which drops it.
+/// Reports that a job has ended. The receiver can then read the outcome in the terminal record. The
+/// first version of the software does not know this message and drops it.
 struct JobCompleted {
     std::string job;
 };
@@ -115,29 +120,29 @@
     std::string zone;                ///< empty: any
     bool spot = false;
     std::uint32_t tasks = 0;
-    bool indivisible = false;  ///< a gang: a part of its machines is of no use
+    bool indivisible = false;  ///< true for a gang, which cannot use a part of its machines
     std::uint32_t urgency = 0;
-    std::uint64_t since = 0;  ///< submission of the oldest job, milliseconds
+    std::uint64_t since = 0;  ///< submission time of the oldest job, milliseconds
 };
 
-/// "My partition lacks machines for this much", sent every round of planning, also when it lacks
-/// nothing: a partition that says nothing is given nothing. Unknown to versions without machine
-/// sharing.
+/// The demand for which a partition lacks machines. Its leader sends this message in each planning
+/// round, also if the partition lacks nothing, because a partition without an update gets no
+/// machines. Versions without machine sharing do not know this message.
 struct DemandUpdate {
     std::uint32_t partition = 0;
     std::vector<DemandEntry> demands;
 };
 
-/// A status with the partitions that its sender leads, each with its term: whoever thinks that it
-/// leads one of them in an earlier term has lost it. In place of `PeerHeartbeat` once every node
-/// knows it.
+/// A heartbeat with the partitions that the sender leads and their terms. A node that still claims
+/// one of these partitions in an earlier term has lost the leadership of that partition. Replaces
+/// `PeerHeartbeat` once all nodes support this message.
 struct LeaderHeartbeat {
     PeerHeartbeat status;
     std::vector<std::uint64_t> partitions;
-    std::vector<std::uint64_t> terms;  ///< by the same index
+    std::vector<std::uint64_t> terms;  ///< term of the partition at the same index
 };
 
-/// A message's place in this list is its kind on the wire: new ones come last.
+/// The index of an alternative is the message kind in the frame, so new messages are added last.
 using PeerMessage =
     std::variant<PeerHeartbeat, MigrationRequest, MigrationResponse, CapacityExhausted, LoanRequest,
                  QuotaRequest, JobCompleted, DemandUpdate, LeaderHeartbeat>;
@@ -148,9 +153,9 @@
     PeerMessage message;
 };
 
-/// Frame payload of the message.
+/// Encodes the message as the payload of a frame.
 std::string encodePeer(const PeerEnvelope& envelope);
-/// Empty if the frame is malformed or of an unknown version or kind.
+/// Decodes a frame; empty if the frame is malformed or of an unknown version or kind.
 std::optional<PeerEnvelope> decodePeer(std::string_view frame);
 
 }  // namespace fawnwheel::protocol
--- a/src/protocol/state_client.cpp
+++ b/src/protocol/state_client.cpp
@@ -12,14 +12,15 @@
 
 constexpr auto requestTimeout = 1500ms;
 constexpr auto leaseTimeout = 1000ms;
-constexpr auto pumpPeriod = 10ms;
-// What waits longer than this is refused here: its caller decides anew.
-constexpr auto longestWait = 1500ms;
-constexpr std::size_t rangePage = 200;
-constexpr auto leasePause = 100ms;  // calls that need no share wait this long after a 429
-constexpr int failuresUntilLost = 2;
+constexpr auto sendRetryInterval = 10ms;
+// A request queued for longer than this, except a `write`, is refused by the client, so that the
+// caller can decide again.
+constexpr auto maxQueueTime = 1500ms;
+constexpr std::size_t rangePageSize = 200;
+constexpr auto urgentPause = 100ms;  // pause of lease and user requests after a 429
+constexpr int failuresUntilUnreachable = 2;
 
-StateResult plainResult(const std::optional<transport::HttpResponse>& response) {
+StateResult resultFromStatus(const std::optional<transport::HttpResponse>& response) {
     if (!response) return StateResult::unknown;
     switch (response->status) {
         case 200:
@@ -55,7 +56,7 @@
 
 CompareAndSwapResponse parseTransactionResponse(const Response& response) {
     CompareAndSwapResponse answer;
-    answer.result = plainResult(response);
+    answer.result = resultFromStatus(response);
     const auto map = bodyOf(response);
     if (!map) return answer;
     answer.revision = countOf(*map, wire::revision);
@@ -66,7 +67,7 @@
 
 ReadResponse parseReadResponse(const Response& response) {
     ReadResponse answer;
-    answer.result = plainResult(response);
+    answer.result = resultFromStatus(response);
     const auto map = bodyOf(response);
     if (answer.result == StateResult::ok) {
         if (map)
@@ -82,7 +83,7 @@
 
 ReadResponse parseRangeResponse(const Response& response) {
     ReadResponse answer;
-    answer.result = plainResult(response);
+    answer.result = resultFromStatus(response);
     const auto map = bodyOf(response);
     if (answer.result == StateResult::ok && !map) answer.result = StateResult::unknown;
     if (answer.result != StateResult::ok) return answer;
@@ -105,7 +106,7 @@
 
 WatchResponse parseWatchResponse(const Response& response) {
     WatchResponse answer;
-    answer.result = plainResult(response);
+    answer.result = resultFromStatus(response);
     answer.tooOld = response && response->status == 410;
     const auto map = bodyOf(response);
     if (answer.result == StateResult::ok && !map) answer.result = StateResult::unknown;
@@ -141,10 +142,10 @@
       address_(std::move(address)),
       requests_(limits.requestsPerSecond, limits.nodes),
       writes_(limits.writesPerSecond, limits.nodes),
-      filled_(timers.now()),
+      refilledAt_(timers.now()),
       lastContact_(timers.now()) {
-    requests_.fill(1, false);
-    writes_.fill(1, false);
+    requests_.refill(1, false);
+    writes_.refill(1, false);
 }
 
 std::size_t StateClient::waiting() const {
@@ -157,34 +158,35 @@
     call.queued = timers_.now();
     call.priority = priority;
     queues_[static_cast<std::size_t>(priority)].push_back(std::move(call));
-    if (!pumping_) pump();
+    if (!sending_) sendQueued();
 }
 
-void StateClient::pump() {
-    pumping_ = true;
+void StateClient::sendQueued() {
+    sending_ = true;
     const auto now = timers_.now();
-    const double seconds = std::chrono::duration<double>(now - filled_).count();
-    filled_ = now;
+    const double seconds = std::chrono::duration<double>(now - refilledAt_).count();
+    refilledAt_ = now;
     const bool waiting = this->waiting() > 0;
-    requests_.fill(seconds, waiting);
-    writes_.fill(seconds, waiting);
+    requests_.refill(seconds, waiting);
+    writes_.refill(seconds, waiting);
     for (auto& queue : queues_) {
         while (!queue.empty()) {
             Call& call = queue.front();
             if (now < urgentNotBefore_ && call.priority <= RequestPriority::userRequest) break;
-            // A submission is one small write: it goes on credit rather than behind the records.
+            // A user request is one small write. It is sent on credit and does not wait behind the
+            // records.
             const bool paced = call.writes > 0 && call.priority != RequestPriority::userRequest;
             if (call.priority != RequestPriority::lease &&
                 (!requests_.allows(1) || (paced && !writes_.allows(call.writes)))) {
-                // What a partition's leader records has to be carried out sooner or later: refused
-                // here it went to the end of the line again and again, and hardly anything was
-                // written.
-                if (call.priority == RequestPriority::write || now - call.queued < longestWait)
+                // The leader's writes must be executed eventually, so the client does not refuse
+                // them. A refused write would rejoin the queue at its end every time, and hardly
+                // any write would be executed.
+                if (call.priority == RequestPriority::write || now - call.queued < maxQueueTime)
                     break;
-                // Never sent, so definitely not carried out.
-                Call late = std::move(call);
+                // The request was never sent, so it was definitely not executed.
+                Call expired = std::move(call);
                 queue.pop_front();
-                late.done(transport::HttpResponse{503, {}, 0});
+                expired.done(transport::HttpResponse{503, {}, 0});
                 continue;
             }
             requests_.consume(1);
@@ -194,40 +196,41 @@
             send(std::move(ready));
         }
     }
-    pumping_ = false;
-    if (this->waiting() > 0) pumpLater();
+    sending_ = false;
+    if (this->waiting() > 0) scheduleSendQueued();
 }
 
-void StateClient::pumpLater() {
-    if (pumping_) return;
-    pumping_ = true;
-    timers_.after(pumpPeriod, [this] { pump(); });
+void StateClient::scheduleSendQueued() {
+    if (sending_) return;
+    sending_ = true;
+    timers_.after(sendRetryInterval, [this] { sendQueued(); });
 }
 
 void StateClient::send(Call call) {
-    auto again = std::make_shared<Call>(std::move(call));
-    network_.call(
-        address_, again->request, again->timeout,
-        [this, again](std::optional<transport::HttpResponse> r) {
-            recordAnswer(r);
-            if (r && r->status == 429) {
-                // Not carried out: it goes first as soon as it may. Sent again at once,
-                // the acquisitions of partitions at the start used up what the service allows.
-                urgentNotBefore_ = timers_.now() + leasePause;
-                (again->writes > 0 ? writes_ : requests_).onThrottled();
-                queues_[static_cast<std::size_t>(again->priority)].push_front(std::move(*again));
-                return pumpLater();
-            }
-            again->done(std::move(r));
-        });
+    auto pending = std::make_shared<Call>(std::move(call));
+    network_.call(address_, pending->request, pending->timeout,
+                  [this, pending](std::optional<transport::HttpResponse> r) {
+                      updateReachability(r);
+                      if (r && r->status == 429) {
+                          // The request was not executed, so it is sent again before all others,
+                          // but only after a pause. Without the pause, the partition acquisitions
+                          // at startup use up the service's limits.
+                          urgentNotBefore_ = timers_.now() + urgentPause;
+                          (pending->writes > 0 ? writes_ : requests_).onThrottled();
+                          queues_[static_cast<std::size_t>(pending->priority)].push_front(
+                              std::move(*pending));
+                          return scheduleSendQueued();
+                      }
+                      pending->done(std::move(r));
+                  });
 }
 
-void StateClient::recordAnswer(const std::optional<transport::HttpResponse>& response) {
+void StateClient::updateReachability(const std::optional<transport::HttpResponse>& response) {
     if (response && response->status != 503) {
         lastContact_ = timers_.now();
         failures_ = 0;
         reachable_ = true;
-    } else if (++failures_ >= failuresUntilLost) {
+    } else if (++failures_ >= failuresUntilUnreachable) {
         reachable_ = false;
     }
 }
@@ -259,7 +262,7 @@
 void StateClient::readRange(const std::string& prefix, const std::string& after,
                             std::function<void(ReadResponse)> done) {
     std::string path = std::string(wire::pathKeys) + "?" + wire::queryPrefix + "=" + prefix + "&" +
-                       wire::queryLimit + "=" + std::to_string(rangePage);
+                       wire::queryLimit + "=" + std::to_string(rangePageSize);
     if (!after.empty()) path += std::string("&") + wire::querySince + "=" + after;
     enqueue(RequestPriority::read, {{"GET", std::move(path), {}},
                                     requestTimeout,
@@ -308,7 +311,7 @@
              0,
              {},
              [done = std::move(done)](const std::optional<transport::HttpResponse>& response) {
-                 done(plainResult(response));
+                 done(resultFromStatus(response));
              }});
 }
 
--- a/src/protocol/state_client.h
+++ b/src/protocol/state_client.h
@@ -1,9 +1,10 @@
 /// @file
-/// Client of the state service. Paces itself, with lease renewals first, and keeps an answer apart
-/// from no answer: a request without one may have been carried out, or may yet be.
+/// Client of the state service. The client limits its own request rate, sends lease renewals first,
+/// and distinguishes a failure from a missing response: a request without a response may have been
+/// executed, or may still be.
 ///
-/// Load is uneven between nodes, so what one may send adjusts itself: it begins at an even share of
-/// the service's limits, grows while calls wait, and shrinks when the service says 429.
+/// Load is uneven between nodes, so each client adapts its rate: the rate starts at an equal share
+/// of the service's limits, grows while calls are queued, and shrinks when the service answers 429.
 #pragma once
 
 #include <algorithm>
@@ -20,20 +21,20 @@
 
 namespace fawnwheel::protocol {
 
-/// Condition of a transaction: the key has this version.
+/// Condition of a transaction: the key must have this version.
 struct Compare {
     std::string key;
-    std::uint64_t version = 0;  ///< 0: must not exist
+    std::uint64_t version = 0;  ///< 0: the key must not exist
 };
 
 /// Change of a transaction: sets or deletes a key.
 struct Write {
     std::string key;
-    std::optional<Json> value;  ///< none: delete
-    std::uint64_t lease = 0;    ///< 0: attached to none
+    std::optional<Json> value;  ///< none: the key is deleted
+    std::uint64_t lease = 0;    ///< lease to which the key is attached; 0: none
 };
 
-/// Multi-key transaction: all writes are applied if all compares hold, else none.
+/// Multi-key transaction: the writes are applied if all compares hold; otherwise none is applied.
 struct CompareAndSwap {
     std::vector<Compare> compares;
     std::vector<Write> writes;
@@ -41,11 +42,11 @@
 
 /// Outcome of a request to the state service.
 enum class StateResult {
-    ok,           ///< carried out
-    conflict,     ///< definitely not carried out: a compare failed
-    notExecuted,  ///< definitely not carried out (outage, over the limit, gone)
-    rejected,  ///< definitely not carried out, nor will it be: malformed, too large, or lease over
-    unknown,   ///< may have been carried out or may yet be
+    ok,           ///< executed
+    conflict,     ///< definitely not executed: a compare failed, or the key or lease does not exist
+    notExecuted,  ///< definitely not executed: outage, rate limit, or revision too old
+    rejected,  ///< definitely not executed, nor on a retry: malformed, too large, or lease expired
+    unknown,   ///< may have been executed, or may still be
 };
 
 /// Outcome of a transaction; `failed` lists the keys whose compare failed.
@@ -62,22 +63,23 @@
     std::uint64_t version = 0;
 };
 
-/// Answer to a read of one key or of a range; `more`: the range continues.
+/// Response to a read of one key or of a range. `more` is true if the range continues.
 struct ReadResponse {
     StateResult result = StateResult::unknown;
-    std::vector<Item> items;  ///< a single read: empty if there is no such key
+    std::vector<Item> items;  ///< empty after a read of one key that does not exist
     bool more = false;
     std::uint64_t revision = 0;
 };
 
-/// Change of a key, as a watch delivers it.
+/// Change of a key, as delivered by a watch.
 struct Event {
     std::string key;
-    std::optional<Json> value;  ///< none: deleted
+    std::optional<Json> value;  ///< none: the key was deleted
     std::uint64_t version = 0;
 };
 
-/// Answer to a watch; `tooOld`: the start revision was no longer kept, read the range again.
+/// Response to a watch. `tooOld` means that the service no longer keeps the start revision, so the
+/// caller must read the range again.
 struct WatchResponse {
     StateResult result = StateResult::unknown;
     bool tooOld = false;
@@ -85,13 +87,13 @@
     std::uint64_t revision = 0;
 };
 
-/// Order in which queued requests are sent. Users wait for `userRequest`; `write` is what the
-/// leader of a partition records.
+/// Priority of queued requests, first to last. `userRequest` is a request that a user waits for;
+/// `write` is a change of records by a partition's leader.
 enum class RequestPriority { lease, userRequest, write, read };
 
-/// Limits of the state service, and the number of nodes that divide them.
+/// Limits of the state service, and the number of nodes that share them.
 struct StateLimits {
-    double requestsPerSecond = 60;  ///< of the service, for all nodes
+    double requestsPerSecond = 60;  ///< limit for all nodes together
     double writesPerSecond = 20;
     double nodes = 1;
 };
@@ -103,29 +105,30 @@
     StateClient(transport::Timers& timers, transport::Network& network, std::string address,
                 StateLimits limits);
 
-    /// Sends a transaction; `done` gets its outcome exactly once.
+    /// Sends a transaction. `done` is called exactly once, with the outcome.
     void transact(CompareAndSwap transaction, RequestPriority priority,
                   std::function<void(CompareAndSwapResponse)> done);
-    /// Reads one key; a key that does not exist is `ok` without items.
+    /// Reads one key. If the key does not exist, the result is `ok` without items.
     void read(const std::string& key, std::function<void(ReadResponse)> done,
               RequestPriority priority = RequestPriority::read);
-    /// Reads one page of the keys with `prefix`, those that follow `after`.
+    /// Reads one page of the keys with `prefix`, starting after the key `after`.
     void readRange(const std::string& prefix, const std::string& after,
                    std::function<void(ReadResponse)> done);
     /// Long poll for changes under `prefix` after revision `since`, for at most `wait`.
     void watch(const std::string& prefix, std::uint64_t since, transport::Duration wait,
                std::function<void(WatchResponse)> done);
-    /// Creates a lease; `done` gets its number, 0 if none was granted.
+    /// Creates a lease. `done` gets the lease's number, or 0 if none was granted.
     void grantLease(transport::Duration ttl, std::function<void(std::uint64_t)> done);
     /// Extends a lease by its time to live.
     void renewLease(std::uint64_t lease, std::function<void(StateResult)> done);
 
-    /// When the service last answered anything but an outage, and whether it seems reachable.
+    /// Time of the service's last response other than 503 (outage), and whether the service seems
+    /// reachable.
     [[nodiscard]] transport::SteadyTime lastContact() const { return lastContact_; }
     [[nodiscard]] bool reachable() const { return reachable_; }
-    /// Requests queued and not yet sent.
+    /// Number of requests queued and not yet sent.
     [[nodiscard]] std::size_t waiting() const;
-    /// Changes a second that the service has been seen to take from this node.
+    /// Writes per second that this node may send, adapted to what the service accepts.
     [[nodiscard]] double writeRate() const { return writes_.rate(); }
 
   private:
@@ -139,10 +142,10 @@
     };
 
     void enqueue(RequestPriority priority, Call call);
-    void pump();
-    void pumpLater();
+    void sendQueued();
+    void scheduleSendQueued();
     void send(Call call);
-    void recordAnswer(const std::optional<transport::HttpResponse>& response);
+    void updateReachability(const std::optional<transport::HttpResponse>& response);
 
     transport::Timers& timers_;
     transport::Network& network_;
@@ -150,12 +153,12 @@
     std::array<std::deque<Call>, 4> queues_;
     AdaptiveRateLimiter requests_;
     AdaptiveRateLimiter writes_;
-    transport::SteadyTime filled_;
+    transport::SteadyTime refilledAt_;
     transport::SteadyTime urgentNotBefore_{};
     transport::SteadyTime lastContact_;
     bool reachable_ = false;
     int failures_ = 0;
-    bool pumping_ = false;
+    bool sending_ = false;
 };
 
 }  // namespace fawnwheel::protocol
--- a/tests/unit/protocol/messages_test.cpp
+++ b/tests/unit/protocol/messages_test.cpp
@@ -10,7 +10,7 @@
 namespace fawnwheel::protocol {
 namespace {
 
-Json goodJob() {
+Json validJob() {
     JobSpec spec;
     spec.id = "run-000412";
     spec.jobClass = "train";
@@ -32,15 +32,18 @@
     return std::holds_alternative<JobSpec>(parseJobSpec(body));
 }
 
+// Encoding a parsed job must not lose or change a field.
 TEST(JobSpec, RoundTrips) {
-    const auto parsed = std::get<JobSpec>(parseJobSpec(goodJob()));
-    EXPECT_EQ(encodeJobSpec(parsed), goodJob());
+    const auto parsed = std::get<JobSpec>(parseJobSpec(validJob()));
+    EXPECT_EQ(encodeJobSpec(parsed), validJob());
     EXPECT_EQ(parsed.tasks, 16U);
     EXPECT_EQ(parsed.deadline, Seconds(900));
 }
 
-TEST(JobSpec, TakesNullAbsentAndUnknownFieldsAlike) {
-    auto body = goodJob();
+// A client may send an optional field as null, leave it out, or add fields that this version does
+// not know. Each of these submissions must be accepted.
+TEST(JobSpec, AcceptsNullAbsentAndUnknownFields) {
+    auto body = validJob();
     body[wire::zone] = nullptr;
     body[wire::types] = nullptr;
     body["surprise"] = {1, 2, 3};
@@ -49,12 +52,13 @@
     EXPECT_TRUE(accepted(body));
 }
 
-TEST(JobSpec, RefusesWhatIsMissingIllTypedOrOutOfRange) {
+// A submission with a missing, mistyped or out-of-range field must not become a job.
+TEST(JobSpec, RejectsMissingMistypedAndOutOfRangeFields) {
     for (const auto* field :
          {wire::id, wire::jobClass, wire::team, wire::kind, wire::priority, wire::tasks, wire::cpus,
           wire::gpus, wire::memory, wire::image, wire::imageSize, wire::oneZone, wire::spread,
           wire::spot, wire::estimate, wire::checkpointInterval, wire::checkpointDuration}) {
-        auto body = goodJob();
+        auto body = validJob();
         body.erase(field);
         EXPECT_FALSE(accepted(body)) << field;
         body[field] = Json::array();
@@ -68,7 +72,7 @@
         {wire::types, "g8"},      {wire::types, {1}},    {wire::spot, "yes"},
         {wire::deadline, "soon"}};
     for (const auto& [field, value] : bad) {
-        auto body = goodJob();
+        auto body = validJob();
         body[field] = value;
         EXPECT_FALSE(accepted(body)) << field << " " << value;
     }
@@ -76,11 +80,13 @@
     EXPECT_FALSE(accepted(Json("text")));
 }
 
-TEST(Cbor, SurvivesDamageAndDepth) {
+// Damaged bytes must not crash the decoder or the parsers. Deep nesting and a huge claimed length
+// must be refused, because they could exhaust the stack or the memory.
+TEST(Cbor, RejectsMalformedAndDeeplyNestedInput) {
     std::mt19937 rng(7);
-    const auto good = encodeCbor(goodJob());
+    const auto valid = encodeCbor(validJob());
     for (int i = 0; i < 20'000; ++i) {
-        auto bytes = good;
+        auto bytes = valid;
         for (int j = 0; j < 3; ++j) bytes[rng() % bytes.size()] = static_cast<char>(rng());
         if (rng() % 4 == 0) bytes.resize(rng() % bytes.size());
         if (const auto decoded = decodeCbor(bytes)) {
@@ -92,10 +98,11 @@
     EXPECT_FALSE(decodeCbor(std::string(60'000, '\x9f')));
     EXPECT_FALSE(decodeCbor("\xbb\xff\xff\xff\xff\xff\xff\xff\xff"));
     EXPECT_FALSE(decodeCbor(""));
-    EXPECT_TRUE(decodeCbor(good));
+    EXPECT_TRUE(decodeCbor(valid));
 }
 
-TEST(Heartbeat, ReadsTasksAndRefusesBadNames) {
+// A heartbeat with a malformed task or machine name must be refused as a whole.
+TEST(Heartbeat, ParsesTasksAndRejectsMalformedNames) {
     Json body{{wire::machine, "m-1"},
               {wire::agentEpoch, 2},
               {wire::sequence, 9},
--- a/tests/unit/protocol/peer_codec_test.cpp
+++ b/tests/unit/protocol/peer_codec_test.cpp
@@ -15,7 +15,9 @@
     return std::get<Message>(decoded->message);
 }
 
-TEST(PeerCodec, CarriesEveryField) {
+// Each field of each message must survive encoding and decoding; a field missing from the visitor
+// would be lost.
+TEST(PeerCodec, RoundTripsEveryField) {
     const auto status = roundTrip(PeerHeartbeat{
         ~0ULL, 127, true, false, 9, 10, 11, 12, true, false, 13, 15, {"run-4", "run-5"}});
     EXPECT_EQ(status.sentAt, ~0ULL);
@@ -77,7 +79,8 @@
     EXPECT_EQ(leader.terms, (std::vector<std::uint64_t>{70, 71}));
 }
 
-TEST(PeerCodec, RefusesOtherVersionsKindsAndTrailingBytes) {
+// A frame of an unknown version or kind, with trailing bytes or cut short must not be decoded.
+TEST(PeerCodec, RejectsUnknownVersionsKindsTruncationAndTrailingBytes) {
     auto frame = encodePeer({"n", MigrationResponse{1, true}});
     auto other = frame;
     other[0] = 9;
@@ -91,15 +94,18 @@
         EXPECT_FALSE(decodePeer(frame.substr(0, length)));
 }
 
-TEST(PeerCodec, RefusesOverlongVarints) {
+// A varint that does not fit into 64 bits must be refused.
+TEST(PeerCodec, RejectsOverlongVarints) {
     VarintReader reader("\xff\xff\xff\xff\xff\xff\xff\xff\xff\x7f");
     reader.number();
     EXPECT_FALSE(reader.ok());
 }
 
-TEST(PeerCodec, ListsTakeNoMoreThanTheFrameHolds) {
+// A list whose claimed length exceeds the frame must be refused; allocating the claimed length
+// would exhaust the memory.
+TEST(PeerCodec, RejectsListsLongerThanTheFrame) {
     auto frame = encodePeer({"n", PeerHeartbeat{}});
-    frame.back() = '\x7f';  // the list's length
+    frame.back() = '\x7f';  // the length of the list
     EXPECT_FALSE(decodePeer(frame));
     auto demands = encodePeer({"n", DemandUpdate{}});
     demands.back() = '\x7f';
@@ -108,13 +114,14 @@
     EXPECT_FALSE(decodePeer(frame + "\xff\xff\xff\xff\xff\xff\xff\xff\xff\x01"));
 }
 
-TEST(PeerCodec, SurvivesRandomAndDamagedFrames) {
+// Random and damaged frames must not crash the decoder or make it read past the frame.
+TEST(PeerCodec, HandlesRandomAndDamagedFrames) {
     std::mt19937 rng(42);
-    const std::vector<std::string> good{
+    const std::vector<std::string> valid{
         encodePeer({"node-1", MigrationRequest{300, 2, "run-1", 7, true, 5}}),
         encodePeer({"node-1", DemandUpdate{1, {{1, 2, 3, {"g8"}, "a", true, 4, true, 5, 6}}}})};
     for (int i = 0; i < 40'000; ++i) {
-        std::string frame = good[static_cast<std::size_t>(i / 2 % 2)];
+        std::string frame = valid[static_cast<std::size_t>(i / 2 % 2)];
         if (i % 2 == 0) frame.resize(rng() % 64);
         for (auto& c : frame)
             if (i % 2 == 0 || rng() % 8 == 0) c = static_cast<char>(rng());
