--- a/src/config/operator_settings.cpp
+++ b/src/config/operator_settings.cpp
@@ -1,4 +1,4 @@
-// The operators' INI file, read with inih.
+// Parses the operators' INI file with inih.
 #include <ini.h>
 
 #include <charconv>
@@ -24,7 +24,7 @@
 using Setter =
     std::function<void(OperatorSettings&, const std::string& field, const std::string& value)>;
 
-// Where a value belongs: a field of the settings, or of one of their sections.
+// Selects the field that stores a value: a field of the settings or of one of their sections.
 template <typename Value>
 using Field = std::function<Value&(OperatorSettings&)>;
 
@@ -90,13 +90,13 @@
     return all;
 }
 
-struct Parse {
+struct ParseState {
     OperatorSettings settings;
     std::string error;
 };
 
 int onEntry(void* user, const char* section, const char* name, const char* value) {
-    auto& parse = *static_cast<Parse*>(user);
+    auto& parse = *static_cast<ParseState*>(user);
     if (!parse.error.empty()) return 0;
     const std::string field = std::string(section) + "." + name;
     const auto found = setters().find(field);
@@ -116,7 +116,7 @@
 }  // namespace
 
 OperatorSettings parseOperatorSettings(const std::string& text) {
-    Parse parse;
+    ParseState parse;
     const int line = ini_parse_string(text.c_str(), onEntry, &parse);
     if (!parse.error.empty()) throw SettingsError(parse.error);
     if (line != 0) throw SettingsError("operator settings: line " + std::to_string(line));
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -20,7 +20,7 @@
     return text.str();
 }
 
-// One map of the file; names fields by their full path in errors.
+// One map of the settings file. Errors name each field by its full path.
 class Section {
   public:
     Section(const Json& map, std::string path) : map_(map), path_(std::move(path)) {
@@ -29,14 +29,14 @@
     [[nodiscard]] std::string text(const char* field) const {
         const Json& value = required(field);
         if (!value.is_string() || value.get_ref<const std::string&>().empty())
-            throw SettingsError(name(field) + ": must be a text");
+            throw SettingsError(fieldPath(field) + ": must be a text");
         return value.get<std::string>();
     }
     void number(const char* field, double& out, double minValue) const {
         const Json* value = optional(field);
         if (value == nullptr) return;
         if (!value->is_number() || !(value->get<double>() >= minValue))
-            throw SettingsError(name(field) + ": must be a number of at least " +
+            throw SettingsError(fieldPath(field) + ": must be a number of at least " +
                                 Json(minValue).dump());
         out = value->get<double>();
     }
@@ -53,15 +53,15 @@
     [[nodiscard]] Section section(const char* field) const {
         static const Json empty = Json::object();
         const Json* value = optional(field);
-        return {value == nullptr ? empty : *value, name(field)};
+        return {value == nullptr ? empty : *value, fieldPath(field)};
     }
     [[nodiscard]] std::vector<Section> list(const char* field) const {
         std::vector<Section> out;
         const Json* value = optional(field);
         if (value == nullptr) return out;
-        if (!value->is_array()) throw SettingsError(name(field) + ": must be a list");
+        if (!value->is_array()) throw SettingsError(fieldPath(field) + ": must be a list");
         for (std::size_t i = 0; i < value->size(); ++i)
-            out.emplace_back((*value)[i], name(field) + "[" + std::to_string(i) + "]");
+            out.emplace_back((*value)[i], fieldPath(field) + "[" + std::to_string(i) + "]");
         return out;
     }
 
@@ -72,10 +72,10 @@
     }
     [[nodiscard]] const Json& required(const char* field) const {
         const Json* value = optional(field);
-        if (value == nullptr) throw SettingsError(name(field) + ": is missing");
+        if (value == nullptr) throw SettingsError(fieldPath(field) + ": is missing");
         return *value;
     }
-    [[nodiscard]] std::string name(const char* field) const {
+    [[nodiscard]] std::string fieldPath(const char* field) const {
         return path_.empty() ? field : path_ + "." + field;
     }
 
@@ -83,25 +83,27 @@
     std::string path_;
 };
 
-ObjectiveKind objectiveKind(const std::string& word) {
+ObjectiveKind parseObjectiveKind(const std::string& word) {
     if (word == "wait") return ObjectiveKind::wait;
     if (word == "finished") return ObjectiveKind::finished;
     if (word == "deadline") return ObjectiveKind::deadline;
     return ObjectiveKind::other;
 }
 
-// The limits that the state service will have from an unknown moment on: everything is written for
-// the smaller of both from the start, so that the change is never noticed.
+// Applies the limits that the state service will have after an unknown time. For each limit, the
+// smaller of the present and the next value applies from the start, so that all records fit both
+// and the change has no effect.
 void applyNextLimits(const Section& next, Settings& s) {
-    Settings later = s;
-    next.number("rps", later.stateRequestsPerSecond, 1);
-    next.number("write_rps", later.stateWritesPerSecond, 1);
-    next.number("value_kb", later.maxValueKb, 1);
-    next.count("txn_ops", later.maxTransactionWrites);
-    s.stateRequestsPerSecond = std::min(s.stateRequestsPerSecond, later.stateRequestsPerSecond);
-    s.stateWritesPerSecond = std::min(s.stateWritesPerSecond, later.stateWritesPerSecond);
-    s.maxValueKb = std::min(s.maxValueKb, later.maxValueKb);
-    s.maxTransactionWrites = std::min(s.maxTransactionWrites, later.maxTransactionWrites);
+    Settings nextLimits = s;
+    next.number("rps", nextLimits.stateRequestsPerSecond, 1);
+    next.number("write_rps", nextLimits.stateWritesPerSecond, 1);
+    next.number("value_kb", nextLimits.maxValueKb, 1);
+    next.count("txn_ops", nextLimits.maxTransactionWrites);
+    s.stateRequestsPerSecond =
+        std::min(s.stateRequestsPerSecond, nextLimits.stateRequestsPerSecond);
+    s.stateWritesPerSecond = std::min(s.stateWritesPerSecond, nextLimits.stateWritesPerSecond);
+    s.maxValueKb = std::min(s.maxValueKb, nextLimits.maxValueKb);
+    s.maxTransactionWrites = std::min(s.maxTransactionWrites, nextLimits.maxTransactionWrites);
 }
 
 void parseTeams(const Section& deployment, Settings& s) {
@@ -119,7 +121,7 @@
 void parseObjectives(const Section& deployment, Settings& s) {
     for (const auto& entry : deployment.list("objectives")) {
         ServiceLevelObjective objective;
-        objective.kind = objectiveKind(entry.text("kind"));
+        objective.kind = parseObjectiveKind(entry.text("kind"));
         if (objective.kind == ObjectiveKind::other) continue;
         objective.jobClass = entry.text("class");
         if (objective.kind != ObjectiveKind::deadline) entry.seconds("within_s", objective.within);
--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -1,5 +1,5 @@
 /// @file
-/// The platform's settings file (JSON) and the operators' own (INI).
+/// Settings from the platform's file (JSON) and from the operators' file (INI).
 #pragma once
 
 #include <chrono>
@@ -10,14 +10,14 @@
 
 namespace fawnwheel::config {
 
-/// The message names the field.
+/// Error in a settings file; the message names the field.
 struct SettingsError : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
 using Seconds = std::chrono::duration<double>;
 
-/// Another node of the cluster, as the platform names it.
+/// Another node of the cluster, by the name that the platform gives it.
 struct Peer {
     std::string name;
     std::string zone;
@@ -27,16 +27,16 @@
 /// A team with its guaranteed quota and its limits.
 struct Team {
     std::string name;
-    double cpus = 0;  ///< guaranteed
-    double gpus = 0;
+    double cpus = 0;     ///< guaranteed
+    double gpus = 0;     ///< guaranteed
     double cpusMax = 0;  ///< 0: no limit
     double gpusMax = 0;
 };
 
-/// What a service-level objective measures; `other`: a kind this version does not know.
+/// Quantity that a service-level objective measures; `other` is a kind unknown to this version.
 enum class ObjectiveKind { wait, finished, deadline, other };
 
-/// Objective for the jobs of one class: a fraction of them within a time.
+/// Objective for the jobs of one class: a fraction of the jobs must be within a time.
 struct ServiceLevelObjective {
     ObjectiveKind kind = ObjectiveKind::other;
     std::string jobClass;
@@ -44,7 +44,7 @@
     double fraction = 0;
 };
 
-/// The platform's settings of this node.
+/// The settings that the platform gives this node.
 struct Settings {
     std::string name;
     std::string zone;
@@ -60,12 +60,13 @@
     Seconds gangWaitTimeout{30};
     Seconds gangPeerTimeout{4};
     Seconds cancellationTimeout{60};
-    /// Of the state service: the smaller of its present limits and of those announced as `next`.
+    /// Limits of the state service: for each, the smaller of the present value and the value
+    /// announced as `next`.
     double stateRequestsPerSecond = 60;
     double stateWritesPerSecond = 20;
     double maxValueKb = 4;
     std::size_t maxTransactionWrites = 12;
-    /// Compares that a transaction may have for each write that it may have.
+    /// Compares allowed in a transaction per allowed write.
     static constexpr std::size_t comparesPerWrite = 4;
     [[nodiscard]] std::size_t maxTransactionCompares() const {
         return maxTransactionWrites * comparesPerWrite;
@@ -79,34 +80,35 @@
     double memoryMb = 128;
     std::size_t sockets = 1000;
 
-    /// All nodes in one order that every node agrees on; a partition has the number of the node
-    /// that it belongs to by preference.
+    /// The names of all nodes, in the same order on every node. The index of a node is the number
+    /// of the partition that this node prefers to lead.
     [[nodiscard]] std::vector<std::string> nodeNames() const;
+    /// Zone of the node; empty if the node is unknown.
     [[nodiscard]] std::string zoneOf(const std::string& node) const;
 };
 
-/// Reads the platform's JSON file. Throws `SettingsError`.
+/// Reads and parses the platform's JSON file. Throws `SettingsError`.
 Settings loadSettings(const std::string& path);
 /// Parses the platform's JSON. Throws `SettingsError`.
 Settings parseSettings(const std::string& json);
 
-/// [sharing]: machines that change hands between controllers while jobs run (docs/sharing.md).
+/// [sharing]: transfer of machines between controllers while jobs run (docs/sharing.md).
 struct RebalancingSettings {
     bool enabled = false;
-    Seconds period{2};          ///< between planning rounds
-    double lowThreshold = 0.5;  ///< of averaged tasks without a place: below it nothing is asked
-    double highThreshold = 8;   ///< from here on all that is lacking is asked
-    double latestSampleWeight = 0.3;    ///< of the latest sample in the average
-    Seconds minTenure{30};              ///< shortest time that a partition keeps a machine
-    double transfersPerMinute = 60;     ///< of each controller
-    double fractionOfWrites = 0.1;      ///< of the measured write rate
-    bool busyMachines = true;           ///< also machines that run tasks
-    std::size_t solverSteps = 200'000;  ///< arcs examined, after which the greedy plan is taken
+    Seconds period{2};                ///< time between planning rounds
+    double lowThreshold = 0.5;        ///< below this average of unplaced tasks, requests no machine
+    double highThreshold = 8;         ///< from this average on, requests machines for all of them
+    double latestSampleWeight = 0.3;  ///< weight of the latest sample in the average
+    Seconds minTenure{30};            ///< minimum time that a partition keeps a machine
+    double transfersPerMinute = 60;   ///< limit of each controller
+    double fractionOfWrites = 0.1;    ///< share of the measured write rate for transfers
+    bool busyMachines = true;         ///< also transfer machines that run tasks
+    std::size_t solverSteps = 200'000;  ///< arcs examined before the greedy plan is used
 };
 
-/// What operators may tune. Every value has a default that serves.
+/// Settings that operators may change. Each has a default that works.
 struct OperatorSettings {
-    // [moves]: DESIGN's open values
+    // [moves]: migration of work between partitions; the design leaves these values open
     Seconds queueSamplePeriod{2};
     double lowQueueLength = 20;
     double highQueueLength = 200;
@@ -120,7 +122,7 @@
     RebalancingSettings rebalancing;
 };
 
-/// Reads the operators' INI file. Throws `SettingsError`.
+/// Reads and parses the operators' INI file. Throws `SettingsError`.
 OperatorSettings loadOperatorSettings(const std::string& path);
 /// Parses the operators' INI text. Throws `SettingsError`.
 OperatorSettings parseOperatorSettings(const std::string& text);
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// The daemon: reads its settings, wires the layers together and runs until it is ended.
+/// The daemon: reads the settings, connects the layers and runs until the process is stopped.
 #include <spdlog/sinks/stdout_sinks.h>
 #include <spdlog/spdlog.h>
 
@@ -17,9 +17,9 @@
 
 using namespace fawnwheel;
 
-constexpr int exitSettings = 2;
-// Of the sockets, what users and workers may take, and what commands to workers may; the rest is
-// for peers, state and cloud.
+constexpr int settingsErrorStatus = 2;
+// Fractions of the sockets for connections from users and workers, and for commands to workers. The
+// remaining sockets are for peers, the state service and the cloud.
 constexpr double frontFractionOfSockets = 0.8;
 constexpr double commandFractionOfSockets = 0.1;
 
@@ -27,7 +27,7 @@
     return static_cast<std::size_t>(static_cast<double>(sockets) * fraction);
 }
 
-void setUpLogging() {
+void configureLogging() {
     auto logger = spdlog::stderr_logger_st("fawnwheel");
     spdlog::set_default_logger(logger);
     spdlog::set_pattern("%L %v");
@@ -39,7 +39,7 @@
     spdlog::flush_on(spdlog::level::info);
 }
 
-int serve(const config::Settings& settings, const config::OperatorSettings& tuning) {
+int serve(const config::Settings& settings, const config::OperatorSettings& operatorSettings) {
     transport::Loop loop;
     std::map<std::string, std::string> peers;
     for (const auto& peer : settings.peers) peers[peer.name] = peer.address;
@@ -50,7 +50,8 @@
                                   [&controller](const std::string& payload) {
                                       if (controller != nullptr) controller->onFrame(payload);
                                   });
-    coordination::Controller service(settings, tuning, loop, network, std::random_device{}());
+    coordination::Controller service(settings, operatorSettings, loop, network,
+                                     std::random_device{}());
     controller = &service;
     const transport::HttpServer front(
         loop, settings.frontAddress, fractionOf(settings.sockets, frontFractionOfSockets),
@@ -73,24 +74,25 @@
     bool checkOnly = false;
     options.add_option("--config", configFile, "the platform's settings (JSON)")->required();
     options.add_option("--operator", operatorFile, "the operators' settings (INI)");
-    options.add_flag("--check", checkOnly, "read the settings and end");
+    options.add_flag("--check", checkOnly, "read the settings and exit");
     options.set_version_flag("--version", std::string("fawnwheeld ") + FAWNWHEEL_VERSION);
     try {
         options.parse(argc, argv);
     } catch (const CLI::ParseError& error) {
         const int code = options.exit(error);
-        return code == 0 ? 0 : exitSettings;
+        return code == 0 ? 0 : settingsErrorStatus;
     }
     try {
-        setUpLogging();
+        configureLogging();
         const auto settings = config::loadSettings(configFile);
-        const auto tuning = operatorFile.empty() ? config::OperatorSettings{}
-                                                 : config::loadOperatorSettings(operatorFile);
+        const auto operatorSettings = operatorFile.empty()
+                                          ? config::OperatorSettings{}
+                                          : config::loadOperatorSettings(operatorFile);
         if (checkOnly) return 0;
-        return serve(settings, tuning);
+        return serve(settings, operatorSettings);
     } catch (const config::SettingsError& error) {
         std::cerr << "fawnwheeld: " << error.what() << '\n';
-        return exitSettings;
+        return settingsErrorStatus;
     } catch (const std::exception& error) {
         std::cerr << "fawnwheeld: " << error.what() << '\n';
         return 1;
--- a/src/protocol/peer_codec.h
+++ b/src/protocol/peer_codec.h
@@ -49,8 +49,8 @@
     bool ready = false;
     // Cancellations. With `cancellationsCovered`, the sender guarantees that each cancellation that
     // it or an earlier incarnation of it has confirmed to a user is in the receiver's records, is
-    // acknowledged by the receiver, or is in the list that starts in this message. With `complete`,
-    // the list ends in this message.
+    // acknowledged by the receiver, or is listed in this message or a following one. With
+    // `complete`, no message of the list follows.
     std::uint64_t incarnation = 0;  ///< of the sender's process; new at each start
     std::uint64_t applied = 0;      ///< the sender's records are complete up to this revision
     std::uint64_t acknowledgedIncarnation = 0;  ///< last incarnation received from the receiver
--- a/src/protocol/state_client.cpp
+++ b/src/protocol/state_client.cpp
@@ -212,9 +212,9 @@
                   [this, pending](std::optional<transport::HttpResponse> r) {
                       updateReachability(r);
                       if (r && r->status == 429) {
-                          // The request was not executed, so it is sent again before all others,
-                          // but only after a pause. Without the pause, the partition acquisitions
-                          // at startup use up the service's limits.
+                          // The request was not executed, so it returns to the front of its queue,
+                          // but is sent only after a pause. Without the pause, the partition
+                          // acquisitions at startup use up the service's limits.
                           urgentNotBefore_ = timers_.now() + urgentPause;
                           (pending->writes > 0 ? writes_ : requests_).onThrottled();
                           queues_[static_cast<std::size_t>(pending->priority)].push_front(
--- a/src/transport/frame_link.cpp
+++ b/src/transport/frame_link.cpp
@@ -8,15 +8,17 @@
 
 using namespace std::chrono_literals;
 
-constexpr auto reconnectPause = 500ms;
-constexpr auto renewAfter = 10s;  // a silent cut shows no error: start afresh now and then
-constexpr std::size_t maxIncoming = 32;
-constexpr std::size_t lengthBytes = 4;
+constexpr auto reconnectInterval = 500ms;
+// A silently cut connection reports no error, so a connection that has had unsent data for this
+// long is replaced.
+constexpr auto stalledConnectionTimeout = 10s;
+constexpr std::size_t maxIncomingConnections = 32;
+constexpr std::size_t lengthPrefixBytes = 4;
 
-std::string framed(const std::string& payload) {
+std::string encodeFrame(const std::string& payload) {
     std::string out;
     const auto length = static_cast<std::uint32_t>(payload.size());
-    for (std::size_t i = 0; i < lengthBytes; ++i)
+    for (std::size_t i = 0; i < lengthPrefixBytes; ++i)
         out.push_back(static_cast<char>((length >> (8 * i)) & 0xff));
     return out + payload;
 }
@@ -27,18 +29,18 @@
     std::shared_ptr<Stream> stream;
     std::string input;
 
-    // False when the peer breaks the framing.
+    // False if the peer sends a frame that exceeds `maxFrameBytes`.
     bool consume(std::string_view data, const OnFrame& onFrame) {
         input.append(data);
         std::size_t at = 0;
-        while (input.size() - at >= lengthBytes) {
+        while (input.size() - at >= lengthPrefixBytes) {
             std::size_t length = 0;
-            for (std::size_t i = 0; i < lengthBytes; ++i)
+            for (std::size_t i = 0; i < lengthPrefixBytes; ++i)
                 length |= std::size_t{static_cast<unsigned char>(input[at + i])} << (8 * i);
-            if (length > maxFrame) return false;
-            if (input.size() - at - lengthBytes < length) break;
-            onFrame(input.substr(at + lengthBytes, length));
-            at += lengthBytes + length;
+            if (length > maxFrameBytes) return false;
+            if (input.size() - at - lengthPrefixBytes < length) break;
+            onFrame(input.substr(at + lengthPrefixBytes, length));
+            at += lengthPrefixBytes + length;
         }
         input.erase(0, at);
         return true;
@@ -60,7 +62,7 @@
     while (true) {
         Socket socket = acceptFrom(listener_);
         if (!socket.open()) return;
-        if (incoming_.size() >= maxIncoming) incoming_.erase(incoming_.begin());
+        if (incoming_.size() >= maxIncomingConnections) incoming_.erase(incoming_.begin());
         auto connection = std::make_shared<Incoming>();
         connection->stream = std::make_shared<Stream>(loop_, std::move(socket));
         incoming_.insert(connection);
@@ -78,23 +80,24 @@
 
 void FrameLink::send(const std::string& peer, const std::string& payload) {
     const auto found = peers_.find(peer);
-    if (found == peers_.end() || payload.size() > maxFrame) return;
+    if (found == peers_.end() || payload.size() > maxFrameBytes) return;
     Outgoing& out = found->second;
     const auto now = loop_.now();
     if (out.stream && out.stream->open()) {
-        if (out.stream->unsent() == 0) out.progressed = now;
-        if (now - out.progressed > renewAfter || out.stream->unsent() > 4 * maxFrame)
+        if (out.stream->unsentBytes() == 0) out.lastProgress = now;
+        if (now - out.lastProgress > stalledConnectionTimeout ||
+            out.stream->unsentBytes() > 4 * maxFrameBytes)
             out.stream->close();
     }
     if (!out.stream || !out.stream->open()) {
-        if (now - out.opened < reconnectPause) return;
-        out.opened = out.progressed = now;
+        if (now - out.lastOpened < reconnectInterval) return;
+        out.lastOpened = out.lastProgress = now;
         Socket socket = connectTo(out.address);
         if (!socket.open()) return;
         out.stream = std::make_shared<Stream>(loop_, std::move(socket));
         out.stream->start([](std::string_view) {}, [] {});
     }
-    out.stream->write(framed(payload));
+    out.stream->write(encodeFrame(payload));
 }
 
 }  // namespace fawnwheel::transport
--- a/src/transport/frame_link.h
+++ b/src/transport/frame_link.h
@@ -1,6 +1,6 @@
 /// @file
-/// Length-framed one-way messages between our own processes. Each process keeps one outgoing
-/// connection to every peer and only reads from incoming ones.
+/// One-way messages between the nodes, in frames with a length prefix. Each node keeps one outgoing
+/// connection to every peer, and only reads from incoming connections.
 #pragma once
 
 #include <map>
@@ -18,7 +18,7 @@
   public:
     using OnFrame = std::function<void(const std::string& payload)>;
 
-    static constexpr std::size_t maxFrame = std::size_t{64} * 1024;
+    static constexpr std::size_t maxFrameBytes = std::size_t{64} * 1024;
 
     FrameLink(Loop& loop, const std::string& address,
               const std::map<std::string, std::string>& peers, OnFrame onFrame);
@@ -26,7 +26,7 @@
     FrameLink(const FrameLink&) = delete;
     FrameLink& operator=(const FrameLink&) = delete;
 
-    /// Best effort, in order while the connection lasts.
+    /// Sends a frame without a delivery guarantee; frames stay in order while the connection lasts.
     void send(const std::string& peer, const std::string& payload);
 
   private:
@@ -34,9 +34,9 @@
     struct Outgoing {
         std::string address;
         std::shared_ptr<Stream> stream;
-        SteadyTime opened{};
+        SteadyTime lastOpened{};
         std::size_t lastUnsent = 0;
-        SteadyTime progressed{};
+        SteadyTime lastProgress{};
     };
 
     void acceptAll();
--- a/src/transport/http_client.cpp
+++ b/src/transport/http_client.cpp
@@ -11,21 +11,21 @@
 using namespace std::chrono_literals;
 
 constexpr std::size_t maxIdlePerAddress = 8;
-constexpr auto idleLimit = 20s;
+constexpr auto idleTimeout = 20s;
 
 }  // namespace
 
 struct HttpClient::Connection : std::enable_shared_from_this<Connection> {
     Connection(HttpClient& httpClient, std::string where, Socket socket)
         : client(&httpClient),
-          open(httpClient.open_),
+          openConnections(httpClient.openConnections_),
           address(std::move(where)),
           stream(std::make_shared<Stream>(httpClient.loop_, std::move(socket))) {
         http_parser_init(&parser, HTTP_RESPONSE);
         parser.data = this;
-        ++*open;
+        ++*openConnections;
     }
-    ~Connection() { --*open; }
+    ~Connection() { --*openConnections; }
     Connection(const Connection&) = delete;
     Connection& operator=(const Connection&) = delete;
 
@@ -37,15 +37,15 @@
             http_parser_settings_init(&s);
             s.on_header_field = [](http_parser* p, const char* at, std::size_t length) {
                 auto& c = self(p);
-                if (c.valueSeen) c.field.clear();
-                c.valueSeen = false;
-                c.field.append(at, length);
+                if (c.headerValueSeen) c.headerField.clear();
+                c.headerValueSeen = false;
+                c.headerField.append(at, length);
                 return 0;
             };
             s.on_header_value = [](http_parser* p, const char* at, std::size_t length) {
                 auto& c = self(p);
-                c.valueSeen = true;
-                if (c.field == "Retry-After")
+                c.headerValueSeen = true;
+                if (c.headerField == "Retry-After")
                     c.response.retryAfterSeconds = std::atoi(std::string(at, length).c_str());
                 return 0;
             };
@@ -92,7 +92,7 @@
         if (keepAlive && pool.size() < maxIdlePerAddress) {
             pool.push_back(keep);
             const std::weak_ptr<Connection> weak = keep;
-            timer = client->loop_.after(idleLimit, [weak] {
+            timer = client->loop_.after(idleTimeout, [weak] {
                 if (const auto c = weak.lock()) c->fail();
             });
         } else {
@@ -110,15 +110,15 @@
     }
 
     HttpClient* client;
-    std::shared_ptr<std::size_t> open;  // outlives the client
+    std::shared_ptr<std::size_t> openConnections;  // shared: a connection may outlive the client
     std::string address;
     std::shared_ptr<Stream> stream;
     http_parser parser{};
     HttpResponse response;
     HttpDone done;
     TimerId timer = 0;
-    std::string field;
-    bool valueSeen = false;
+    std::string headerField;
+    bool headerValueSeen = false;
     bool complete = false;
     bool keepAlive = true;
 };
@@ -131,8 +131,8 @@
         loop_.cancel(connection->timer);
         return connection;
     }
-    // Commands to all workers must not use up the sockets that everything else needs.
-    if (*open_ >= maxConnections_ && !unboundedAddresses_.contains(address) &&
+    // The bound keeps commands to all workers from using up the sockets that other calls need.
+    if (*openConnections_ >= maxConnections_ && !unboundedAddresses_.contains(address) &&
         !evictIdleConnection())
         return nullptr;
     Socket socket = connectTo(address);
@@ -165,7 +165,8 @@
         loop_.after(Duration::zero(), [done = std::move(done)] { done(std::nullopt); });
         return;
     }
-    // The time-out's closure must not be all that keeps the connection alive.
+    // The callback keeps the connection alive until the response or the timeout; the timer itself
+    // holds only a weak pointer.
     connection->send(request, timeout,
                      [connection, done = std::move(done)](std::optional<HttpResponse> response) {
                          done(std::move(response));
--- a/src/transport/http_client.h
+++ b/src/transport/http_client.h
@@ -1,5 +1,5 @@
 /// @file
-/// HTTP/1.1 client: keeps idle connections per address, one request at a time on each.
+/// HTTP/1.1 client. Keeps idle connections per address; each connection has one request at a time.
 #pragma once
 
 #include <memory>
@@ -14,13 +14,14 @@
 /// Asynchronous HTTP client. Runs on the loop's thread; the loop must outlive it.
 class HttpClient {
   public:
-    /// Calls to the addresses in `unboundedAddresses` are not held to the bound on connections.
+    /// `maxConnections` does not apply to calls to the addresses in `unboundedAddresses`.
     HttpClient(Loop& loop, std::size_t maxConnections, std::set<std::string> unboundedAddresses)
         : loop_(loop),
           maxConnections_(maxConnections),
           unboundedAddresses_(std::move(unboundedAddresses)) {}
 
-    /// `done` is called exactly once; without a response if none arrived within `timeout`.
+    /// Sends a request. `done` is called exactly once, without a response if the call fails or none
+    /// arrives within `timeout`.
     void call(const std::string& address, const HttpRequest& request, Duration timeout,
               HttpDone done);
 
@@ -33,7 +34,7 @@
     Loop& loop_;
     std::size_t maxConnections_;
     std::set<std::string> unboundedAddresses_;
-    std::shared_ptr<std::size_t> open_ = std::make_shared<std::size_t>(0);
+    std::shared_ptr<std::size_t> openConnections_ = std::make_shared<std::size_t>(0);
     std::unordered_map<std::string, std::vector<std::shared_ptr<Connection>>> idle_;
 };
 
--- a/src/transport/http_server.cpp
+++ b/src/transport/http_server.cpp
@@ -11,13 +11,13 @@
 
 using namespace std::chrono_literals;
 
-constexpr auto idleLimit = 90s;  // an open connection without a request
-constexpr auto readLimit = 10s;  // a request that trickles in
+constexpr auto idleTimeout = 90s;  // for a connection without a request
+constexpr auto readTimeout = 10s;  // for the next data of an incomplete request
 constexpr auto idleCheckPeriod = 2s;
-constexpr std::size_t maxUrl = 2048;
-constexpr double nearLimitFraction = 0.8;  // of the connections
+constexpr std::size_t maxUrlLength = 2048;
+constexpr double nearLimitFraction = 0.8;  // of the maximum number of connections
 
-const char* reason(int status) {
+const char* reasonPhrase(int status) {
     switch (status) {
         case 200:
             return "OK";
@@ -64,11 +64,11 @@
             };
             s.on_url = [](http_parser* p, const char* at, std::size_t length) {
                 self(p).request.path.append(at, length);
-                return self(p).request.path.size() > maxUrl ? 1 : 0;
+                return self(p).request.path.size() > maxUrlLength ? 1 : 0;
             };
             s.on_body = [](http_parser* p, const char* at, std::size_t length) {
                 self(p).request.body.append(at, length);
-                self(p).tooLarge = self(p).request.body.size() > maxBody;
+                self(p).tooLarge = self(p).request.body.size() > maxBodyBytes;
                 return self(p).tooLarge ? 1 : 0;
             };
             s.on_message_complete = [](http_parser* p) {
@@ -120,7 +120,8 @@
     void respond(const HttpResponse& response) {
         keepAlive = keepAlive && !server->isNearConnectionLimit();
         std::string head = "HTTP/1.1 " + std::to_string(response.status) + " " +
-                           reason(response.status) + "\r\nContent-Type: application/cbor\r\n" +
+                           reasonPhrase(response.status) +
+                           "\r\nContent-Type: application/cbor\r\n" +
                            "Content-Length: " + std::to_string(response.body.size()) + "\r\n";
         if (response.retryAfterSeconds > 0)
             head += "Retry-After: " + std::to_string(response.retryAfterSeconds) + "\r\n";
@@ -132,7 +133,7 @@
         if (!keepAlive) return stream->closeWhenWritten();
         stream->pauseReading(false);
         if (!input.empty()) {
-            // Not from within the handler of the request just answered.
+            // Deferred, because this call may come from within the handler of the answered request.
             const std::weak_ptr<Connection> weak = weak_from_this();
             server->loop_.after(Duration::zero(), [weak] {
                 const auto connection = weak.lock();
@@ -179,7 +180,8 @@
     while (true) {
         Socket socket = acceptFrom(listener_);
         if (!socket.open()) return;
-        // At the bound the connection is closed at once: the balancer tries another node.
+        // At the limit, a new connection is closed at once, so that the load balancer tries another
+        // node.
         if (connections_.size() >= maxConnections_) continue;
         auto connection = std::make_shared<Connection>(*this, std::move(socket));
         connections_.insert(connection);
@@ -199,7 +201,7 @@
     std::erase_if(connections_, [now](const auto& c) {
         if (!c->stream->open()) return true;
         if (c->busy) return false;
-        return now - c->lastActive > (c->reading ? Duration(readLimit) : Duration(idleLimit));
+        return now - c->lastActive > (c->reading ? Duration(readTimeout) : Duration(idleTimeout));
     });
     idleTimer_ = loop_.after(idleCheckPeriod, [this] { closeIdleConnections(); });
 }
--- a/src/transport/http_server.h
+++ b/src/transport/http_server.h
@@ -1,5 +1,6 @@
 /// @file
-/// HTTP/1.1 server: keep-alive, no pipelining, bounded bodies and connections, idle time-outs.
+/// HTTP/1.1 server with keep-alive, limits on body size and connections, and idle timeouts.
+/// Pipelined requests are handled one at a time.
 #pragma once
 
 #include <memory>
@@ -19,13 +20,14 @@
     HttpServer(const HttpServer&) = delete;
     HttpServer& operator=(const HttpServer&) = delete;
 
-    static constexpr std::size_t maxBody = std::size_t{64} * 1024;
+    static constexpr std::size_t maxBodyBytes = std::size_t{64} * 1024;
 
   private:
     struct Connection;
 
-    // More clients than connections may come, say every worker's of a fleet whose other nodes are
-    // gone. When most are taken, each answer ends its connection, so that all get their turn.
+    // More clients than `maxConnections` may connect, for example all workers while the other nodes
+    // are down. Near the limit, each response closes its connection, so that every client gets
+    // served.
     [[nodiscard]] bool isNearConnectionLimit() const;
     void acceptAll();
     void closeIdleConnections();
--- a/src/transport/interfaces.h
+++ b/src/transport/interfaces.h
@@ -1,6 +1,6 @@
 /// @file
-/// The two small interfaces behind which time and network sit, so that the same code runs on
-/// epoll and in the tests' virtual time.
+/// Interfaces of the clock and the network, so that the same code runs on epoll and in the tests'
+/// virtual time.
 #pragma once
 
 #include <chrono>
@@ -22,16 +22,16 @@
     virtual ~Timers() = default;
     [[nodiscard]] virtual SteadyTime now() const = 0;
     [[nodiscard]] virtual WallTime wallNow() const = 0;
-    /// Runs `action` once, after `delay`.
+    /// Runs `action` once after `delay`.
     virtual TimerId after(Duration delay, std::function<void()> action) = 0;
-    /// No effect if the action has run.
+    /// Cancels a timer; no effect if its action has run.
     virtual void cancel(TimerId id) = 0;
 };
 
 /// An HTTP request without headers.
 struct HttpRequest {
     std::string method;
-    std::string path;  ///< with the query
+    std::string path;  ///< including the query
     std::string body;
 };
 
@@ -42,20 +42,22 @@
     int retryAfterSeconds = 0;  ///< 0: no such header
 };
 
-/// An empty response: none arrived, and the request may or may not have been carried out.
+/// Callback for a response; empty if none arrived, in which case the request may have been
+/// executed.
 using HttpDone = std::function<void(std::optional<HttpResponse>)>;
-/// A handler answers each request exactly once, now or later.
+/// Callback that sends a response. A handler calls it exactly once per request, at once or later.
 using HttpReply = std::function<void(HttpResponse)>;
 using HttpHandler = std::function<void(HttpRequest, HttpReply)>;
 
-/// Outgoing calls and peer frames. Not thread-safe; callbacks run on the event loop's thread.
+/// Outgoing HTTP calls and peer frames. Not thread-safe; callbacks run on the event loop's thread.
 class Network {
   public:
     virtual ~Network() = default;
-    /// `address` is "ip:port"; `done` is called exactly once.
+    /// Sends a request to `address` ("ip:port"); `done` is called exactly once.
     virtual void call(const std::string& address, HttpRequest request, Duration timeout,
                       HttpDone done) = 0;
-    /// One-way, best effort, in order while the connection lasts.
+    /// Sends a one-way frame without a delivery guarantee; frames stay in order while the
+    /// connection lasts.
     virtual void sendFrame(const std::string& peer, std::string payload) = 0;
 };
 
--- a/src/transport/loop.cpp
+++ b/src/transport/loop.cpp
@@ -21,15 +21,15 @@
     const TimerId id = nextTimer_++;
     const SteadyTime at = now() + std::max(delay, Duration::zero());
     timers_.emplace(std::pair{at, id}, std::move(action));
-    due_.emplace(id, at);
+    dueTimes_.emplace(id, at);
     return id;
 }
 
 void Loop::cancel(TimerId id) {
-    const auto found = due_.find(id);
-    if (found == due_.end()) return;
+    const auto found = dueTimes_.find(id);
+    if (found == dueTimes_.end()) return;
     timers_.erase({found->second, id});
-    due_.erase(found);
+    dueTimes_.erase(found);
 }
 
 void Loop::watch(int fd, std::uint32_t events, IoAction action) {
@@ -66,11 +66,12 @@
 }
 
 void Loop::runTimers() {
-    // Only what is due on entry: an action that re-arms itself at once can't starve the sockets.
+    // Runs only the timers due on entry, so that an action that restarts its timer with no delay
+    // cannot starve the sockets.
     const SteadyTime limit = now();
     while (!timers_.empty() && timers_.begin()->first.first <= limit && !stopped_) {
         auto node = timers_.extract(timers_.begin());
-        due_.erase(node.key().second);
+        dueTimes_.erase(node.key().second);
         node.mapped()();
     }
 }
@@ -85,7 +86,7 @@
             const auto& event = events[static_cast<std::size_t>(i)];
             const int fd = static_cast<int>(event.data.u64 & 0xffffffffU);
             const auto found = watches_.find(fd);
-            // The number may have been closed and reused by an earlier event of this round.
+            // An earlier event of this round may have closed the descriptor and reused its number.
             if (found == watches_.end() || found->second.generation != event.data.u64 >> 32)
                 continue;
             const auto action = found->second.action;
--- a/src/transport/loop.h
+++ b/src/transport/loop.h
@@ -26,13 +26,14 @@
     TimerId after(Duration delay, std::function<void()> action) override;
     void cancel(TimerId id) override;
 
-    /// Calls `action` on the epoll `events` of the descriptor, until `unwatch`. Does not own it.
+    /// Calls `action` on the epoll `events` of the descriptor until `unwatch`. The loop does not
+    /// own the descriptor.
     void watch(int fd, std::uint32_t events, IoAction action);
-    /// Replaces the events that are watched.
+    /// Replaces the watched events of the descriptor.
     void change(int fd, std::uint32_t events);
     void unwatch(int fd);
 
-    void run();  ///< until stop()
+    void run();  ///< returns after `stop`
     void stop() { stopped_ = true; }
 
   private:
@@ -50,7 +51,7 @@
     TimerId nextTimer_ = 1;
     std::uint32_t nextGeneration_ = 1;
     std::map<std::pair<SteadyTime, TimerId>, std::function<void()>> timers_;
-    std::unordered_map<TimerId, SteadyTime> due_;
+    std::unordered_map<TimerId, SteadyTime> dueTimes_;
     std::unordered_map<int, Watch> watches_;
 };
 
--- a/src/transport/socket.cpp
+++ b/src/transport/socket.cpp
@@ -17,8 +17,8 @@
 
 namespace {
 
-constexpr int backlog =
-    4096;  // a whole fleet may come to one node at once; the kernel has its own bound
+// All workers may connect to one node at the same time. The kernel applies its own limit as well.
+constexpr int backlog = 4096;
 
 std::optional<sockaddr_in> parse(const std::string& address) {
     const auto colon = address.rfind(':');
@@ -35,7 +35,7 @@
     return result;
 }
 
-void noDelay(int fd) {
+void disableNagle(int fd) {
     const int on = 1;
     setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
 }
@@ -72,7 +72,7 @@
     if (!where) return Socket();
     Socket result(socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
     if (!result.open()) return result;
-    noDelay(result.fd());
+    disableNagle(result.fd());
     if (connect(result.fd(), reinterpret_cast<const sockaddr*>(&*where), sizeof *where) != 0 &&
         errno != EINPROGRESS)
         result.close();
@@ -81,7 +81,7 @@
 
 Socket acceptFrom(const Socket& listener) {
     Socket result(accept4(listener.fd(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
-    if (result.open()) noDelay(result.fd());
+    if (result.open()) disableNagle(result.fd());
     return result;
 }
 
@@ -96,7 +96,7 @@
 
 void Stream::write(std::string_view bytes) {
     if (!open()) return;
-    out_.append(bytes);
+    output_.append(bytes);
     updateInterest();
 }
 
@@ -116,48 +116,48 @@
     socket_.close();
 }
 
-void Stream::end() {
+void Stream::closeAndNotify() {
     close();
     if (const auto onEnd = std::exchange(onEnd_, nullptr)) onEnd();
 }
 
 void Stream::updateInterest() {
     std::uint32_t events = paused_ ? 0U : static_cast<std::uint32_t>(EPOLLIN);
-    if (unsent() > 0 || closing_) events |= EPOLLOUT;
+    if (unsentBytes() > 0 || closing_) events |= EPOLLOUT;
     loop_.change(socket_.fd(), events);
 }
 
 bool Stream::flush() {
-    while (unsent() > 0) {
-        const auto count = send(socket_.fd(), out_.data() + sent_, unsent(), MSG_NOSIGNAL);
+    while (unsentBytes() > 0) {
+        const auto count = send(socket_.fd(), output_.data() + sent_, unsentBytes(), MSG_NOSIGNAL);
         if (count < 0) return errno == EAGAIN || errno == EINTR || errno == ENOTCONN;
         sent_ += static_cast<std::size_t>(count);
     }
-    out_.clear();
+    output_.clear();
     sent_ = 0;
     return !closing_;
 }
 
 void Stream::onEvents(std::uint32_t events) {
     const auto keep = shared_from_this();
-    if ((events & EPOLLERR) != 0) return end();
+    if ((events & EPOLLERR) != 0) return closeAndNotify();
     if ((events & EPOLLOUT) != 0) {
-        if (!flush()) return end();
+        if (!flush()) return closeAndNotify();
         updateInterest();
     }
     if ((events & (EPOLLIN | EPOLLHUP)) == 0) return;
     std::array<char, 16384> buffer;
     while (open() && !paused_) {
         const auto count = recv(socket_.fd(), buffer.data(), buffer.size(), 0);
-        if (count == 0) return end();
+        if (count == 0) return closeAndNotify();
         if (count < 0) {
-            if (errno != EAGAIN && errno != EINTR) end();
+            if (errno != EAGAIN && errno != EINTR) closeAndNotify();
             return;
         }
         onData_({buffer.data(), static_cast<std::size_t>(count)});
         if (static_cast<std::size_t>(count) < buffer.size()) return;
     }
-    if (open() && paused_ && (events & EPOLLHUP) != 0) end();
+    if (open() && paused_ && (events & EPOLLHUP) != 0) closeAndNotify();
 }
 
 }  // namespace fawnwheel::transport
--- a/src/transport/socket.h
+++ b/src/transport/socket.h
@@ -1,5 +1,5 @@
 /// @file
-/// Non-blocking TCP sockets over IPv4, addressed by "ip:port".
+/// Non-blocking TCP sockets over IPv4; addresses have the form "ip:port".
 #pragma once
 
 #include <memory>
@@ -10,7 +10,7 @@
 
 namespace fawnwheel::transport {
 
-/// Owning file descriptor of a socket; closed on destruction.
+/// Owns the file descriptor of a socket and closes it on destruction.
 class Socket {
   public:
     explicit Socket(int fd = -1) : fd_(fd) {}
@@ -28,14 +28,15 @@
     int fd_;
 };
 
-/// Listening socket on the address. Throws std::system_error.
+/// Opens a listening socket on the address. Throws std::system_error.
 [[nodiscard]] Socket listenOn(const std::string& address);
-/// Socket whose connection is in progress; closed on failure.
+/// Starts a connection to the address; returns a closed socket on failure.
 [[nodiscard]] Socket connectTo(const std::string& address);
-/// The next waiting connection; a closed socket if there is none.
+/// Accepts the next pending connection; returns a closed socket if there is none.
 [[nodiscard]] Socket acceptFrom(const Socket& listener);
 
-/// A connected stream with an output buffer. Owns its socket; calls back on input and on its end.
+/// A connected stream with an output buffer. Owns its socket, and calls back on input and when the
+/// peer closes the connection or an error ends it.
 class Stream : public std::enable_shared_from_this<Stream> {
   public:
     using OnData = std::function<void(std::string_view)>;
@@ -50,21 +51,21 @@
     void write(std::string_view bytes);
     void pauseReading(bool paused);
     void closeWhenWritten();
-    void close();  ///< without calling back
+    void close();  ///< without a callback
     [[nodiscard]] bool open() const { return socket_.open(); }
-    [[nodiscard]] std::size_t unsent() const { return out_.size() - sent_; }
+    [[nodiscard]] std::size_t unsentBytes() const { return output_.size() - sent_; }
 
   private:
     void onEvents(std::uint32_t events);
     bool flush();
     void updateInterest();
-    void end();
+    void closeAndNotify();
 
     Loop& loop_;
     Socket socket_;
     OnData onData_;
     OnEnd onEnd_;
-    std::string out_;
+    std::string output_;
     std::size_t sent_ = 0;
     bool paused_ = false;
     bool closing_ = false;
--- a/src/transport/tcp_network.h
+++ b/src/transport/tcp_network.h
@@ -1,5 +1,5 @@
 /// @file
-/// The Network of a real process: HTTP client and peer link on the epoll loop.
+/// The `Network` implementation of the daemon: HTTP client and peer link on the epoll loop.
 #pragma once
 
 #include "transport/frame_link.h"
@@ -7,7 +7,7 @@
 
 namespace fawnwheel::transport {
 
-/// Network of a real process; the loop must outlive it.
+/// Network over TCP; the loop must outlive it.
 class TcpNetwork final : public Network {
   public:
     TcpNetwork(Loop& loop, HttpClient client, const std::string& peerAddress,
--- a/tests/smoke.sh
+++ b/tests/smoke.sh
@@ -1,5 +1,6 @@
 #!/bin/sh
-# The real binary on loopback: options, settings errors, and HTTP answers without a state service.
+# Runs the daemon on loopback. Guards against broken options, settings errors that do not name their
+# field or exit with another status than 2, and wrong HTTP status codes without a state service.
 set -eu
 daemon=$1
 source=$(dirname "$0")/..
@@ -31,7 +32,7 @@
 [ "$status" = 2 ] || fail "unknown operator setting: exit $status"
 grep -q 'moves.nonsense' "$dir/err" || fail "unknown operator setting not named"
 
-refused() {  # SECTION_AND_KEY VALUE: status 2, and the field is named
+refused() {  # SECTION.KEY VALUE: checks that the daemon exits with status 2 and names the field
     printf '[%s]\n%s = %s\n' "${1%%.*}" "${1#*.}" "$2" > "$dir/operator.ini"
     status=0
     "$daemon" --config "$dir/settings.json" --operator "$dir/operator.ini" --check 2> "$dir/err" ||
--- a/tests/unit/config/settings_test.cpp
+++ b/tests/unit/config/settings_test.cpp
@@ -19,7 +19,8 @@
     return {};
 }
 
-TEST(Settings, TeamsAndObjectivesMayBeMissing) {
+// A settings file without teams and objectives must be accepted.
+TEST(Settings, TeamsAndObjectivesAreOptional) {
     const auto settings = parseSettings(minimal);
     EXPECT_TRUE(settings.teams.empty());
     EXPECT_TRUE(settings.objectives.empty());
@@ -27,6 +28,7 @@
     EXPECT_EQ(settings.zoneOf("n-0"), "b");
 }
 
+// An error without the field's path would not show the operator which field to correct.
 TEST(Settings, ErrorsNameTheField) {
     EXPECT_NE(errorOf(R"({"host_name": 3})").find("host_name"), std::string::npos);
     auto bad = minimal;
@@ -38,7 +40,9 @@
     EXPECT_FALSE(errorOf("{").empty());
 }
 
-TEST(Settings, TheSmallerOfPresentAndComingLimitsCounts) {
+// The state service may lower its limits at an unknown time. Records written for the present limits
+// would then be refused, so the smaller of the present and the next value must apply.
+TEST(Settings, SmallerOfPresentAndNextLimitsApplies) {
     const auto with = [](const std::string& state) {
         auto text = minimal;
         text.insert(text.size() - 1, R"(, "deployment": {"state": )" + state + "}");
@@ -62,7 +66,9 @@
     EXPECT_NE(errorOf(with(R"({"next": 4})")).find("deployment.state.next"), std::string::npos);
 }
 
-TEST(OperatorSettings, ReadsWhatItKnowsAndRefusesTheRest) {
+// A misspelled section or an invalid value must be refused; ignoring it would leave the default in
+// force without notice.
+TEST(OperatorSettings, ParsesKnownFieldsAndRejectsInvalidOnes) {
     const auto settings = parseOperatorSettings(
         "[moves]\nlow = 5\nhigh=50\n; note\n"
         "[machines]\nuse_spot = no\n");
--- a/tests/unit/transport/http_test.cpp
+++ b/tests/unit/transport/http_test.cpp
@@ -12,7 +12,7 @@
 
 using namespace std::chrono_literals;
 
-// An address on loopback that nobody listens on: with a fixed port, two runs side by side failed.
+// Returns an unused loopback address. With a fixed port, two simultaneous test runs would fail.
 std::string freeAddress() {
     const Socket probe(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
     sockaddr_in where{};
@@ -25,57 +25,62 @@
     return "127.0.0.1:" + std::to_string(ntohs(where.sin_port));
 }
 
-constexpr auto retryPause = 20ms;
-constexpr int callsEach = 3;
+constexpr auto retryInterval = 20ms;
+constexpr int callsPerClient = 3;
 
-// Workers that keep their connections as long as they are let, more of them than the server has.
-class Crowd {
+// Clients that keep their connections until the server closes them. There are more clients than the
+// server allows connections.
+class CompetingClients {
   public:
-    Crowd(Loop& loop, std::string address, std::size_t size)
-        : loop_(loop), address_(std::move(address)), served_(size, 0) {
+    CompetingClients(Loop& loop, std::string address, std::size_t size)
+        : loop_(loop), address_(std::move(address)), responses_(size, 0) {
         for (std::size_t i = 0; i < size; ++i)
             clients_.emplace_back(loop, 1, std::set<std::string>{});
         for (std::size_t i = 0; i < size; ++i) call(i);
     }
-    [[nodiscard]] int leastServed() const {
-        return *std::min_element(served_.begin(), served_.end());
+    [[nodiscard]] int fewestResponses() const {
+        return *std::min_element(responses_.begin(), responses_.end());
     }
 
   private:
-    void call(std::size_t who) {
-        clients_[who].call(address_, {"GET", "/" + std::to_string(who), {}}, 1s,
-                           [this, who](const std::optional<HttpResponse>& response) {
-                               if (response && response->status == 200) ++served_[who];
-                               if (leastServed() >= callsEach) return loop_.stop();
-                               loop_.after(retryPause, [this, who] { call(who); });
-                           });
+    void call(std::size_t client) {
+        clients_[client].call(address_, {"GET", "/" + std::to_string(client), {}}, 1s,
+                              [this, client](const std::optional<HttpResponse>& response) {
+                                  if (response && response->status == 200) ++responses_[client];
+                                  if (fewestResponses() >= callsPerClient) return loop_.stop();
+                                  loop_.after(retryInterval, [this, client] { call(client); });
+                              });
     }
 
     Loop& loop_;
     std::string address_;
     std::deque<HttpClient> clients_;
-    std::vector<int> served_;
+    std::vector<int> responses_;
 };
 
-TEST(Http, NoClientOfACrowdIsAlwaysShutOut) {
+// Clients that keep their connections could occupy all connections of a server, so that the other
+// clients are never served. Near its connection limit, the server must close connections.
+TEST(Http, EveryClientIsServedNearTheConnectionLimit) {
     Loop loop;
     const auto address = freeAddress();
     const HttpServer server(loop, address, 8, [](const HttpRequest&, const HttpReply& reply) {
         reply({200, {}, 0});
     });
-    const Crowd crowd(loop, address, 40);
+    const CompetingClients clients(loop, address, 40);
     loop.after(10s, [&loop] { loop.stop(); });
     loop.run();
-    EXPECT_GE(crowd.leastServed(), callsEach);
+    EXPECT_GE(clients.fewestResponses(), callsPerClient);
 }
 
-TEST(Http, CommandsLeaveTheStateServiceItsConnection) {
+// Unanswered commands to workers can use up all connections of the client. A call to the state
+// service must still get a connection, because that address is exempt from the limit.
+TEST(Http, ConnectionLimitDoesNotBlockTheStateService) {
     Loop loop;
     const auto stateAddress = freeAddress();
     const HttpServer server(loop, stateAddress, 8,
                             [](const HttpRequest& request, const HttpReply& reply) {
                                 if (request.path == "/state")
-                                    reply({200, {}, 0});  // others are never answered
+                                    reply({200, {}, 0});  // other requests are never answered
                             });
     HttpClient client(loop, 2, {stateAddress});
     HttpClient bounded(loop, 2, {});
