--- a/tests/sim/simulation_users.cpp
+++ b/tests/sim/simulation_users.cpp
@@ -213,17 +213,17 @@
         auto room = type->type.capacity;
         for (const auto& task : w->tasks) {
             if (task.state == wire::stateExited) continue;
-            room -= simulatedJobs_[task.job].spec.each;
+            room -= simulatedJobs_[task.job].spec.taskResources;
             if (simulatedJobs_[task.job].spec.team == spec.team)
-                team += simulatedJobs_[task.job].spec.each;
+                team += simulatedJobs_[task.job].spec.taskResources;
             if (task.job == id) placed.insert(task.index);
         }
         if ((spec.types &&
              std::find(spec.types->begin(), spec.types->end(), w->type) == spec.types->end()) ||
             (spec.zone && *spec.zone != w->zone) || (w->spot && !spec.spot) || w->faulty)
             continue;
-        while (spec.each.fits(room) && places[w->zone] < spec.tasks) {
-            room -= spec.each;
+        while (spec.taskResources.fits(room) && places[w->zone] < spec.tasks) {
+            room -= spec.taskResources;
             ++places[w->zone];
         }
     }
@@ -234,8 +234,8 @@
     for (const auto& limit : spec_.teams) {
         if (limit.name != spec.team) continue;
         const double times = needed;
-        if ((limit.cpusMax > 0 && team.cpus + spec.each.cpus * times > limit.cpusMax) ||
-            (limit.gpusMax > 0 && team.gpus + spec.each.gpus * times > limit.gpusMax))
+        if ((limit.cpusMax > 0 && team.cpus + spec.taskResources.cpus * times > limit.cpusMax) ||
+            (limit.gpusMax > 0 && team.gpus + spec.taskResources.gpus * times > limit.gpusMax))
             return false;
     }
     std::uint32_t all = 0;
