--- a/src/coordination/migration/machine_lending.cpp
+++ b/src/coordination/migration/machine_lending.cpp
@@ -66,7 +66,7 @@
     // Some of what it lacks is of no use to it unless the rest can come free or be provisioned, but
     // asking costs little and unused loans go back. A busy machine kept here does not spare the
     // request: two partitions with an idle machine each once left gangs of two waiting for minutes
-    // (largest_first).
+    // (largest_gang_before_queued_small_gangs).
     auto missing = entry.tasksWithoutFreeMachine;
     std::sort(lenders.begin(), lenders.end(),
               [](const Lender& a, const Lender& b) { return a.idle > b.idle; });
@@ -75,7 +75,8 @@
         missing -= lender.requested;
     }
     // Under a load that never leaves a machine idle, peers have to keep some as they come free: a
-    // gang larger than its partition else never began (scenario largest_first).
+    // gang larger than its partition else never began (scenario
+    // largest_gang_before_queued_small_gangs).
     missing = std::min(missing, entry.tasks);
     if (placement_.canProvision(gang, entry.zone)) return;
     std::sort(lenders.begin(), lenders.end(),
@@ -137,7 +138,8 @@
                 (reserving != nullptr && placement_.precedes(gang, *reserving)))
                 lendable.busy.push_back(machine);
         } else if (lendable.idle.size() <
-                   std::min<std::size_t>(request.machines, context_.settings.transactionChanges)) {
+                   std::min<std::size_t>(request.machines,
+                                         context_.settings.maxTransactionWrites)) {
             lendable.idle.push_back(machine->id);
         }
     }
@@ -170,7 +172,7 @@
 
 bool MachineLending::keepsOthersWaiting(ClusterState& clusterState, const Machine& machine) const {
     // A gang that can't get the rest of its machines once kept a borrowed one idle for minutes,
-    // while work that goes before it waited and may not use a loan (slice_left_behind).
+    // while work that goes before it waited and may not use a loan (partly_started_slice_migrates).
     const Job* gang = clusterState.job(machine.reservedFor);
     const auto* type = context_.findMachineType(machine.type);
     if (gang == nullptr || type == nullptr || context_.now() - machine.knownSince < loanPatience)
@@ -206,7 +208,7 @@
             }
             auto& names = back[*machine->lender];
             if ((inTheWay || now - machine->idleSince > unusedLoan) &&
-                names.size() < context_.settings.transactionChanges)
+                names.size() < context_.settings.maxTransactionWrites)
                 names.push_back(machine->id);
         }
     }
--- a/src/coordination/migration/machine_transfers.cpp
+++ b/src/coordination/migration/machine_transfers.cpp
@@ -8,7 +8,7 @@
 
 // A transfer that was given up may still be carried out late, and its giver's token grows
 // meanwhile: the next leader's begins well above it. With the very next one two leaders once
-// answered a worker with the same token (rebalancing_troubles).
+// answered a worker with the same token (rebalancing_random_failures).
 constexpr std::uint64_t tokenReserve = 256;
 
 }  // namespace
@@ -105,7 +105,7 @@
         addMachine(transfer, machine, next);
     }
     return fits && addQuotas(transfer, clusterState, handover, from, to) &&
-           compares.size() < context_.settings.transactionConditions();
+           compares.size() < context_.settings.maxTransactionCompares();
 }
 
 void MachineTransfers::undo(const Transfer& transfer, ClusterState& clusterState) {
--- a/src/coordination/provisioning/machine_catalog.cpp
+++ b/src/coordination/provisioning/machine_catalog.cpp
@@ -52,7 +52,7 @@
                        clusterState->catalog.begin(), clusterState->catalog.end(), same))
             return;
     }
-    if (value.dump().size() > context_.settings.valueBytes()) return;
+    if (value.dump().size() > context_.settings.maxValueBytes()) return;
     const auto types = context_.catalog;
     pipeline_.commit(
         0, {{{storage::keys::catalog, version}}, {{storage::keys::catalog, std::move(value), 0}}},
@@ -69,7 +69,7 @@
     if (clusterState.catalog.empty() && !context_.catalog.empty() && !pipeline_.busy(0)) record();
 }
 
-void MachineCatalog::adoptRecorded() {
+void MachineCatalog::restoreRecorded() {
     auto clusterState = context_.clusterState.lock();
     if (!context_.catalog.empty() || clusterState->catalog.empty()) return;
     context_.catalog = clusterState->catalog;
--- a/src/coordination/replication/transaction_pipeline.cpp
+++ b/src/coordination/replication/transaction_pipeline.cpp
@@ -62,7 +62,7 @@
     const auto found = queues_.find(partition);
     if (found == queues_.end() || found->second.empty()) return;
     PendingTransaction& pending = found->second.front();
-    // A callback of the previous transaction may have queued this one, which sent it already.
+    // A callback of the previous transaction may already have queued and sent this one.
     if (pending.awaitingResponse) return;
     pending.awaitingResponse = true;
     protocol::CompareAndSwap transaction = pending.transaction;
--- a/tests/sim/checker.cpp
+++ b/tests/sim/checker.cpp
@@ -69,7 +69,8 @@
         for (const auto& [other, trackedJob] : jobs_)
             if (trackedJob.spec.team == team.name)
                 for (const auto& [index, places] : trackedJob.placements)
-                    for (std::size_t i = 0; i < places.size(); ++i) used += trackedJob.spec.each;
+                    for (std::size_t i = 0; i < places.size(); ++i)
+                        used += trackedJob.spec.taskResources;
         if ((team.cpusMax > 0 && used.cpus > team.cpusMax + 1e-6) ||
             (team.gpusMax > 0 && used.gpus > team.gpusMax + 1e-6))
             addViolation("quota", team.name + " with " + name);
--- a/tests/sim/simulation_workers.cpp
+++ b/tests/sim/simulation_workers.cpp
@@ -193,15 +193,15 @@
             const auto& simulatedJob = simulatedJobs_[job];
             const auto type = std::find_if(spec_.types.begin(), spec_.types.end(),
                                            [&](const auto& t) { return t.type.name == w.type; });
-            protocol::Resources used = simulatedJob.spec.each;
+            protocol::Resources used = simulatedJob.spec.taskResources;
             bool busy = false;
             for (const auto& other : w.tasks) {
                 if (other.state == wire::stateExited) continue;
-                used += simulatedJobs_[other.job].spec.each;
+                used += simulatedJobs_[other.job].spec.taskResources;
                 busy = busy || (other.job == job && other.index == index);
             }
             const char* refusal = !simulatedJob.submitted           ? wire::causeUnknown
-                                  : busy                            ? wire::causeBusy
+                                  : busy                            ? wire::causeDuplicateTask
                                   : !used.fits(type->type.capacity) ? wire::causeNoCapacity
                                                                     : nullptr;
             if (refusal != nullptr) {
@@ -332,11 +332,12 @@
                     task->state = wire::stateRunning;
                     scheduleHeartbeat(*w);
                 } else if (now_ - task->waitingSince > gangWait) {
-                    endTask(*w, *task, wire::causeAlone, false);
+                    endTask(*w, *task, wire::causeGangIncomplete, false);
                 }
             } else if (task->state == wire::stateRunning && !whole) {
                 if (!task->peerLossDeadline) task->peerLossDeadline = now_ + gangPeer;
-                if (now_ >= *task->peerLossDeadline) endTask(*w, *task, wire::causePeers, false);
+                if (now_ >= *task->peerLossDeadline)
+                    endTask(*w, *task, wire::causePeersGone, false);
             }
         }
     }
--- a/tests/unit/coordination/api/admission_test.cpp
+++ b/tests/unit/coordination/api/admission_test.cpp
@@ -127,7 +127,7 @@
     first.id = "run-first";
     first.jobClass = first.team = first.image = "x";
     first.tasks = 1;
-    first.each = {1, 0, 1};
+    first.taskResources = {1, 0, 1};
     simulation.at(Time(5), [&] { simulation.submit(first, Time(300), false); });
     auto body = protocol::encodeJobSpec(first);
     body[wire::id] = "run-next";
