--- a/tests/loopback/loopback_main.cpp
+++ b/tests/loopback/loopback_main.cpp
@@ -23,10 +23,9 @@
 constexpr int machines = 12;
 constexpr Time lease{30};
 constexpr Time cancelLimit{60};
-constexpr Time killFreePeriod{
-    20};  // no kills for so long before submissions end, so that all jobs get done
-constexpr Time submissionEnd{30};    // so long before the end of the run, submissions end
-constexpr Time residentJobsEnd{45};  // so long before the end of the run, resident jobs end
+constexpr Time killFreePeriod{20};        // before submissions end, so that all jobs get done
+constexpr Time submissionFreePeriod{30};  // before the end of the run
+constexpr Time residentFreePeriod{45};    // resident jobs end so long before the end of the run
 constexpr int residentJobs = 6;
 constexpr int gangsInWave = 3;  // submitted at once, so that they start on different controllers
 constexpr double wavePeriod = 9;
@@ -44,7 +43,7 @@
     spec.taskResources = each;
     spec.image = "img-1";
     spec.imageSize = 0.1;
-    // Long enough that one queued gang makes the next gang of a wave go to another controller.
+    // Long enough that even a short queue sends the next gang of a wave to another controller.
     spec.estimate = Time(30);
     return spec;
 }
@@ -60,14 +59,14 @@
     const auto submit = [&simulation](Time at, const protocol::JobSpec& spec, Time runs) {
         simulation.at(at, [&simulation, spec, runs] { simulation.submit(spec, runs, false); });
     };
-    const Time residents = length - residentJobsEnd;
+    const Time residents = length - residentFreePeriod;
     for (int i = 0; i < residentJobs; ++i)
         submit(Time(3),
                makeJob(fmt::format("run-r{}", i), protocol::JobKind::array, machines / residentJobs,
                        {1, 0, 70}),
                residents);
     int wave = 0;
-    for (Time at(16); at < length - submissionEnd;
+    for (Time at(16); at < length - submissionFreePeriod;
          at += Time(between(0.7, 1.3) * wavePeriod), ++wave) {
         for (int i = 0; i < gangsInWave; ++i) {
             const auto tasks = static_cast<std::uint32_t>(between(3, 6));
@@ -80,7 +79,7 @@
                makeJob(fmt::format("run-a{}", wave), protocol::JobKind::array, 8, {2, 0, 2}),
                Time(4));
     }
-    for (Time at(16); at < length - submissionEnd - killFreePeriod;
+    for (Time at(16); at < length - submissionFreePeriod - killFreePeriod;
          at += Time(between(0.5, 1.5) * killPeriod)) {
         const int node = static_cast<int>(between(0, nodes));
         const Time down(between(0, 1) < 0.5 ? between(0.05, 0.8) : between(2, 7));
--- a/tests/loopback/processes.h
+++ b/tests/loopback/processes.h
@@ -46,8 +46,8 @@
         std::string name;
         std::string front;
         std::string internal;
-        std::string
-            state;  // one address per node, so that the state service knows which node calls
+        // Address of the state service: one per node, so that the service knows which node calls.
+        std::string state;
         std::string settingsFile;
         pid_t pid = -1;
         std::unique_ptr<transport::HttpServer> stateServer;
--- a/tests/sim/simulation_audit.cpp
+++ b/tests/sim/simulation_audit.cpp
@@ -9,9 +9,8 @@
 namespace {
 
 constexpr Time watchPeriod{5.0};
-constexpr Time heartbeatRound{
-    10.0};                     // longest time between answered heartbeats with one response lost
-constexpr Time settled{15.0};  // after a record changed, until every node has applied it
+constexpr Time heartbeatRound{10.0};  // longest between answered heartbeats, one response lost
+constexpr Time settled{15.0};         // after a record changed, until every node has applied it
 constexpr Time orphansDeleted{90.0};  // after their job ended, if the nodes write nothing else
 constexpr auto slicePrefix = "live/slice/";
 constexpr auto jobPrefix = "live/job/";
--- a/tests/unit/sim/checker_test.cpp
+++ b/tests/unit/sim/checker_test.cpp
@@ -54,8 +54,8 @@
 TEST_F(CheckerTest, DetectsTaskEndedByATransfer) {
     checker.forbidTransferDisruptions();
     checker.machineTransferred("run-1", 0, "m-1", Time(5));
-    checker.endedIncomplete("run-1", 1, "m-1", "halted",
-                            Time(6));  // its machine was not transferred
+    // Its machine was not transferred.
+    checker.endedIncomplete("run-1", 1, "m-1", "halted", Time(6));
     checker.endedIncomplete("run-1", 0, "m-1", "halted", Time(200));  // long after the transfer
     EXPECT_TRUE(checker.violations().empty());
     checker.endedIncomplete("run-1", 0, "m-1", "halted", Time(30));
--- a/tests/unit/sim/small_simulation.h
+++ b/tests/unit/sim/small_simulation.h
@@ -1,5 +1,4 @@
-// The spec of a simulation with one zone and a type of small machines, and a job of one task for
-// it.
+// A simulation spec with one zone and a type of small machines, and a one-task job for it.
 #pragma once
 
 #include "sim/simulation.h"
