--- a/src/coordination/provisioning/autoscaler.cpp
+++ b/src/coordination/provisioning/autoscaler.cpp
@@ -14,16 +14,18 @@
 
 constexpr auto minRefusalPause = 8s;
 constexpr auto maxRefusalPause = 40s;
-constexpr auto loanHeadStart = 2s;        // before machines are requested for a gang
-constexpr auto refusalMemory = 30s;       // after a pause's end: there may be some again
-constexpr double maxBootFactor = 2.0;     // times the stated boot time: no longer counted on
-constexpr auto bootGrace = 20s;           // beyond that
-constexpr int maxProvisionedAtOnce = 50;  // what one call may ask for
-constexpr int maxTries = 3;
-constexpr double otherZonePenalty = 1.02;  // factor of the price
-
-Duration bootDeadline(const MachineType& type) {
-    return toSteadyDuration(type.bootTime * maxBootFactor) + bootGrace;
+constexpr auto gangLoanGracePeriod = 2s;  // peers may lend idle machines to a gang first
+constexpr auto refusalRetention = 30s;    // after the pause; then capacity may be back
+// A machine that boots for longer than this factor times its stated boot time plus `bootGrace` no
+// longer counts as incoming.
+constexpr double bootTimeoutFactor = 2.0;
+constexpr auto bootGrace = 20s;
+constexpr int maxMachinesPerRequest = 50;
+constexpr int maxAttempts = 3;
+constexpr double otherZonePenalty = 1.02;  // factor on the price
+
+Duration bootTimeout(const MachineType& type) {
+    return toSteadyDuration(type.bootTime * bootTimeoutFactor) + bootGrace;
 }
 
 }  // namespace
@@ -33,17 +35,18 @@
                                                const MachinePoolId& pool) const {
     if (pool.spot && !context_.operatorSettings.useSpot) return std::nullopt;
     if (!typeAllowed(job.spec, type, pool.zone, pool.spot)) return std::nullopt;
-    const auto refused = refused_.find(pool);
-    if (refused != refused_.end() && context_.now() < refused->second.until) return std::nullopt;
+    const auto refused = refusals_.find(pool);
+    if (refused != refusals_.end() && context_.now() < refused->second.until) return std::nullopt;
     const double fit = countFittingTasks(job, type.capacity, tasks);
     double price = (pool.spot ? type.spotPrice : type.price) / std::max(1.0, fit);
-    // Near the partition's own node, so that a cut between zones separates fewer of them.
+    // Prefer the node's own zone: a network partition between zones then separates fewer machines
+    // from the leader.
     if (pool.zone != context_.settings.zone) price *= otherZonePenalty;
     return price;
 }
 
-std::optional<MachinePoolId> Autoscaler::cheapest(const Job& job, std::uint32_t tasks,
-                                                  const std::string& inZone) const {
+std::optional<MachinePoolId> Autoscaler::cheapestPool(const Job& job, std::uint32_t tasks,
+                                                      const std::string& inZone) const {
     std::optional<MachinePoolId> best;
     double bestPrice = 0;
     for (const auto& type : context_.catalog) {
@@ -67,15 +70,16 @@
     const auto now = context_.now();
     for (const auto* machine : clusterState.machinesOf(partition)) {
         const auto* type = context_.findMachineType(machine->type);
-        // Those that are up and not yet recorded or acknowledged are as good as booting.
+        // A machine that is up but not yet recorded or acknowledged takes no tasks yet, so it
+        // counts as booting.
         const bool inUse =
             machine->lastHeartbeat && machine->version != 0 && machine->acknowledged();
         if (machine->decommissioned || inUse || type == nullptr ||
-            now - machine->knownSince > bootDeadline(*type))
+            now - machine->knownSince > bootTimeout(*type))
             continue;
         incoming.push_back({{machine->type, machine->zone, machine->spot}, type->capacity});
     }
-    for (const auto& [pool, count] : inProgress_[partition])
+    for (const auto& [pool, count] : requestedMachines_[partition])
         for (int i = 0; i < count; ++i)
             if (const auto* type = context_.findMachineType(pool.type))
                 incoming.push_back({pool, type->capacity});
@@ -84,7 +88,8 @@
 
 void Autoscaler::scaleOutFor(PartitionId partition,
                              const std::vector<UnschedulableWork>& unschedulable) {
-    // Calls are few: none is queued behind others, and each rests on the answers before it.
+    // Cloud calls are rate-limited: do not queue a request behind others, and decide each one on
+    // the responses to the earlier ones.
     if (unschedulable.empty() || !membership_.isLeaseValid() || context_.cloudClient.waiting() > 0)
         return;
     auto clusterState = context_.clusterState.lock();
@@ -106,19 +111,19 @@
                                  std::vector<IncomingMachine>& incoming,
                                  ProvisioningRequests& requests) const {
     for (std::uint32_t left = tasks; left > 0; --left) {
-        const auto fits =
-            std::find_if(incoming.begin(), incoming.end(), [&](const IncomingMachine& c) {
-                return typeAllowed(job.spec, *context_.findMachineType(c.pool.type), c.pool.zone,
-                                   c.pool.spot) &&
-                       job.spec.each.fits(c.available);
+        const auto machine =
+            std::find_if(incoming.begin(), incoming.end(), [&](const IncomingMachine& candidate) {
+                return typeAllowed(job.spec, *context_.findMachineType(candidate.pool.type),
+                                   candidate.pool.zone, candidate.pool.spot) &&
+                       job.spec.each.fits(candidate.available);
             });
-        if (fits != incoming.end()) {
-            fits->available -= job.spec.each;
+        if (machine != incoming.end()) {
+            machine->available -= job.spec.each;
             continue;
         }
-        const auto pool = cheapest(job, left, {});
-        // The answer to the last call tells whether the pool has more machines.
-        if (!pool || isRequestInFlight(*pool) || requests[*pool].count >= maxProvisionedAtOnce)
+        const auto pool = cheapestPool(job, left, {});
+        // The response to the request in flight shows whether the pool has more machines.
+        if (!pool || isRequestInFlight(*pool) || requests[*pool].count >= maxMachinesPerRequest)
             break;
         ++requests[*pool].count;
         incoming.push_back({*pool, context_.findMachineType(pool->type)->capacity});
@@ -128,67 +133,68 @@
 
 void Autoscaler::requestForGang(const UnschedulableWork& entry, const Job& job,
                                 ProvisioningRequests& requests) const {
-    // What it lacks, in the zone where it is assembled, and reserved for it from the start:
-    // machines provisioned task by task lay in several zones and went to other work as they came
-    // up. Peers are asked for idle machines first.
-    if (entry.tasks == 0 || provisioningFor_.contains(entry.job) ||
-        context_.now() - job.assemblySince < loanHeadStart)
+    // Request all missing machines in the zone where the gang is assembled, and reserve them for it
+    // at once: machines provisioned task by task were in several zones and were given to other work
+    // as they came up. Peers are asked to lend idle machines first.
+    if (entry.tasks == 0 || gangsInProvisioning_.contains(entry.job) ||
+        context_.now() - job.assemblySince < gangLoanGracePeriod)
         return;
-    const auto pool = cheapest(job, entry.tasks, entry.zone);
+    const auto pool = cheapestPool(job, entry.tasks, entry.zone);
     if (!pool || isRequestInFlight(*pool)) return;
-    const auto each =
+    const auto tasksPerMachine =
         countFittingTasks(job, context_.findMachineType(pool->type)->capacity, entry.tasks);
     const auto machines =
-        std::min(maxProvisionedAtOnce, static_cast<int>((entry.tasks + each - 1) / each));
-    // Many gangs in one call: with a call for each, a morning's gangs took a minute to provision
-    // for.
+        std::min(maxMachinesPerRequest,
+                 static_cast<int>((entry.tasks + tasksPerMachine - 1) / tasksPerMachine));
+    // One call serves many gangs: with one call per gang, provisioning for a morning's gangs took a
+    // minute.
     auto& request = requests[*pool];
-    if (request.count + machines > maxProvisionedAtOnce) return;
+    if (request.count + machines > maxMachinesPerRequest) return;
     request.count += machines;
     request.gangs.push_back({entry.job, machines});
 }
 
 void Autoscaler::scaleOut(PartitionId partition, const MachinePoolId& pool,
                           const ProvisioningRequest& request) {
-    for (const auto& entry : request.gangs) provisioningFor_.insert(entry.gang);
-    inProgress_[partition][pool] += request.count;
-    // Terms are given out once and the number grows, so no name is ever used again.
-    const auto name = "r-" + context_.settings.name + "-" +
-                      std::to_string(membership_.term(partition)) + "-" +
-                      std::to_string(++requestCount_);
+    for (const auto& entry : request.gangs) gangsInProvisioning_.insert(entry.gang);
+    requestedMachines_[partition][pool] += request.count;
+    // No request id is ever reused: a term is assigned only once, and the counter only grows.
+    const auto requestId = "r-" + context_.settings.name + "-" +
+                           std::to_string(membership_.term(partition)) + "-" +
+                           std::to_string(++requestCount_);
     spdlog::debug("autoscaler: scale_out request={} count={} type={} zone={} spot={} gangs={}",
-                  name, request.count, pool.type, pool.zone, pool.spot, request.gangs.size());
-    send({name, partition, pool, request}, maxTries);
+                  requestId, request.count, pool.type, pool.zone, pool.spot, request.gangs.size());
+    send({requestId, partition, pool, request}, maxAttempts);
 }
 
-void Autoscaler::send(const PendingRequest& pending, int tries) {
+void Autoscaler::send(const PendingRequest& pending, int attemptsLeft) {
     context_.cloudClient.provision(
-        pending.name, pending.pool.type, pending.pool.zone, pending.pool.spot,
+        pending.requestId, pending.pool.type, pending.pool.zone, pending.pool.spot,
         pending.request.count,
-        [this, pending, tries](protocol::ProvisioningResult result,
-                               const std::vector<std::string>& machines) {
-            if (result == protocol::ProvisioningResult::unknown && tries > 1)
-                return send(pending, tries - 1);
+        [this, pending, attemptsLeft](protocol::ProvisioningResult result,
+                                      const std::vector<std::string>& machines) {
+            if (result == protocol::ProvisioningResult::unknown && attemptsLeft > 1)
+                return send(pending, attemptsLeft - 1);
             onProvisioned(pending, machines);
         });
 }
 
 void Autoscaler::onProvisioned(const PendingRequest& pending,
                                const std::vector<std::string>& machines) {
-    const auto& [name, partition, pool, request] = pending;
-    inProgress_[partition][pool] -= request.count;
-    rounds_.scheduleRound();
+    const auto& [requestId, partition, pool, request] = pending;
+    requestedMachines_[partition][pool] -= request.count;
+    roundScheduler_.scheduleRound();
     auto clusterState = context_.clusterState.lock();
     const auto* type = context_.findMachineType(pool.type);
     auto next = machines.begin();
     for (const auto& [gang, count] : request.gangs) {
-        provisioningFor_.erase(gang);
+        gangsInProvisioning_.erase(gang);
         const Job* job = clusterState->job(gang);
         for (int i = 0; i < count && next != machines.end(); ++i, ++next) {
             Machine* machine = inventory_.addMachine(pool, *next, partition);
             if (machine == nullptr || job == nullptr || type == nullptr) continue;
             reserve(context_, *machine, *job,
-                    countFittingTasks(*job, type->capacity, job->spec.tasks), bootDeadline(*type));
+                    countFittingTasks(*job, type->capacity, job->spec.tasks), bootTimeout(*type));
         }
     }
     for (; next != machines.end(); ++next) inventory_.addMachine(pool, *next, partition);
@@ -198,7 +204,7 @@
     if (static_cast<int>(machines.size()) < request.count)
         recordRefusal(pool);
     else
-        refused_.erase(pool);
+        refusals_.erase(pool);
 }
 
 bool Autoscaler::canProvision(const Job& job, const std::string& inZone) const {
@@ -210,15 +216,15 @@
                     (spot && !context_.operatorSettings.useSpot) ||
                     !typeAllowed(job.spec, type, zone, spot))
                     continue;
-                const auto refused = refused_.find({type.name, zone, spot});
-                if (refused == refused_.end() || now - refused->second.until > refusalMemory)
+                const auto refused = refusals_.find({type.name, zone, spot});
+                if (refused == refusals_.end() || now - refused->second.until > refusalRetention)
                     return true;
             }
     return false;
 }
 
 void Autoscaler::recordRefusal(const MachinePoolId& pool) {
-    auto& refusal = refused_[pool];
+    auto& refusal = refusals_[pool];
     refusal.pause = std::clamp<Duration>(refusal.pause * 2, minRefusalPause, maxRefusalPause);
     refusal.until = context_.now() + context_.jittered(refusal.pause);
     const auto millis = std::chrono::duration_cast<std::chrono::milliseconds>(refusal.pause);
@@ -233,16 +239,17 @@
     const auto pause = std::min<Duration>(
         std::chrono::milliseconds(std::min<std::uint64_t>(message.pauseMillis, 1'000'000)),
         maxRefusalPause);
-    auto& refusal = refused_[{message.type, message.zone, message.spot}];
+    auto& refusal = refusals_[{message.type, message.zone, message.spot}];
     refusal.pause = std::max(refusal.pause, pause);
     refusal.until = std::max(refusal.until, context_.now() + pause);
 }
 
 bool Autoscaler::isRequestInFlight(const MachinePoolId& pool) const {
-    return std::any_of(inProgress_.begin(), inProgress_.end(), [&](const auto& entry) {
-        const auto found = entry.second.find(pool);
-        return found != entry.second.end() && found->second > 0;
-    });
+    return std::any_of(requestedMachines_.begin(), requestedMachines_.end(),
+                       [&](const auto& entry) {
+                           const auto found = entry.second.find(pool);
+                           return found != entry.second.end() && found->second > 0;
+                       });
 }
 
 }  // namespace fawnwheel::coordination
--- a/src/coordination/provisioning/autoscaler.h
+++ b/src/coordination/provisioning/autoscaler.h
@@ -1,5 +1,5 @@
 /// @file
-/// Provisions machines from the cloud for work that finds no place.
+/// Provisions machines from the cloud for tasks that fit on no existing machine.
 #pragma once
 
 #include "coordination/provisioning/machine_inventory.h"
@@ -8,23 +8,24 @@
 
 namespace fawnwheel::coordination {
 
-/// Chooses the cheapest machine pools, sends provisioning requests, and remembers which pools the
-/// cloud has refused.
+/// Chooses the cheapest machine pools, sends provisioning requests, and backs off from pools for
+/// which the cloud has refused a request.
 class Autoscaler : public CloudAvailability {
   public:
-    /// `rounds` is told of each answer of the cloud.
+    /// Each response of the cloud schedules a scheduling round through `rounds`.
     Autoscaler(Context& context, Membership& membership, MachineRecords& records,
-               MachineInventory& inventory, RoundScheduler& rounds)
+               MachineInventory& inventory, RoundScheduler& roundScheduler)
         : context_(context),
           membership_(membership),
           records_(records),
           inventory_(inventory),
-          rounds_(rounds) {}
+          roundScheduler_(roundScheduler) {}
 
-    /// Requests machines for what neither the partition's machines nor those on their way can run.
+    /// Requests machines for the tasks that fit neither on the partition's machines nor on machines
+    /// that are booting or already requested.
     void scaleOutFor(PartitionId partition, const std::vector<UnschedulableWork>& unschedulable);
     [[nodiscard]] bool canProvision(const Job& job, const std::string& inZone) const override;
-    /// A peer was refused machines of a pool.
+    /// Handles a peer's notice that the cloud refused it machines of a pool.
     void onCapacityExhausted(const protocol::CapacityExhausted& message);
 
   private:
@@ -32,20 +33,20 @@
         std::string gang;
         int count = 0;
     };
-    // What one call asks for: machines, of which some are reserved for gangs from the start.
+    // Machines requested in one call; those listed in `gangs` are reserved for them at once.
     struct ProvisioningRequest {
         int count = 0;
-        std::vector<GangMachines> gangs;  // in the queue's order
+        std::vector<GangMachines> gangs;  // in queue order
     };
     using ProvisioningRequests = std::map<MachinePoolId, ProvisioningRequest>;
-    // A request on its way to the cloud.
+    // A provisioning request that the cloud has not answered.
     struct PendingRequest {
-        std::string name;  // the same for all tries
+        std::string requestId;  // the same in every retry
         PartitionId partition = 0;
         MachinePoolId pool;
         ProvisioningRequest request;
     };
-    // A machine that is booting or requested, with what is not yet counted on.
+    // A machine that is booting or requested, with its capacity that no waiting task has claimed.
     struct IncomingMachine {
         MachinePoolId pool;
         Resources available;
@@ -62,18 +63,18 @@
                          ProvisioningRequests& requests) const;
     void requestForGang(const UnschedulableWork& entry, const Job& job,
                         ProvisioningRequests& requests) const;
-    /// What a task of the job would cost an hour on a machine of the pool with `tasks` of them at
-    /// most; none: the job may not use the pool, or the cloud has lately refused it.
+    /// Hourly price per task of the job on a machine of the pool that runs at most `tasks` of its
+    /// tasks. None if the job may not use the pool or the pool is in backoff after a refusal.
     [[nodiscard]] std::optional<double> pricePerTask(const Job& job, std::uint32_t tasks,
                                                      const MachineType& type,
                                                      const MachinePoolId& pool) const;
-    // The cheapest pool for so many tasks of the job, of all zones if none is named. None: the
-    // cloud has refused all, or none suits.
-    [[nodiscard]] std::optional<MachinePoolId> cheapest(const Job& job, std::uint32_t tasks,
-                                                        const std::string& inZone) const;
+    // The cheapest pool for this number of the job's tasks; an empty `inZone` allows all zones.
+    // None if every suitable pool is in backoff or no pool suits the job.
+    [[nodiscard]] std::optional<MachinePoolId> cheapestPool(const Job& job, std::uint32_t tasks,
+                                                            const std::string& inZone) const;
     void scaleOut(PartitionId partition, const MachinePoolId& pool,
                   const ProvisioningRequest& request);
-    void send(const PendingRequest& pending, int tries);
+    void send(const PendingRequest& pending, int attemptsLeft);
     void onProvisioned(const PendingRequest& pending, const std::vector<std::string>& machines);
     void recordRefusal(const MachinePoolId& pool);
     [[nodiscard]] bool isRequestInFlight(const MachinePoolId& pool) const;
@@ -82,11 +83,11 @@
     Membership& membership_;
     MachineRecords& records_;
     MachineInventory& inventory_;
-    RoundScheduler& rounds_;
-    std::map<MachinePoolId, Refusal> refused_;  // no capacity: not before
-    // Machines requested and not answered for.
-    std::map<std::uint32_t, std::map<MachinePoolId, int>> inProgress_;  // by partition
-    std::set<std::string> provisioningFor_;                             // gangs
+    RoundScheduler& roundScheduler_;
+    std::map<MachinePoolId, Refusal> refusals_;  // pools in backoff
+    // Number of machines in unanswered requests.
+    std::map<std::uint32_t, std::map<MachinePoolId, int>> requestedMachines_;  // by partition
+    std::set<std::string> gangsInProvisioning_;                                // job ids
     std::uint64_t requestCount_ = 0;
 };
 
--- a/src/coordination/provisioning/decommissioner.cpp
+++ b/src/coordination/provisioning/decommissioner.cpp
@@ -8,7 +8,7 @@
 
 using Change = MachineRecords::Change;
 
-constexpr std::size_t maxReleasedAtOnce = 100;
+constexpr std::size_t maxMachinesPerRelease = 100;
 
 const char* nameOf(DecommissionReason reason) {
     switch (reason) {
@@ -33,7 +33,7 @@
 }  // namespace
 
 void Decommissioner::decommission(Machine& machine, DecommissionReason reason) {
-    // Its new leader will see to it.
+    // The machine's next leader decides whether to decommission it.
     if (machine.transferring) return;
     if (machine.decommissioned || records_.isPending(Change::decommission, machine.id)) return;
     spdlog::info("inventory: machine_decommissioned machine={} reason={}", machine.id,
@@ -43,37 +43,39 @@
 }
 
 void Decommissioner::releaseDecommissioned() {
-    // One call at a time, for all that has come together meanwhile: calls are few, and with one for
-    // each machine hundreds of idle ones stayed for minutes.
+    // One call at a time releases all machines decommissioned since the last one: calls are
+    // rate-limited, and with one call per machine, releasing hundreds of idle machines took
+    // minutes.
     if (!releasing_.empty()) return;
     std::vector<std::string> names;
     auto clusterState = context_.clusterState.lock();
     for (const auto partition : membership_.ledPartitions())
         for (const auto* machine : clusterState->machinesOf(partition)) {
-            // Only after the record says so, durably: a late copy of the request must not hit a
-            // machine that has work again.
+            // Release only after the decommissioned mark is durable: a late copy of the request
+            // must not release a machine that has been given tasks again.
             if (machine->decommissioned && !records_.isPending(Change::decommission, machine->id) &&
-                names.size() < maxReleasedAtOnce && releasing_.insert(machine->id).second)
+                names.size() < maxMachinesPerRelease && releasing_.insert(machine->id).second)
                 names.push_back(machine->id);
         }
     if (names.empty()) return;
-    context_.cloudClient.release(names, [this, names](bool gone) {
+    context_.cloudClient.release(names, [this, names](bool released) {
         for (const auto& id : names) {
             releasing_.erase(id);
-            if (!gone) continue;
+            if (!released) continue;
             auto state = context_.clusterState.lock();
             Machine* machine = state->machine(id);
             if (machine == nullptr || !membership_.isLeader(machine->partition)) continue;
             heartbeats_.releaseAllocations(*machine, "given back");
-            forget(machine->partition, id);
+            deleteMachine(machine->partition, id);
         }
     });
 }
 
-void Decommissioner::forget(PartitionId partition, const std::string& id) {
+void Decommissioner::deleteMachine(PartitionId partition, const std::string& id) {
     auto clusterState = context_.clusterState.lock();
     const Machine* machine = clusterState->machine(id);
-    // While an allocation on it is being written, its end can't be recorded.
+    // The end of an allocation can't be recorded while the allocation is still being written, so
+    // the machine stays until it has none.
     if (machine == nullptr || !machine->allocations.empty()) return;
     if (machine->version == 0 && !records_.isPending(Change::record, id))
         return clusterState->removeMachine(id);
--- a/src/coordination/provisioning/decommissioner.h
+++ b/src/coordination/provisioning/decommissioner.h
@@ -1,5 +1,5 @@
 /// @file
-/// Gives machines back to the cloud.
+/// Returns machines to the cloud.
 #pragma once
 
 #include "coordination/provisioning/machine_records.h"
@@ -7,38 +7,39 @@
 
 namespace fawnwheel::coordination {
 
-/// Why a machine is given back.
+/// Why a machine is decommissioned.
 enum class DecommissionReason {
-    failed,        ///< it has stopped on its own
-    neverBooted,   ///< it has sent no heartbeat for far longer than a boot takes
+    failed,        ///< the cloud lists it as failed
+    neverBooted,   ///< no heartbeat for far longer than a boot takes
     faulty,        ///< tasks fail on it
-    silent,        ///< its heartbeats have ceased
-    unreachable,   ///< it sends heartbeats and receives nothing
-    consolidated,  ///< its tasks have been moved elsewhere
-    idle,          ///< it had no work for long
+    silent,        ///< its heartbeats have stopped
+    unreachable,   ///< it sends heartbeats but acknowledges nothing
+    consolidated,  ///< consolidation has drained it
+    idle,          ///< it was idle for longer than its idle limit
 };
 
-/// Takes a machine out of use, durably, then releases it, then drops its record.
+/// Marks a machine as decommissioned in its record, then asks the cloud to release it, then deletes
+/// its record.
 class Decommissioner {
   public:
     Decommissioner(Context& context, Membership& membership, HeartbeatHandler& heartbeats,
                    MachineRecords& records)
         : context_(context), membership_(membership), heartbeats_(heartbeats), records_(records) {}
 
-    /// Takes the machine out of use from now on, and records that.
+    /// Stops new allocations on the machine and queues the write of its decommissioned mark.
     void decommission(Machine& machine, DecommissionReason reason);
-    /// Asks the cloud to release what has been decommissioned durably, on all partitions of this
-    /// node.
+    /// Asks the cloud to release the machines whose decommissioning is durable, in all partitions
+    /// that this node leads.
     void releaseDecommissioned();
-    /// Drops the record of a machine that is gone, once no allocation on it is left.
-    void forget(PartitionId partition, const std::string& id);
+    /// Deletes a released or vanished machine and its record, unless it still has allocations.
+    void deleteMachine(PartitionId partition, const std::string& id);
 
   private:
     Context& context_;
     Membership& membership_;
     HeartbeatHandler& heartbeats_;
     MachineRecords& records_;
-    std::set<std::string> releasing_;  // by the call in flight
+    std::set<std::string> releasing_;  // machines named in the release call in flight
 };
 
 }  // namespace fawnwheel::coordination
--- a/src/coordination/provisioning/machine_catalog.cpp
+++ b/src/coordination/provisioning/machine_catalog.cpp
@@ -35,15 +35,15 @@
 }
 
 void MachineCatalog::record() {
-    // A controller that starts while the cloud does not answer would else know no machine types,
-    // and take in and place nothing (incident inc-058e).
+    // Without a recorded catalog, a controller that starts while the cloud does not respond knows
+    // no machine types, and neither admits nor places any work (incident inc-058e).
     if (!membership_.isLeader(0) || !membership_.isLeaseValid()) return;
     auto value = storage::catalogValue(context_.catalog);
     std::uint64_t version = 0;
     {
         auto clusterState = context_.clusterState.lock();
         version = clusterState->catalogVersion;
-        // Prices move all the time and are not worth a write.
+        // A change of prices alone is not written: prices change all the time.
         const auto same = [](const MachineType& a, const MachineType& b) {
             return a.name == b.name && a.capacity.fits(b.capacity) && b.capacity.fits(a.capacity) &&
                    a.zones == b.zones;
--- a/src/coordination/provisioning/machine_catalog.h
+++ b/src/coordination/provisioning/machine_catalog.h
@@ -7,18 +7,18 @@
 
 namespace fawnwheel::coordination {
 
-/// Loads `Context::catalog` from the cloud, and records it for controllers that start while the
-/// cloud does not answer.
+/// Loads `Context::catalog` from the cloud and records it in the state service, for controllers
+/// that start while the cloud does not respond.
 class MachineCatalog {
   public:
     MachineCatalog(Context& context, Membership& membership, TransactionPipeline& pipeline)
         : context_(context), membership_(membership), pipeline_(pipeline) {}
 
-    /// Begins to load the catalog, again and again.
+    /// Starts loading the catalog periodically.
     void start();
-    /// Uses the recorded catalog as long as the cloud has not answered.
+    /// Uses the recorded catalog if none has been loaded from the cloud yet.
     void restoreRecorded();
-    /// Records the catalog if none is recorded and nothing else is being written.
+    /// Records the loaded catalog if none is recorded and partition 0 has no write in flight.
     void recordIfMissing(const ClusterState& clusterState);
 
   private:
--- a/src/coordination/provisioning/machine_inventory.cpp
+++ b/src/coordination/provisioning/machine_inventory.cpp
@@ -13,11 +13,11 @@
 
 constexpr auto minListInterval = 4s;
 constexpr double listFractionOfCalls = 0.2;
-constexpr double maxLagFactor = 2.2;  // a list may lag by up to twice the stated time
+constexpr double listLagFactor = 2.2;  // a list may lag by up to twice the stated time
 constexpr auto listLagMargin = 1s;
-constexpr auto requesterHeadStart = 10s;  // who provisioned a machine records it itself
-constexpr auto unassignedGrace = 1s;      // until a machine that sends heartbeats is taken in
-constexpr auto notLeadingPause = 500ms;
+constexpr auto requesterGracePeriod = 10s;  // for the node that provisioned a machine to record it
+constexpr auto unassignedGracePeriod = 1s;  // before an unrecorded machine is added
+constexpr auto notLeadingRetryInterval = 500ms;
 
 }  // namespace
 
@@ -27,26 +27,28 @@
 
 void MachineInventory::listMachines() {
     if (membership_.ledPartitions().empty()) {
-        context_.timers.after(context_.jittered(notLeadingPause), [this] { listMachines(); });
+        context_.timers.after(context_.jittered(notLeadingRetryInterval),
+                              [this] { listMachines(); });
         return;
     }
     listPage({}, context_.now(), {}, 1);
 }
 
-void MachineInventory::listPage(const std::string& after, SteadyTime asked,
+void MachineInventory::listPage(const std::string& after, SteadyTime requestedAt,
                                 std::vector<protocol::CloudMachine> listed, int pages) {
-    context_.cloudClient.list(after, [this, asked, pages, listed = std::move(listed)](
+    context_.cloudClient.list(after, [this, requestedAt, pages, listed = std::move(listed)](
                                          std::optional<protocol::CloudPage> page) mutable {
-        // An empty page that says more is no end: all behind it would seem to be gone.
+        // Discard the list on an empty page that announces more: the machines on the pages after
+        // it would count as no longer listed.
         if (page && !(page->more && page->machines.empty())) {
             listed.insert(listed.end(), page->machines.begin(), page->machines.end());
             if (page->more) {
-                // A copy: arguments are evaluated in any order, so that the name once was read
-                // from a list that had been moved away (scenario grown_fleet).
+                // Copy the id first: arguments are evaluated in any order, so `listed` could be
+                // moved from before its last id is read (scenario grown_fleet).
                 const auto last = listed.back().id;
-                return listPage(last, asked, std::move(listed), pages + 1);
+                return listPage(last, requestedAt, std::move(listed), pages + 1);
             }
-            applyMachineList(asked, listed);
+            applyMachineList(requestedAt, listed);
         }
         const auto fraction =
             context_.settings.cloudCalls / static_cast<double>(context_.nodes.size());
@@ -57,27 +59,27 @@
 }
 
 Duration MachineInventory::maxListLag() const {
-    return toSteadyDuration(context_.settings.listLag * maxLagFactor) + listLagMargin;
+    return toSteadyDuration(context_.settings.listLag * listLagFactor) + listLagMargin;
 }
 
-void MachineInventory::applyMachineList(SteadyTime asked,
+void MachineInventory::applyMachineList(SteadyTime requestedAt,
                                         const std::vector<protocol::CloudMachine>& machines) {
-    std::set<std::string> present;
+    std::set<std::string> listedIds;
     const auto partitions = membership_.ledPartitions();
     const std::set<std::uint32_t> own(partitions.begin(), partitions.end());
     auto clusterState = context_.clusterState.lock();
     for (const auto& listed : machines) {
-        present.insert(listed.id);
-        applyListedMachine(*clusterState, listed, own, asked);
+        listedIds.insert(listed.id);
+        applyListedMachine(*clusterState, listed, own, requestedAt);
     }
-    std::erase_if(unassignedSince_, [&](const auto& e) { return !present.contains(e.first); });
-    reconcileMissing(*clusterState, present, own, asked);
+    std::erase_if(unassignedSince_, [&](const auto& e) { return !listedIds.contains(e.first); });
+    reconcileMissing(*clusterState, listedIds, own, requestedAt);
 }
 
 void MachineInventory::applyListedMachine(ClusterState& clusterState,
                                           const protocol::CloudMachine& listed,
                                           const std::set<std::uint32_t>& ownPartitions,
-                                          SteadyTime asked) {
+                                          SteadyTime requestedAt) {
     const auto now = context_.now();
     if (Machine* machine = clusterState.machine(listed.id)) {
         machine->lastListed = now;
@@ -85,54 +87,55 @@
         machine->listedAsFailed = listed.state == protocol::CloudState::failed;
         return;
     }
-    // A lagging list still shows machines that are gone. One that was returned before this
-    // process began is told from a new one by the lists of a later moment.
+    // A lagging list still shows released machines. A machine released before this process started
+    // is told from a new one only by a list requested later than the list lag.
     const auto partition = partitionFor(clusterState, listed.id, listed.zone);
     if (!ownPartitions.contains(partition) || clusterState.deletedMachines.contains(listed.id))
         return;
     const auto since = unassignedSince_.try_emplace(listed.id, now).first->second;
-    if (asked - since <= maxListLag() || now - since <= requesterHeadStart) return;
+    if (requestedAt - since <= maxListLag() || now - since <= requesterGracePeriod) return;
     unassignedSince_.erase(listed.id);
     addMachine({listed.type, listed.zone, listed.spot}, listed.id, partition);
 }
 
 void MachineInventory::reconcileMissing(ClusterState& clusterState,
-                                        const std::set<std::string>& present,
+                                        const std::set<std::string>& listedIds,
                                         const std::set<std::uint32_t>& ownPartitions,
-                                        SteadyTime asked) {
+                                        SteadyTime requestedAt) {
     const auto lag = maxListLag();
-    struct GoneMachine {
+    struct MissingMachine {
         PartitionId partition = 0;
         std::string id;
     };
-    std::vector<GoneMachine> gone;
+    std::vector<MissingMachine> missing;
     for (auto& [id, machine] : clusterState.machines) {
         if (!ownPartitions.contains(machine.partition)) continue;
         if (machine.listedAsFailed && !machine.decommissioned) {
-            // It has stopped on its own, with all that ran on it.
+            // The machine has failed, and every task on it with it.
             heartbeats_.releaseAllocations(machine, "failed");
             decommissioner_.decommission(machine, DecommissionReason::failed);
             continue;
         }
-        // Once listed, a machine stays listed until it is gone; but this list may describe a
-        // moment before an earlier one did, and before the machine's latest heartbeat.
-        if (present.contains(id) || !machine.lastListed || asked - *machine.lastListed <= lag ||
-            (machine.lastHeartbeat && asked - *machine.lastHeartbeat <= lag))
+        // Once listed, a machine stays listed until it no longer exists. But this list may describe
+        // an earlier state than a previous list or the machine's latest heartbeat.
+        if (listedIds.contains(id) || !machine.lastListed ||
+            requestedAt - *machine.lastListed <= lag ||
+            (machine.lastHeartbeat && requestedAt - *machine.lastHeartbeat <= lag))
             continue;
         heartbeats_.releaseAllocations(machine, "no longer listed");
-        gone.push_back({machine.partition, id});
+        missing.push_back({machine.partition, id});
     }
-    for (const auto& entry : gone) decommissioner_.forget(entry.partition, entry.id);
+    for (const auto& entry : missing) decommissioner_.deleteMachine(entry.partition, entry.id);
 }
 
 void MachineInventory::onUnassignedHeartbeat(const protocol::Heartbeat& heartbeat) {
     const auto now = context_.now();
-    // A heartbeat that was delayed on its way.
+    // Ignore a delayed heartbeat of a deleted machine.
     if (context_.clusterState.lock()->deletedMachines.contains(heartbeat.machine)) return;
     const auto [entry, fresh] = unassignedSince_.try_emplace(heartbeat.machine, now);
-    // The record of whoever provisioned it may be on its way; but machines that were there before
-    // us have none.
-    if (fresh || now - entry->second <= unassignedGrace) return;
+    // Wait, since the node that provisioned the machine may be writing its record. Machines that
+    // existed before the controllers have no record, so they are added after the wait.
+    if (fresh || now - entry->second <= unassignedGracePeriod) return;
     unassignedSince_.erase(entry);
     addMachine({heartbeat.type, heartbeat.zone, heartbeat.spot}, heartbeat.machine,
                partitionFor(*context_.clusterState.lock(), heartbeat.machine, heartbeat.zone));
@@ -150,8 +153,8 @@
         const Machine* machine = clusterState.machine(id);
         const auto type = protocol::textOf(corrupt.value, "type");
         const auto zone = protocol::textOf(corrupt.value, "zone");
-        // Read corrupt at the start: with a type and a zone it can be made out, and else the
-        // cloud's list tells them.
+        // The record was already corrupt when this node first read it. If its type and zone are
+        // readable, add the machine; otherwise the cloud's list supplies them.
         if (machine == nullptr && context_.findMachineType(type) != nullptr &&
             partitionFor(clusterState, id, zone) == partition)
             machine =
--- a/src/coordination/provisioning/machine_inventory.h
+++ b/src/coordination/provisioning/machine_inventory.h
@@ -1,5 +1,5 @@
 /// @file
-/// Knows which machines exist and assigns them to partitions.
+/// Tracks which machines exist and assigns them to partitions.
 #pragma once
 
 #include "coordination/provisioning/decommissioner.h"
@@ -7,8 +7,8 @@
 
 namespace fawnwheel::coordination {
 
-/// Compares the cloud's lists and the workers' heartbeats with the known machines of the partitions
-/// that this process leads.
+/// Reconciles the known machines of the partitions that this node leads with the cloud's lists and
+/// the workers' heartbeats.
 class MachineInventory {
   public:
     MachineInventory(Context& context, Membership& membership, HeartbeatHandler& heartbeats,
@@ -19,30 +19,32 @@
           records_(records),
           decommissioner_(decommissioner) {}
 
-    /// Begins to list the cloud's machines, again and again.
+    /// Starts listing the cloud's machines periodically.
     void start();
-    /// A worker sends heartbeats whose machine has no record yet, and whose default partition is
-    /// ours.
+    /// Handles a heartbeat from a machine that has no record yet and whose default partition this
+    /// node leads.
     void onUnassignedHeartbeat(const protocol::Heartbeat& heartbeat);
-    /// Adds a machine to a partition, not yet recorded. None: it is known already, or gone.
+    /// Adds a machine without a record to a partition. Null if the machine is already known or has
+    /// been deleted.
     Machine* addMachine(const MachinePoolId& pool, const std::string& id, PartitionId partition);
-    /// Writes those of the partition's records anew that can't be read or are impossible.
+    /// Rewrites the partition's machine records that can't be decoded or are invalid.
     void repairRecords(ClusterState& clusterState, PartitionId partition);
 
   private:
     void listMachines();
-    // `listed`: what earlier pages have shown; `asked`: when the first was requested.
-    void listPage(const std::string& after, SteadyTime asked,
+    // `listed`: machines from earlier pages; `requestedAt`: when the first page was requested.
+    void listPage(const std::string& after, SteadyTime requestedAt,
                   std::vector<protocol::CloudMachine> listed, int pages);
-    void applyMachineList(SteadyTime asked, const std::vector<protocol::CloudMachine>& machines);
+    void applyMachineList(SteadyTime requestedAt,
+                          const std::vector<protocol::CloudMachine>& machines);
     void applyListedMachine(ClusterState& clusterState, const protocol::CloudMachine& listed,
-                            const std::set<std::uint32_t>& ownPartitions, SteadyTime asked);
-    // Takes out of use what has failed, and forgets what is no longer listed.
-    void reconcileMissing(ClusterState& clusterState, const std::set<std::string>& present,
-                          const std::set<std::uint32_t>& ownPartitions, SteadyTime asked);
-    // How old a list's contents may be.
+                            const std::set<std::uint32_t>& ownPartitions, SteadyTime requestedAt);
+    // Decommissions machines listed as failed and deletes machines that are no longer listed.
+    void reconcileMissing(ClusterState& clusterState, const std::set<std::string>& listedIds,
+                          const std::set<std::uint32_t>& ownPartitions, SteadyTime requestedAt);
+    // Greatest age of the state that a list describes.
     [[nodiscard]] Duration maxListLag() const;
-    // The partition that a machine without a record that can be read belongs to.
+    // The partition of a machine without a readable record.
     [[nodiscard]] std::uint32_t partitionFor(const ClusterState& clusterState,
                                              const std::string& id, const std::string& zone) const;
 
@@ -51,7 +53,7 @@
     HeartbeatHandler& heartbeats_;
     MachineRecords& records_;
     Decommissioner& decommissioner_;
-    std::map<std::string, SteadyTime> unassignedSince_;  // by machine; when first seen
+    std::map<std::string, SteadyTime> unassignedSince_;  // by machine: first seen without a record
 };
 
 }  // namespace fawnwheel::coordination
--- a/src/coordination/provisioning/machine_pool_id.h
+++ b/src/coordination/provisioning/machine_pool_id.h
@@ -1,5 +1,5 @@
 /// @file
-/// Names the machine pools from which the cloud provisions.
+/// Identifies the machine pools from which the cloud provisions.
 #pragma once
 
 #include <compare>
@@ -7,13 +7,12 @@
 
 namespace fawnwheel::coordination {
 
-/// What the cloud is asked for: a type of machine in a zone, with or without the right to withdraw
-/// it.
+/// A machine type in a zone, as spot capacity, which the cloud may interrupt, or on demand.
 struct MachinePoolId {
     std::string type;
     std::string zone;
     bool spot = false;
-    // The linter takes the operator for a comparison with zero.
+    // The linter mistakes the defaulted operator for a comparison with a null pointer.
     auto operator<=>(const MachinePoolId&) const = default;  // NOLINT(modernize-use-nullptr)
 };
 
--- a/src/coordination/provisioning/machine_reconciler.cpp
+++ b/src/coordination/provisioning/machine_reconciler.cpp
@@ -11,22 +11,24 @@
 using namespace std::chrono_literals;
 using Change = MachineRecords::Change;
 
-constexpr double bootFailure = 4.0;  // times the stated boot time
-constexpr auto bootGrace = 20s;      // beyond that
-constexpr auto minSilence = 15s;     // before a machine is given back
-constexpr double maxMissedHeartbeats = 3.5;
-constexpr double overdueHeartbeats = 1.5;  // a heartbeat that is so late is overdue
-constexpr auto maxFaultBackoff = 1min;     // a longer one: the machine is faulty
+// A machine without a heartbeat for longer than this factor times its stated boot time plus
+// `bootGrace` counts as never booted.
+constexpr double bootTimeoutFactor = 4.0;
+constexpr auto bootGrace = 20s;
+constexpr auto minSilenceLimit = 15s;  // lower bound of `silenceLimit`
+constexpr double silenceLimitIntervals = 3.5;
+constexpr double overdueIntervals = 1.5;  // heartbeat intervals after which a heartbeat is overdue
+constexpr auto maxFaultBackoff = 1min;    // a machine with a longer one is faulty
 constexpr auto utilizationLogInterval = 20s;
 
-// Of machines of a type in a zone.
+// Totals for a partition's machines of one type in one zone.
 struct Utilization {
     int up = 0;
     int booting = 0;
     int idle = 0;
     int reserved = 0;
     Resources used;
-    Resources all;
+    Resources capacity;
 };
 
 }  // namespace
@@ -42,14 +44,16 @@
                                             const MachineType& type) {
     const auto now = context_.now();
     if (records_.isPending(Change::record, machine.id)) return;
-    // What only late copies of heartbeats speak of, or can't receive, is of no use.
+    // A machine that never acknowledged anything either receives nothing, or no longer exists and
+    // is known only from late copies of heartbeats. Neither can be used.
     const bool neverAcknowledged =
         !machine.acknowledged() &&
         now - machine.knownSince > toSteadyDuration(context_.settings.lease);
     if (machine.acknowledged() && isUsableByAnyJob(*context_.clusterState.lock(), machine, type)) {
         records_.write(Change::record, partition, machine.id);
     } else if (neverAcknowledged || now - machine.idleSince > warmPool_.idleLimit(machine, type)) {
-        // It never had work, and no allocation can name it: it needs no record to be given back.
+        // The machine never had tasks, and no allocation can refer to it, so it is released without
+        // a record.
         spdlog::debug("inventory: unrecorded_machine_decommissioned machine={} reason=unused",
                       machine.id);
         machine.decommissioned = true;
@@ -71,7 +75,7 @@
         if (machine->lastHeartbeat && machine->allocations.empty()) ++entry.idle;
         if (now < machine->reservedUntil) ++entry.reserved;
         entry.used += machine->used;
-        if (machine->lastHeartbeat) entry.all += type->capacity;
+        if (machine->lastHeartbeat) entry.capacity += type->capacity;
     }
     for (const auto& [type, zones] : byType)
         for (const auto& [zone, entry] : zones)
@@ -79,40 +83,44 @@
                 "inventory: pool_utilization partition={} type={} zone={} up={} booting={} idle={} "
                 "reserved={} cpus_used={:.0f} cpus={:.0f} gpus_used={:.0f} gpus={:.0f}",
                 partition, type, zone, entry.up, entry.booting, entry.idle, entry.reserved,
-                entry.used.cpus, entry.all.cpus, entry.used.gpus, entry.all.gpus);
+                entry.used.cpus, entry.capacity.cpus, entry.used.gpus, entry.capacity.gpus);
 }
 
-std::set<std::string> MachineReconciler::quietZones(const ClusterState& clusterState,
-                                                    PartitionId partition) const {
-    // Many at once are behind a cut rather than dead, and cuts go by zones: a partition with
-    // machines in two zones once gave back all of one. They are counted as soon as a heartbeat is
-    // overdue: counted only when it was time to give them back, each in turn was the only silent
-    // one, and a partition gave back all its machines with all that ran there (incident inc-59fe).
+std::set<std::string> MachineReconciler::unresponsiveZones(const ClusterState& clusterState,
+                                                           PartitionId partition) const {
+    // Many machines silent at once are cut off by a network partition rather than dead. Network
+    // partitions follow zones, so machines are counted by zone: counted together, a partition with
+    // machines in two zones decommissioned all of one zone. A machine counts as soon as its
+    // heartbeat is overdue: when it counted only after `silenceLimit`, each machine in turn was the
+    // only silent one, and a partition decommissioned all its machines with every task on them
+    // (incident inc-59fe).
     struct Count {
         std::size_t live = 0;
-        std::size_t quiet = 0;
+        std::size_t unresponsive = 0;
     };
     std::map<std::string, Count> zones;
-    const auto overdue = toSteadyDuration(context_.settings.heartbeatInterval * overdueHeartbeats);
+    const auto overdue = toSteadyDuration(context_.settings.heartbeatInterval * overdueIntervals);
     for (const auto* machine : clusterState.machinesOf(partition)) {
         if (!machine->lastHeartbeat) continue;
         auto& count = zones[machine->zone];
         ++count.live;
-        if (context_.now() - *machine->lastHeartbeat > overdue) ++count.quiet;
+        if (context_.now() - *machine->lastHeartbeat > overdue) ++count.unresponsive;
     }
-    std::set<std::string> quiet;
+    std::set<std::string> unresponsive;
     for (const auto& [zone, count] : zones)
-        if (membership_.workersUnreachable() || (count.quiet > 1 && count.quiet * 2 > count.live))
-            quiet.insert(zone);
-    return quiet;
+        if (membership_.workersUnreachable() ||
+            (count.unresponsive > 1 && count.unresponsive * 2 > count.live))
+            unresponsive.insert(zone);
+    return unresponsive;
 }
 
 Duration MachineReconciler::silenceLimit() const {
     return std::max<Duration>(
-        minSilence, toSteadyDuration(context_.settings.heartbeatInterval * maxMissedHeartbeats));
+        minSilenceLimit,
+        toSteadyDuration(context_.settings.heartbeatInterval * silenceLimitIntervals));
 }
 
-bool MachineReconciler::isIdleForLong(const Machine& machine, const MachineType& type) const {
+bool MachineReconciler::isIdleTooLong(const Machine& machine, const MachineType& type) const {
     const auto now = context_.now();
     return machine.allocations.empty() && !machine.interruptionAt && !machine.lender &&
            !machine.transferring && now >= machine.reservedUntil &&
@@ -120,18 +128,19 @@
 }
 
 std::optional<DecommissionReason> MachineReconciler::decommissionReason(
-    const Machine& machine, const MachineType& type, const std::set<std::string>& quiet) const {
+    const Machine& machine, const MachineType& type,
+    const std::set<std::string>& unresponsive) const {
     const auto now = context_.now();
     const bool empty = machine.allocations.empty();
     if (!machine.lastHeartbeat) {
-        if (empty &&
-            now - machine.knownSince > toSteadyDuration(type.bootTime * bootFailure) + bootGrace)
+        if (empty && now - machine.knownSince >
+                         toSteadyDuration(type.bootTime * bootTimeoutFactor) + bootGrace)
             return DecommissionReason::neverBooted;
         return std::nullopt;
     }
     if (machine.unschedulableUntil - now > maxFaultBackoff) return DecommissionReason::faulty;
     if (now - *machine.lastHeartbeat > silenceLimit()) {
-        if (quiet.contains(machine.zone)) return std::nullopt;
+        if (unresponsive.contains(machine.zone)) return std::nullopt;
         return DecommissionReason::silent;
     }
     if (!machine.acknowledged() && empty &&
@@ -139,25 +148,25 @@
             silenceLimit() + toSteadyDuration(context_.settings.lease))
         return DecommissionReason::unreachable;
     if (machine.consolidating && empty) return DecommissionReason::consolidated;
-    if (isIdleForLong(machine, type)) return DecommissionReason::idle;
+    if (isIdleTooLong(machine, type)) return DecommissionReason::idle;
     return std::nullopt;
 }
 
 void MachineReconciler::reconcileMachines(PartitionId partition) {
     if (!membership_.isLeaseValid()) return;
     auto clusterState = context_.clusterState.lock();
-    warmPool_.recordGuaranteed(*clusterState);
+    warmPool_.updateGuarantees(*clusterState);
     logUtilization(*clusterState, partition);
     if (partition == 0) catalog_.recordIfMissing(*clusterState);
-    warmPool_.recordClasses(*clusterState);
+    warmPool_.updateClassDemand(*clusterState);
     inventory_.repairRecords(*clusterState, partition);
-    const auto quiet = quietZones(*clusterState, partition);
+    const auto unresponsive = unresponsiveZones(*clusterState, partition);
     for (auto* machine : clusterState->machinesOf(partition)) {
         const auto* type = context_.findMachineType(machine->type);
         if (machine->decommissioned || type == nullptr) continue;
         if (machine->version == 0)
             reconcileUnrecorded(partition, *machine, *type);
-        else if (const auto reason = decommissionReason(*machine, *type, quiet))
+        else if (const auto reason = decommissionReason(*machine, *type, unresponsive))
             decommissioner_.decommission(*machine, *reason);
     }
     decommissioner_.releaseDecommissioned();
--- a/src/coordination/provisioning/machine_reconciler.h
+++ b/src/coordination/provisioning/machine_reconciler.h
@@ -1,5 +1,5 @@
 /// @file
-/// Decides which machines are recorded, kept or given back.
+/// Decides which machines are recorded, kept or decommissioned.
 #pragma once
 
 #include "coordination/provisioning/machine_catalog.h"
@@ -8,7 +8,7 @@
 
 namespace fawnwheel::coordination {
 
-/// Looks at all machines of a partition from time to time.
+/// Periodically checks all machines of a partition.
 class MachineReconciler {
   public:
     MachineReconciler(Context& context, Membership& membership, MachineRecords& records,
@@ -22,23 +22,25 @@
           inventory_(inventory),
           warmPool_(warmPool) {}
 
-    /// Records new machines, and gives back those that are idle, faulty, silent, or never booted.
+    /// Records new machines and decommissions those with a `DecommissionReason`.
     void reconcileMachines(PartitionId partition);
 
   private:
     void reconcileUnrecorded(PartitionId partition, Machine& machine, const MachineType& type);
-    // Why the machine should be given back, if it should.
+    // Why the machine should be decommissioned; none if it should be kept.
     [[nodiscard]] std::optional<DecommissionReason> decommissionReason(
-        const Machine& machine, const MachineType& type, const std::set<std::string>& quiet) const;
-    [[nodiscard]] bool isIdleForLong(const Machine& machine, const MachineType& type) const;
-    // How long a machine may be silent before it is given back.
+        const Machine& machine, const MachineType& type,
+        const std::set<std::string>& unresponsive) const;
+    [[nodiscard]] bool isIdleTooLong(const Machine& machine, const MachineType& type) const;
+    // How long a machine may send no heartbeat before it is decommissioned.
     [[nodiscard]] Duration silenceLimit() const;
-    // Whether any job could use the machine.
+    // Whether any job's constraints allow the machine.
     [[nodiscard]] bool isUsableByAnyJob(const ClusterState& clusterState, const Machine& machine,
                                         const MachineType& type) const;
-    // Where most of the partition's machines miss their heartbeats at the same time.
-    [[nodiscard]] std::set<std::string> quietZones(const ClusterState& clusterState,
-                                                   PartitionId partition) const;
+    // Zones in which most of the partition's machines have overdue heartbeats at the same time, or
+    // every zone while this node can't reach its workers.
+    [[nodiscard]] std::set<std::string> unresponsiveZones(const ClusterState& clusterState,
+                                                          PartitionId partition) const;
     void logUtilization(const ClusterState& clusterState, PartitionId partition);
 
     Context& context_;
@@ -48,7 +50,7 @@
     Decommissioner& decommissioner_;
     MachineInventory& inventory_;
     WarmPool& warmPool_;
-    std::map<std::uint32_t, SteadyTime> utilizationLogged_;  // by partition
+    std::map<std::uint32_t, SteadyTime> utilizationLogged_;  // last log time, by partition
 };
 
 }  // namespace fawnwheel::coordination
--- a/src/coordination/provisioning/machine_records.cpp
+++ b/src/coordination/provisioning/machine_records.cpp
@@ -18,9 +18,9 @@
 }
 
 MachineRecords::Batch MachineRecords::nextBatch(Change change, PartitionId partition) {
-    // Many in one transaction, and half of what it may hold, so that allocations don't wait for
-    // long. With one write after the other a thousand machines took minutes to record, and idle
-    // ones to be given back.
+    // Write many records in one transaction: with one write after the other, recording a thousand
+    // machines took minutes, and so did decommissioning idle ones. Fill only half of a transaction,
+    // so that allocations don't wait long.
     const auto limit = std::max<std::size_t>(1, context_.settings.transactionChanges / 2);
     auto& batches = batches_[change];
     auto& queue = batches.queues[partition];
@@ -66,9 +66,9 @@
         batches.pending.erase(id);
         auto clusterState = context_.clusterState.lock();
         Machine* machine = clusterState->machine(id);
-        if (machine != nullptr) settle(change, *machine, result, revision);
+        if (machine != nullptr) applyOutcome(change, *machine, result, revision);
     }
-    rounds_.scheduleRound();
+    roundScheduler_.scheduleRound();
     writeBatch(change, partition);
 }
 
@@ -80,26 +80,27 @@
     return storage::machineValue(decommissioned);
 }
 
-void MachineRecords::settle(Change change, Machine& machine, CommitResult result,
-                            std::uint64_t revision) {
-    const bool done = result == CommitResult::committed;
+void MachineRecords::applyOutcome(Change change, Machine& machine, CommitResult result,
+                                  std::uint64_t revision) {
+    const bool committed = result == CommitResult::committed;
     switch (change) {
         case Change::record:
-            if (done) {
+            if (committed) {
                 machine.version = std::max(machine.version, revision);
                 context_.clusterState.lock()->corruptMachines.erase(machine.id);
             } else if (machine.version == 0 && result != CommitResult::partitionLost) {
-                // Another of the batch has a record; this one is tried again.
+                // Another machine of the batch caused the conflict; retry this one.
                 write(Change::record, machine.partition, machine.id);
             }
             break;
         case Change::decommission:
-            // Also if the records have been read anew meanwhile, as they stood before.
-            machine.decommissioned = done;
-            if (done) machine.version = std::max(machine.version, revision);
+            // Set the mark even if the state was reloaded meanwhile from records older than this
+            // transaction.
+            machine.decommissioned = committed;
+            if (committed) machine.version = std::max(machine.version, revision);
             break;
         case Change::drop:
-            if (done) context_.clusterState.lock()->removeMachine(std::string(machine.id));
+            if (committed) context_.clusterState.lock()->removeMachine(std::string(machine.id));
             break;
     }
 }
--- a/src/coordination/provisioning/machine_records.h
+++ b/src/coordination/provisioning/machine_records.h
@@ -1,5 +1,5 @@
 /// @file
-/// Writes the records of machines in batches.
+/// Writes machine records in batches.
 #pragma once
 
 #include <deque>
@@ -11,24 +11,24 @@
 
 namespace fawnwheel::coordination {
 
-/// Queues changes of machines' records by partition and writes many in one transaction. A machine
-/// that is queued or in flight for a change is not queued again. What has left the partition
-/// meanwhile is left out.
+/// Queues changes to machine records by partition and writes many in one transaction. A machine
+/// whose change is queued or in flight is not queued again for it. A machine that has left the
+/// partition before its change is sent is skipped.
 class MachineRecords {
   public:
-    /// What is to become of a machine's record.
+    /// Kind of change to a machine's record.
     enum class Change {
-        record,        ///< written as the machine is known now
-        decommission,  ///< written with the mark that the machine is to be given back
-        drop,          ///< deleted; then the machine is forgotten
+        record,        ///< write the machine's current state
+        decommission,  ///< write it with the decommissioned mark set
+        drop,          ///< delete the record, then the machine
     };
 
-    /// `rounds` is told of each outcome.
-    MachineRecords(Context& context, TransactionPipeline& pipeline, RoundScheduler& rounds)
-        : context_(context), pipeline_(pipeline), rounds_(rounds) {}
+    /// The outcome of each transaction schedules a scheduling round through `rounds`.
+    MachineRecords(Context& context, TransactionPipeline& pipeline, RoundScheduler& roundScheduler)
+        : context_(context), pipeline_(pipeline), roundScheduler_(roundScheduler) {}
 
-    /// Queues the change of this machine's record. Recording is retried until it succeeds or the
-    /// partition is lost.
+    /// Queues the change of this machine's record. `Change::record` is retried for a machine
+    /// without a record until it succeeds or the partition is lost.
     void write(Change change, PartitionId partition, const std::string& machine);
     /// Whether the change of this machine's record is queued or in flight.
     [[nodiscard]] bool isPending(Change change, const std::string& machine) const;
@@ -45,18 +45,18 @@
     };
 
     void writeBatch(Change change, PartitionId partition);
-    // Takes what goes into the next transaction off the queue.
+    // Removes the machines of the next transaction from the queue.
     [[nodiscard]] Batch nextBatch(Change change, PartitionId partition);
     void onCommitted(Change change, PartitionId partition, const std::vector<std::string>& machines,
                      CommitResult result, std::uint64_t revision);
-    // None: the record is to be deleted.
+    // None if the record is to be deleted.
     [[nodiscard]] static std::optional<protocol::Json> valueOf(Change change,
                                                                const Machine& machine);
-    void settle(Change change, Machine& machine, CommitResult result, std::uint64_t revision);
+    void applyOutcome(Change change, Machine& machine, CommitResult result, std::uint64_t revision);
 
     Context& context_;
     TransactionPipeline& pipeline_;
-    RoundScheduler& rounds_;
+    RoundScheduler& roundScheduler_;
     std::map<Change, Batches> batches_;
 };
 
--- a/src/coordination/provisioning/warm_pool.cpp
+++ b/src/coordination/provisioning/warm_pool.cpp
@@ -9,7 +9,7 @@
 using namespace std::chrono_literals;
 
 constexpr Seconds minBilledTime{60};
-constexpr auto classMemory = 5min;
+constexpr auto classRetention = 5min;
 
 }  // namespace
 
@@ -26,28 +26,30 @@
     return slack;
 }
 
-void WarmPool::recordClasses(ClusterState& clusterState) {
-    // A class most of whose jobs have objectives that leave no time to boot a machine and fetch the
-    // image needs machines that are kept up between its jobs.
+void WarmPool::updateClassDemand(ClusterState& clusterState) {
+    // A job class needs machines that are kept between its jobs if the objectives of most of its
+    // jobs leave no time to boot a machine and fetch the image.
     for (auto& [id, job] : clusterState.jobs) {
         const auto& spec = job.spec;
         auto& demand = classDemand_[spec.jobClass];
         demand.lastSeen = context_.now();
-        // Each counts once: the few jobs of a quiet hour are no majority.
+        // Count each job once, over the whole run: the few jobs of a quiet hour must not decide
+        // the majority.
         if (std::exchange(job.countedInClass, true)) continue;
         const auto slack = slackOf(spec);
         ++demand.jobs;
-        bool inTime = !slack;
+        bool canWaitForBoot = !slack;
         for (const auto& type : context_.catalog) {
             if (!typeAllowed(spec, type, spec.zone.value_or(""), false)) continue;
             demand.types.insert(type.name);
-            inTime = inTime || type.bootTime + Seconds(spec.imageSize / type.fetchRate) < *slack;
+            canWaitForBoot =
+                canWaitForBoot || type.bootTime + Seconds(spec.imageSize / type.fetchRate) < *slack;
         }
-        if (!inTime) ++demand.urgentJobs;
+        if (!canWaitForBoot) ++demand.urgentJobs;
     }
 }
 
-void WarmPool::recordGuaranteed(const ClusterState& clusterState) {
+void WarmPool::updateGuarantees(const ClusterState& clusterState) {
     guaranteed_ = {};
     for (const auto& team : context_.settings.teams) {
         guaranteed_.cpus += team.cpus;
@@ -64,7 +66,8 @@
 }
 
 bool WarmPool::isWithinGuarantee(const Machine& machine) const {
-    // What a team is guaranteed is kept up: it need not wait for others, nor for a boot.
+    // Machines for guaranteed quotas are kept, so that a team within its quota waits neither for
+    // other teams' tasks nor for a boot.
     const auto* type = context_.findMachineType(machine.type);
     return type != nullptr &&
            (type->capacity.gpus > 0 ? guaranteed_.gpus > 0 && upGpus_ <= guaranteed_.gpus
@@ -75,7 +78,7 @@
     return std::any_of(classDemand_.begin(), classDemand_.end(), [&](const auto& entry) {
         return entry.second.urgentJobs * 2 > entry.second.jobs &&
                entry.second.types.contains(machine.type) &&
-               context_.now() - entry.second.lastSeen < classMemory;
+               context_.now() - entry.second.lastSeen < classRetention;
     });
 }
 
@@ -89,16 +92,18 @@
 }
 
 Duration WarmPool::idleLimit(const Machine& machine, const MachineType& type) const {
-    // For a guarantee alone they stay twice as long: nobody wants idle ones for minutes.
+    // A guaranteed quota alone only doubles the limit, as idle machines should not stay for
+    // minutes.
     if (!isInWarmPool(machine))
         return toSteadyDuration(context_.operatorSettings.idleBeforeScaleIn *
                                 (isWithinGuarantee(machine) ? 2 : 1));
-    // Provisioning again costs a boot, the least time that is billed and fetching the images anew.
-    // Waiting for work as long as that costs at most twice what the best choice in hindsight would
-    // have.
-    Seconds again = type.bootTime + minBilledTime;
-    for (const auto& image : machine.images) again += Seconds(image.size / type.fetchRate);
-    return toSteadyDuration(std::max(context_.operatorSettings.idleBeforeScaleIn, again));
+    // Provisioning the machine again costs its boot time, the minimum billed time and the time to
+    // fetch its images. Keeping it idle for that long costs at most twice the best choice in
+    // hindsight.
+    Seconds reprovisionTime = type.bootTime + minBilledTime;
+    for (const auto& image : machine.images)
+        reprovisionTime += Seconds(image.size / type.fetchRate);
+    return toSteadyDuration(std::max(context_.operatorSettings.idleBeforeScaleIn, reprovisionTime));
 }
 
 }  // namespace fawnwheel::coordination
