--- a/src/coordination/migration/machine_lending.cpp
+++ b/src/coordination/migration/machine_lending.cpp
@@ -10,10 +10,10 @@
 
 using namespace std::chrono_literals;
 
-constexpr auto unusedLoan = 5s;          // then it goes back
-constexpr auto reservationForPeer = 4s;  // of a busy machine, until the next request
-constexpr auto loanPatience = 20s;       // for a gang that others go before
-constexpr auto pauseAfterReturn = 15s;  // long enough for those others to be migrated to the lender
+constexpr auto unusedLoanTimeout = 5s;        // before it is returned
+constexpr auto peerReservationDuration = 4s;  // of a busy machine; the next request renews it
+constexpr auto blockingLoanTimeout = 20s;     // before a loan that blocks earlier work is returned
+constexpr auto loanBackoff = 15s;  // enough for the blocked work to migrate to the lender
 
 }  // namespace
 
@@ -21,12 +21,13 @@
                                   const std::vector<UnschedulableWork>& unschedulable) {
     auto clusterState = context_.clusterState.lock();
     for (const auto& entry : unschedulable) {
-        // In the queue's order one gang of a zone is served before the next.
+        // Gangs of a zone are served one at a time, in queue order.
         if (!entry.gang || entry.blockedByEarlierGang || entry.tasksWithoutFreeMachine == 0)
             continue;
         const Job* job = clusterState->job(entry.job);
         if (job == nullptr || job->partition != partition) continue;
-        if (restUntil_.contains(entry.job) || !throttle_.tryAcquire(entry.job, context_.now()))
+        if (loanBackoffUntil_.contains(entry.job) ||
+            !throttle_.tryAcquire(entry.job, context_.now()))
             continue;
         auto lenders = findLenders(*clusterState, partition, entry, *job);
         divideRequest(lenders, entry, *job);
@@ -63,10 +64,10 @@
 
 void MachineLending::divideRequest(std::vector<Lender>& lenders, const UnschedulableWork& entry,
                                    const Job& gang) const {
-    // Some of what it lacks is of no use to it unless the rest can come free or be provisioned, but
-    // asking costs little and unused loans go back. A busy machine kept here does not spare the
-    // request: two partitions with an idle machine each once left gangs of two waiting for minutes
-    // (largest_first).
+    // Request idle machines even if they don't complete the gang: a request costs little, and
+    // unused loans are returned. A busy local machine reserved for the gang does not reduce the
+    // request: otherwise two partitions with an idle machine each left gangs of two tasks waiting
+    // for minutes (scenario largest_first).
     auto missing = entry.tasksWithoutFreeMachine;
     std::sort(lenders.begin(), lenders.end(),
               [](const Lender& a, const Lender& b) { return a.idle > b.idle; });
@@ -74,16 +75,17 @@
         lender.requested = std::min(lender.idle, missing);
         missing -= lender.requested;
     }
-    // Under a load that never leaves a machine idle, peers have to keep some as they come free: a
-    // gang larger than its partition else never began (scenario largest_first).
+    // Request busy machines too, so that peers reserve them as they become free. Under a load that
+    // never leaves a machine idle, a gang larger than its partition otherwise never started
+    // (scenario largest_first).
     missing = std::min(missing, entry.tasks);
     if (placement_.canProvision(gang, entry.zone)) return;
     std::sort(lenders.begin(), lenders.end(),
               [](const Lender& a, const Lender& b) { return a.busy > b.busy; });
     for (auto& lender : lenders) {
-        const auto more = std::min(lender.busy, missing);
-        lender.requested += more;
-        missing -= more;
+        const auto busyRequested = std::min(lender.busy, missing);
+        lender.requested += busyRequested;
+        missing -= busyRequested;
     }
 }
 
@@ -94,10 +96,11 @@
         context_.network.sendFrame(leader, protocol::encodePeer({context_.settings.name, request}));
 }
 
-bool MachineLending::neededHere(ClusterState& clusterState, const Machine& machine,
-                                const Job& gang) const {
-    // Work that comes later may be passed over, also a later gang that gathers: of two gangs that
-    // each hold half of what both need, the earlier one gets all, so that neither waits for ever.
+bool MachineLending::neededByEarlierWork(ClusterState& clusterState, const Machine& machine,
+                                         const Job& gang) const {
+    // Only work that precedes the gang keeps the machine. A later gang that is being assembled
+    // gives way: of two gangs that each hold half of the machines they need, the earlier one gets
+    // all of them, so that they don't deadlock.
     const auto* type = context_.findMachineType(machine.type);
     return std::any_of(clusterState.jobs.begin(), clusterState.jobs.end(), [&](const auto& entry) {
         const Job& job = entry.second;
@@ -129,7 +132,7 @@
         if (!placement_.acceptsTasks(*machine) ||
             (!request.zone.empty() && machine->zone != request.zone) ||
             !Placement::typeAllowed(gang.spec, *type, machine->zone, machine->spot) ||
-            neededHere(clusterState, *machine, gang))
+            neededByEarlierWork(clusterState, *machine, gang))
             continue;
         if (!machine->allocations.empty()) {
             const Job* reserving = clusterState.job(machine->reservedFor);
@@ -151,16 +154,17 @@
         if (!isValid(*clusterState, peer, request)) return;
         const Job& gang = *clusterState->job(request.job);
         lendable = findLendable(*clusterState, request, gang);
-        // Reserved ones first, so that they stay the same; then those with the least work.
+        // Machines already reserved for this gang first, so that renewals keep the same ones; then
+        // those with the fewest CPUs in use.
         std::sort(lendable.busy.begin(), lendable.busy.end(),
                   [&](const Machine* a, const Machine* b) {
                       return std::tuple(a->reservedFor != request.job, a->used.cpus, a->id) <
                              std::tuple(b->reservedFor != request.job, b->used.cpus, b->id);
                   });
-        const auto toReserve =
+        const auto reservationCount =
             std::min(request.machines - lendable.idle.size(), lendable.busy.size());
-        for (std::size_t i = 0; i < toReserve; ++i)
-            placement_.reserve(*lendable.busy[i], gang, 1, reservationForPeer);
+        for (std::size_t i = 0; i < reservationCount; ++i)
+            placement_.reserve(*lendable.busy[i], gang, 1, peerReservationDuration);
     }
     if (lendable.idle.empty()) return;
     spdlog::info("lending: machines_lent job={} machines={} from={} to={}", request.job,
@@ -168,12 +172,14 @@
     transfers_.lend(request.lender, request.borrower, lendable.idle);
 }
 
-bool MachineLending::keepsOthersWaiting(ClusterState& clusterState, const Machine& machine) const {
-    // A gang that can't get the rest of its machines once kept a borrowed one idle for minutes,
-    // while work that goes before it waited and may not use a loan (slice_left_behind).
+bool MachineLending::blocksEarlierWork(ClusterState& clusterState, const Machine& machine) const {
+    // Without this check, a gang that could not get the rest of its machines kept a borrowed one
+    // idle for minutes, while work that precedes it waited and may not use a borrowed machine
+    // (scenario slice_left_behind).
     const Job* gang = clusterState.job(machine.reservedFor);
     const auto* type = context_.findMachineType(machine.type);
-    if (gang == nullptr || type == nullptr || context_.now() - machine.knownSince < loanPatience)
+    if (gang == nullptr || type == nullptr ||
+        context_.now() - machine.knownSince < blockingLoanTimeout)
         return false;
     return std::any_of(clusterState.jobs.begin(), clusterState.jobs.end(), [&](const auto& entry) {
         const Job& job = entry.second;
@@ -190,27 +196,27 @@
 
 void MachineLending::returnIdleLoans(PartitionId partition) {
     const auto now = context_.now();
-    std::erase_if(restUntil_, [now](const auto& entry) { return entry.second <= now; });
-    std::map<std::uint32_t, std::vector<std::string>> back;
+    std::erase_if(loanBackoffUntil_, [now](const auto& entry) { return entry.second <= now; });
+    std::map<std::uint32_t, std::vector<std::string>> returns;
     {
         auto clusterState = context_.clusterState.lock();
         for (auto* machine : clusterState->machinesOf(partition)) {
             if (!machine->lender || machine->transferring || machine->decommissioned) continue;
             const bool reserved = now < machine->reservedUntil;
-            const bool inTheWay = reserved && machine->allocations.empty() &&
-                                  keepsOthersWaiting(*clusterState, *machine);
-            if (inTheWay) restUntil_[machine->reservedFor] = now + pauseAfterReturn;
-            if (!machine->allocations.empty() || (reserved && !inTheWay)) {
+            const bool isBlocking = reserved && machine->allocations.empty() &&
+                                    blocksEarlierWork(*clusterState, *machine);
+            if (isBlocking) loanBackoffUntil_[machine->reservedFor] = now + loanBackoff;
+            if (!machine->allocations.empty() || (reserved && !isBlocking)) {
                 machine->idleSince = now;
                 continue;
             }
-            auto& names = back[*machine->lender];
-            if ((inTheWay || now - machine->idleSince > unusedLoan) &&
+            auto& names = returns[*machine->lender];
+            if ((isBlocking || now - machine->idleSince > unusedLoanTimeout) &&
                 names.size() < context_.settings.transactionChanges)
                 names.push_back(machine->id);
         }
     }
-    for (const auto& [lender, names] : back)
+    for (const auto& [lender, names] : returns)
         if (!names.empty()) transfers_.lend(partition, lender, names);
 }
 
--- a/src/coordination/migration/machine_transfers.cpp
+++ b/src/coordination/migration/machine_transfers.cpp
@@ -6,19 +6,20 @@
 
 namespace {
 
-// A transfer that was given up may still be carried out late, and its giver's token grows
-// meanwhile: the next leader's begins well above it. With the very next one two leaders once
-// answered a worker with the same token (rebalancing_troubles).
-constexpr std::uint64_t tokenReserve = 256;
+// Distance between the giving leader's fencing token and the first token of the recipient. An
+// abandoned transfer may still be committed late, while the giver's token keeps growing. With a
+// distance of 1, two leaders responded to a worker with the same token (scenario
+// rebalancing_troubles).
+constexpr std::uint64_t fencingTokenReserve = 256;
 
 }  // namespace
 
-Machine MachineTransfers::leaving(Machine& machine, std::uint32_t to) {
+Machine MachineTransfers::beginTransfer(Machine& machine, std::uint32_t to) {
     machine.transferring = true;
     Machine next = machine;
     next.partition = to;
-    // Above every token that its worker may see from us.
-    next.minFencingToken = machine.fencingToken + tokenReserve;
+    // Above every token that the machine's worker may receive from this node.
+    next.minFencingToken = machine.fencingToken + fencingTokenReserve;
     return next;
 }
 
@@ -66,12 +67,13 @@
     Transfer transfer;
     {
         auto clusterState = context_.clusterState.lock();
-        // The borrower's record is a condition: a leader that has changed since asks anew.
+        // Compare the version of the borrowing partition's record, so that the loan fails if its
+        // leader has changed; the new leader sends its own request.
         transfer.batch.transaction.compares.push_back(
             {storage::keys::partition(to), clusterState->partitions[to].version});
         for (const auto& id : machines) {
             Machine& machine = *clusterState->machine(id);
-            Machine next = leaving(machine, to);
+            Machine next = beginTransfer(machine, to);
             next.lender = machine.lender.value_or(from);
             if (*next.lender == to) next.lender.reset();
             next.transferredBy.clear();
@@ -100,7 +102,7 @@
     for (const auto& id : handover.jobs) addJob(transfer, *clusterState.job(id), to);
     for (const auto& id : handover.machines) {
         Machine& machine = *clusterState.machine(id);
-        Machine next = leaving(machine, to);
+        Machine next = beginTransfer(machine, to);
         next.transferredBy = context_.settings.name;
         addMachine(transfer, machine, next);
     }
@@ -108,30 +110,30 @@
            compares.size() < context_.settings.transactionConditions();
 }
 
-void MachineTransfers::undo(const Transfer& transfer, ClusterState& clusterState) {
+void MachineTransfers::revert(const Transfer& transfer, ClusterState& clusterState) {
     for (const auto& id : transfer.machines) clusterState.machine(id)->transferring = false;
     for (const auto& quota : transfer.quotas)
         quotas_.finishTransfer(clusterState, quota, CommitResult::conflict, 0);
 }
 
-std::optional<rebalancing::Refusal> MachineTransfers::give(PartitionId from, PartitionId to,
-                                                           const rebalancing::Handover& handover,
-                                                           std::function<void(bool given)> done) {
+std::optional<rebalancing::Refusal> MachineTransfers::transferWithWork(
+    PartitionId from, PartitionId to, const rebalancing::Handover& handover,
+    std::function<void(bool transferred)> onFinished) {
     Transfer transfer;
     {
         auto clusterState = context_.clusterState.lock();
         if (!addHandover(transfer, *clusterState, handover, from, to)) {
-            undo(transfer, *clusterState);
+            revert(transfer, *clusterState);
             return rebalancing::Refusal::tooLarge;
         }
     }
     auto transaction = transfer.batch.transaction;
-    pipeline_.commit(
-        from, std::move(transaction),
-        [this, transfer, done = std::move(done)](CommitResult result, std::uint64_t revision) {
-            finish(transfer, result, revision);
-            done(result == CommitResult::committed);
-        });
+    pipeline_.commit(from, std::move(transaction),
+                     [this, transfer, onFinished = std::move(onFinished)](CommitResult result,
+                                                                          std::uint64_t revision) {
+                         finish(transfer, result, revision);
+                         onFinished(result == CommitResult::committed);
+                     });
     return std::nullopt;
 }
 
--- a/src/coordination/migration/machine_transfers.h
+++ b/src/coordination/migration/machine_transfers.h
@@ -1,6 +1,6 @@
 /// @file
-/// Changes machines' partitions, each time in one guarded transaction of the partition that gives
-/// them: lent while they are empty, or given for good with all that runs on them.
+/// Transfers machines between partitions, each time in one compare-and-swap transaction of the
+/// giving partition: as a loan while they run no tasks, or permanently with all their tasks.
 #pragma once
 
 #include "coordination/replication/slice_writer.h"
@@ -10,7 +10,7 @@
 
 namespace fawnwheel::coordination {
 
-/// Learns what a transfer has made durable.
+/// Observes which allocations a transfer has made durable.
 class MachineTransferObserver {
   public:
     MachineTransferObserver() = default;
@@ -18,11 +18,11 @@
     MachineTransferObserver& operator=(const MachineTransferObserver&) = delete;
     virtual ~MachineTransferObserver() = default;
 
-    /// Allocations on these machines have become durable with a transfer: their starts may be sent.
+    /// A transfer has made allocations on these machines durable: their start commands may be sent.
     virtual void onAllocationsDurable(const std::set<std::string>& machines) = 0;
 };
 
-/// Carries out transfers of machines between partitions.
+/// Transfers machines between partitions.
 class MachineTransfers {
   public:
     MachineTransfers(Context& context, TransactionPipeline& pipeline, SliceWriter& writer,
@@ -35,12 +35,13 @@
           heartbeats_(heartbeats),
           observer_(observer) {}
 
-    /// Machines without tasks, until they are lent back.
+    /// Lends machines without tasks, or returns borrowed ones to their lender.
     void lend(PartitionId from, PartitionId to, const std::vector<std::string>& machines);
-    /// The reason why nothing was sent; none: it is under way, and `done` will be called.
-    [[nodiscard]] std::optional<rebalancing::Refusal> give(PartitionId from, PartitionId to,
-                                                           const rebalancing::Handover& handover,
-                                                           std::function<void(bool given)> done);
+    /// Starts a permanent transfer. Returns why no transaction was sent, or none if one was sent;
+    /// `onFinished` is then called with its outcome.
+    [[nodiscard]] std::optional<rebalancing::Refusal> transferWithWork(
+        PartitionId from, PartitionId to, const rebalancing::Handover& handover,
+        std::function<void(bool transferred)> onFinished);
 
   private:
     struct Transfer {
@@ -50,19 +51,21 @@
         std::vector<QuotaExchange::QuotaTransfer> quotas;
     };
 
-    /// From now on the machine gets no new work and its token stands still.
-    static Machine leaving(Machine& machine, std::uint32_t to);
+    /// Marks the machine as transferring, which stops new allocations and freezes its fencing
+    /// token. Returns the machine as it will be in partition `to`.
+    static Machine beginTransfer(Machine& machine, std::uint32_t to);
     void addMachine(Transfer& transfer, const Machine& machine, const Machine& next) const;
     void addJob(Transfer& transfer, const Job& job, std::uint32_t to) const;
     [[nodiscard]] bool addQuotas(Transfer& transfer, ClusterState& clusterState,
                                  const rebalancing::Handover& handover, std::uint32_t from,
                                  std::uint32_t to);
-    /// Adds all that goes with the machines; false: it does not fit into one transaction.
+    /// Adds everything that changes partition with the machines; false if it does not fit into one
+    /// transaction.
     [[nodiscard]] bool addHandover(Transfer& transfer, ClusterState& clusterState,
                                    const rebalancing::Handover& handover, std::uint32_t from,
                                    std::uint32_t to);
-    /// Nothing of the transfer was sent.
-    void undo(const Transfer& transfer, ClusterState& clusterState);
+    /// Reverts the local changes for a transfer of which nothing was sent.
+    void revert(const Transfer& transfer, ClusterState& clusterState);
     void finish(const Transfer& transfer, CommitResult result, std::uint64_t revision);
 
     Context& context_;
--- a/src/coordination/migration/queue_average.cpp
+++ b/src/coordination/migration/queue_average.cpp
@@ -12,8 +12,8 @@
     if (average_ < tuning.low) return 0;
     if (average_ > tuning.high) return 1;
     const double base = (average_ - tuning.low) / (tuning.high - tuning.low) * tuning.probability;
-    if (count_ * base >= 1) return 1;
-    return std::clamp(base / (1 - count_ * base) * stickinessFactor, 0.0, 1.0);
+    if (consideredSinceMigration_ * base >= 1) return 1;
+    return std::clamp(base / (1 - consideredSinceMigration_ * base) * stickinessFactor, 0.0, 1.0);
 }
 
 }  // namespace fawnwheel::coordination
--- a/src/coordination/migration/rebalancer.cpp
+++ b/src/coordination/migration/rebalancer.cpp
@@ -10,16 +10,16 @@
 
 using namespace std::chrono_literals;
 
-// A partition that has announced nothing for so many periods is given nothing.
-constexpr double freshPeriods = 3.5;
-constexpr std::size_t maxDemands = 16;  // of one partition, the most urgent
+// A partition that has not announced its demand for this many periods takes no part.
+constexpr double maxDemandAgePeriods = 3.5;
+constexpr std::size_t maxDemands = 16;  // per partition; the most urgent ones
 constexpr double thousandth = 0.001;
 constexpr auto transferredFormat =
     "rebalancer: machine_transferred machine={} machines={} tasks={} from={} to={} done={}";
-constexpr auto retryPause = 100ms;  // while records that go first are written
+constexpr auto retryPause = 100ms;  // while other records of the partition are in flight
 constexpr auto logInterval = 60s;
-constexpr double silentHeartbeats = 2.5;  // no machine that has missed so many goes
-constexpr std::uint32_t maxPlacesCounted = 64;
+constexpr double maxHeartbeatAgeIntervals = 2.5;  // a machine silent for longer is not moved
+constexpr std::uint32_t maxTasksPerMachine = 64;
 
 std::uint64_t toThousandths(double amount) {
     return static_cast<std::uint64_t>(std::llround(std::max(0.0, amount) / thousandth));
@@ -64,10 +64,10 @@
     if (!context_.operatorSettings.rebalancing.enabled) return;
     context_.timers.after(
         context_.jittered(toSteadyDuration(context_.operatorSettings.rebalancing.period)),
-        [this] { round(); });
+        [this] { rebalance(); });
 }
 
-bool Rebalancer::usable() const {
+bool Rebalancer::canRebalance() const {
     return membership_.isLeaseValid() &&
            context_.machineTransfersEnabled(*context_.clusterState.lock());
 }
@@ -85,9 +85,9 @@
         const Job* job = clusterState->job(entry.job);
         const auto tasks = entry.gang ? entry.tasksWithoutFreeMachine : entry.tasks;
         if (job == nullptr || entry.overQuota || entry.blockedByEarlierGang || tasks == 0) continue;
-        // Work that can be divided, or is a single task, goes to the machines: a migration takes
-        // one change. With machines moved for it too, the arrays of best-effort jobs took them from
-        // all other work and the changes from its records (docs/results.md).
+        // Divisible work and single tasks migrate to the machines instead, which takes one write.
+        // When machines were transferred for such work too, the arrays of best-effort jobs took
+        // machines and writes from all other work (docs/results.md).
         if (!job->requiresSingleLeader() || job->spec.tasks < 2 || context_.isBestEffort(*job))
             continue;
         const auto urgency =
@@ -108,27 +108,28 @@
         auto free = type->capacity;
         free -= machine->used;
         for (auto& demand : demands) {
-            const auto maxPlaces = static_cast<std::uint32_t>(demand.tasks);
-            const auto places =
-                demand.shape.placesOn(machine->type, machine->zone, machine->spot, free, maxPlaces);
-            demand.tasks -= places;
-            if (places > 0) break;
+            const auto maxFitting = static_cast<std::uint32_t>(demand.tasks);
+            const auto fitting = demand.shape.countFitting(machine->type, machine->zone,
+                                                           machine->spot, free, maxFitting);
+            demand.tasks -= fitting;
+            if (fitting > 0) break;
         }
     }
     std::erase_if(demands, [](const rebalancing::Demand& demand) { return demand.tasks <= 0; });
 }
 
-void Rebalancer::round() {
+void Rebalancer::rebalance() {
     context_.timers.after(
         context_.jittered(toSteadyDuration(context_.operatorSettings.rebalancing.period)),
-        [this] { round(); });
-    planned_.clear();
-    if (!usable()) return;
-    const auto own = membership_.ledPartitions();
-    std::erase_if(averages_, [&own](const auto& entry) {
-        return std::find(own.begin(), own.end(), entry.first) == own.end();
+        [this] { rebalance(); });
+    plannedTransfers_.clear();
+    if (!canRebalance()) return;
+    const auto ledPartitions = membership_.ledPartitions();
+    std::erase_if(averages_, [&ledPartitions](const auto& entry) {
+        return std::find(ledPartitions.begin(), ledPartitions.end(), entry.first) ==
+               ledPartitions.end();
     });
-    for (const auto partition : own) announceDemand(partition);
+    for (const auto partition : ledPartitions) announceDemand(partition);
     const auto input = collectInput();
     if (input.machineDemands.empty()) return;
     const auto plan =
@@ -138,17 +139,17 @@
         const auto& supply = input.supplies[transfer.supply];
         const auto& machineDemand = input.machineDemands[transfer.machineDemand];
         if (membership_.isLeader(supply.partition))
-            planned_.push_back({supply.partition,
-                                machineDemand.partition,
-                                supply,
-                                machineDemand.demand,
-                                transfer.machines,
-                                {}});
+            plannedTransfers_.push_back({supply.partition,
+                                         machineDemand.partition,
+                                         supply,
+                                         machineDemand.demand,
+                                         transfer.machines,
+                                         {}});
     }
     const auto& tuning = context_.operatorSettings.rebalancing;
     rateLimiter_.fill(context_.now(), {tuning.transfersPerMinute / 60,
                                        context_.stateClient.writeRate() * tuning.fractionOfWrites});
-    if (!carryingOut_) carryOut();
+    if (!retryScheduled_) executePlan();
 }
 
 void Rebalancer::announceDemand(PartitionId partition) {
@@ -156,30 +157,30 @@
     const rebalancing::DemandThresholds thresholds{tuning.low, tuning.high, tuning.weight};
     auto& average = averages_.try_emplace(partition, thresholds).first->second;
     auto demands = demandsOf(unschedulable_[partition]);
-    // What was provisioned for a gang has been counted as no longer lacking.
-    const auto isComing = [now = context_.now()](const Machine& machine) {
+    // Skip machines reserved for a gang: the gang's missing tasks already exclude them.
+    const auto isIncoming = [now = context_.now()](const Machine& machine) {
         return (!machine.lastHeartbeat || !machine.acknowledged()) && now >= machine.reservedUntil;
     };
-    subtractCapacity(*context_.clusterState.lock(), partition, isComing, demands);
+    subtractCapacity(*context_.clusterState.lock(), partition, isIncoming, demands);
     average.sample(demands);
-    auto asked = average.requested();
-    std::stable_sort(asked.begin(), asked.end(), [](const auto& one, const auto& other) {
+    auto requested = average.requested();
+    std::stable_sort(requested.begin(), requested.end(), [](const auto& one, const auto& other) {
         return one.urgency > other.urgency;
     });
-    if (asked.size() > maxDemands) asked.resize(maxDemands);
+    if (requested.size() > maxDemands) requested.resize(maxDemands);
     protocol::DemandUpdate message{partition, {}};
-    for (const auto& demand : asked) message.demands.push_back(encode(demand));
+    for (const auto& demand : requested) message.demands.push_back(encode(demand));
     for (const auto& peer : context_.settings.peers)
         context_.network.sendFrame(peer.name,
                                    protocol::encodePeer({context_.settings.name, message}));
-    demands_[partition] = {std::move(asked), context_.now()};
+    demands_[partition] = {std::move(requested), context_.now()};
 }
 
 void Rebalancer::onDemand(const std::string& peer, const protocol::DemandUpdate& update) {
     if (!context_.operatorSettings.rebalancing.enabled ||
         update.partition >= context_.partitionCount())
         return;
-    // Whoever is not the leader any more, or not yet, would ask for another's partition.
+    // Ignore a former leader, or one whose term this node has not seen yet.
     if (context_.clusterState.lock()->partitions[update.partition].leader != peer) return;
     PartitionDemand demand{{}, context_.now()};
     for (const auto& entry : update.demands) {
@@ -189,11 +190,11 @@
     demands_[update.partition] = std::move(demand);
 }
 
-bool Rebalancer::spare(const ClusterState& clusterState, const Machine& machine,
-                       const rebalancing::Recipient& recipient) const {
+bool Rebalancer::isTransferable(const ClusterState& clusterState, const Machine& machine,
+                                const rebalancing::Recipient& recipient) const {
     return machine.version != 0 && !machine.decommissioned && !machine.lender &&
            !machine.transferring && !machine.consolidating && !machine.interruptionAt &&
-           !rebalancing::keptForOthers(clusterState, machine, recipient, context_.now()) &&
+           !rebalancing::isReservedForOtherWork(clusterState, machine, recipient, context_.now()) &&
            context_.now() - machine.knownSince >=
                toSteadyDuration(context_.operatorSettings.rebalancing.minTenure) &&
            (context_.operatorSettings.rebalancing.busyMachines || machine.allocations.empty());
@@ -207,7 +208,7 @@
                           const rebalancing::PlanInput& input) const {
     return std::any_of(input.machineDemands.begin(), input.machineDemands.end(),
                        [&](const rebalancing::MachineDemand& wanted) {
-                           return spare(
+                           return isTransferable(
                                clusterState, machine,
                                {wanted.partition, wanted.demand.urgency, wanted.demand.since});
                        });
@@ -216,8 +217,8 @@
 bool Rebalancer::isUseful(const rebalancing::Supply& supply, const rebalancing::PlanInput& input) {
     return std::any_of(input.machineDemands.begin(), input.machineDemands.end(),
                        [&](const rebalancing::MachineDemand& wanted) {
-                           return wanted.demand.shape.placesOn(supply.type, supply.zone,
-                                                               supply.spot, supply.free, 1) > 0;
+                           return wanted.demand.shape.countFitting(supply.type, supply.zone,
+                                                                   supply.spot, supply.free, 1) > 0;
                        });
 }
 
@@ -254,24 +255,26 @@
 rebalancing::PlanInput Rebalancer::collectInput() const {
     rebalancing::PlanInput input;
     auto clusterState = context_.clusterState.lock();
-    const auto fresh =
-        toSteadyDuration(context_.operatorSettings.rebalancing.period * freshPeriods);
+    const auto maxDemandAge =
+        toSteadyDuration(context_.operatorSettings.rebalancing.period * maxDemandAgePeriods);
     for (const auto& [partition, demand] : demands_) {
         const auto record = clusterState->partitions.find(partition);
-        if (record == clusterState->partitions.end() || context_.now() - demand.heard > fresh ||
+        if (record == clusterState->partitions.end() ||
+            context_.now() - demand.announcedAt > maxDemandAge ||
             !clusterState->nodes.contains(record->second.leader))
             continue;
         input.zones[partition] = context_.settings.zoneOf(record->second.leader);
-        // What the partition has got since it said so: two givers once served the same lack.
+        // Subtract machines that the partition has got since its announcement: otherwise two
+        // partitions serve the same demand.
         auto lacking = demand.demands;
-        const auto isNew = [heard = demand.heard](const Machine& machine) {
-            return machine.knownSince > heard;
+        const auto isNew = [announcedAt = demand.announcedAt](const Machine& machine) {
+            return machine.knownSince > announcedAt;
         };
         subtractCapacity(*clusterState, partition, isNew, lacking);
         for (auto& entry : lacking) input.machineDemands.push_back({partition, std::move(entry)});
     }
     if (input.machineDemands.empty()) return input;
-    // Also what is given comes only from partitions that share.
+    // Supplies too come only from partitions that announce their demand.
     for (const auto& [partition, zone] : input.zones) addSupplies(*clusterState, partition, input);
     return input;
 }
@@ -279,8 +282,8 @@
 void Rebalancer::logPlan(const rebalancing::PlanInput& input,
                          const rebalancing::TransferPlan& plan) {
     const auto now = context_.now();
-    if (plan.transfers.empty() || now - logged_ < logInterval) return;
-    logged_ = now;
+    if (plan.transfers.empty() || now - lastPlanLog_ < logInterval) return;
+    lastPlanLog_ = now;
     std::map<std::uint32_t, std::int64_t> held;
     {
         auto clusterState = context_.clusterState.lock();
@@ -293,50 +296,50 @@
                      plan.method == rebalancing::PlanMethod::greedy ? "greedy" : "flow");
 }
 
-void Rebalancer::carryOut() {
-    carryingOut_ = false;
-    if (!usable()) return;
-    bool waits = false;
+void Rebalancer::executePlan() {
+    retryScheduled_ = false;
+    if (!canRebalance()) return;
+    bool retryNeeded = false;
     std::set<std::uint32_t> sent;
-    for (auto& transfer : planned_) {
+    for (auto& transfer : plannedTransfers_) {
         if (transfer.machines == 0 || !membership_.isLeader(transfer.from) ||
             !rateLimiter_.allows())
             continue;
-        // Allocations, ends and cancellations go first: the transaction pipeline rests only when
-        // none is left.
+        // Allocations, completions and cancellations go first: the transaction pipeline is idle
+        // only when none is left.
         if (pipeline_.busy(transfer.from) || sent.contains(transfer.from)) {
-            waits = true;
+            retryNeeded = true;
             continue;
         }
-        if (transferSome(transfer)) sent.insert(transfer.from);
-        waits = waits || transfer.machines > 0;
+        if (transferOne(transfer)) sent.insert(transfer.from);
+        retryNeeded = retryNeeded || transfer.machines > 0;
     }
-    if (!waits) return;
-    carryingOut_ = true;
-    context_.timers.after(retryPause, [this] { carryOut(); });
+    if (!retryNeeded) return;
+    retryScheduled_ = true;
+    context_.timers.after(retryPause, [this] { executePlan(); });
 }
 
 std::vector<std::string> Rebalancer::candidates(const Transfer& transfer) {
     std::vector<const Machine*> found;
     auto clusterState = context_.clusterState.lock();
-    const auto wanted =
-        transfer.demand.shape.placesOn(transfer.kind.type, transfer.kind.zone, transfer.kind.spot,
-                                       transfer.kind.free, maxPlacesCounted);
+    const auto wanted = transfer.demand.shape.countFitting(
+        transfer.supply.type, transfer.supply.zone, transfer.supply.spot, transfer.supply.free,
+        maxTasksPerMachine);
     for (const auto* machine : clusterState->machinesOf(transfer.from)) {
         const auto* type = context_.findMachineType(machine->type);
-        if (type == nullptr || transfer.refused.contains(machine->id) ||
-            !spare(*clusterState, *machine, recipientOf(transfer)) ||
+        if (type == nullptr || transfer.attempted.contains(machine->id) ||
+            !isTransferable(*clusterState, *machine, recipientOf(transfer)) ||
             std::tie(machine->type, machine->zone, machine->spot) !=
-                std::tie(transfer.kind.type, transfer.kind.zone, transfer.kind.spot) ||
-            machine->allocations.empty() == transfer.kind.busy)
+                std::tie(transfer.supply.type, transfer.supply.zone, transfer.supply.spot) ||
+            machine->allocations.empty() == transfer.supply.busy)
             continue;
         auto free = type->capacity;
         free -= machine->used;
-        if (transfer.demand.shape.placesOn(machine->type, machine->zone, machine->spot, free,
-                                           wanted) >= wanted)
+        if (transfer.demand.shape.countFitting(machine->type, machine->zone, machine->spot, free,
+                                               wanted) >= wanted)
             found.push_back(machine);
     }
-    // Those whose tasks are few first: less changes hands with them.
+    // Machines with the fewest tasks first: fewer records change with them.
     std::sort(found.begin(), found.end(), [](const Machine* one, const Machine* other) {
         return std::pair(one->allocations.size(), one->id) <
                std::pair(other->allocations.size(), other->id);
@@ -347,7 +350,7 @@
     return names;
 }
 
-bool Rebalancer::transferSome(Transfer& transfer) {
+bool Rebalancer::transferOne(Transfer& transfer) {
     const auto& tuning = context_.operatorSettings.rebalancing;
     const rebalancing::HandoverRules rules{
         transfer.from,
@@ -355,22 +358,22 @@
         context_.settings.transactionChanges,
         context_.now(),
         toSteadyDuration(tuning.minTenure),
-        toSteadyDuration(context_.settings.heartbeatInterval * silentHeartbeats),
+        toSteadyDuration(context_.settings.heartbeatInterval * maxHeartbeatAgeIntervals),
         tuning.busyMachines};
     for (const auto& machine : candidates(transfer)) {
-        transfer.refused.insert(machine);
+        transfer.attempted.insert(machine);
         const auto plan = rebalancing::planHandover(*context_.clusterState.lock(), machine, rules);
         if (const auto* refusal = std::get_if<rebalancing::Refusal>(&plan)) {
             logRefusal(machine, *refusal);
             continue;
         }
         const auto& handover = std::get<rebalancing::Handover>(plan);
-        const auto refusal = transfers_.give(
+        const auto refusal = transfers_.transferWithWork(
             transfer.from, transfer.to, handover,
             [this, machine, from = transfer.from, to = transfer.to, tasks = handover.tasks(),
              machines = handover.machines.size()](bool done) {
                 spdlog::info(transferredFormat, machine, machines, tasks, from, to, done);
-                rounds_.scheduleRound();
+                roundScheduler_.scheduleRound();
             });
         if (refusal) {
             logRefusal(machine, *refusal);
@@ -381,7 +384,7 @@
         rateLimiter_.consume(moved, handover.writes);
         return true;
     }
-    // Nothing of it can go in this round.
+    // No machine can be transferred in this period.
     transfer.machines = 0;
     return false;
 }
--- a/src/coordination/migration/rebalancer.h
+++ b/src/coordination/migration/rebalancer.h
@@ -1,8 +1,8 @@
 /// @file
-/// Divides the machines among the partitions while jobs run.
+/// Rebalances the machines among the partitions while jobs run.
 ///
-/// Each period every leader tells its peers what it lacks machines for, works out a plan for all
-/// partitions, and gives away what the plan takes from its own.
+/// In each period every leader announces the demand that its machines can't serve, computes a plan
+/// for all partitions, and transfers the machines that the plan takes from its own partitions.
 #pragma once
 
 #include "coordination/migration/machine_transfers.h"
@@ -13,70 +13,73 @@
 
 namespace fawnwheel::coordination {
 
-/// Announces demands, plans and carries out transfers of machines for good. Off unless enabled by
-/// the operators' settings.
+/// Announces demand, and plans and executes permanent transfers of machines. Disabled by default;
+/// the operators' settings enable it.
 class Rebalancer {
   public:
     Rebalancer(Context& context, Membership& membership, TransactionPipeline& pipeline,
-               Placement& placement, MachineTransfers& transfers, RoundScheduler& rounds)
+               Placement& placement, MachineTransfers& transfers, RoundScheduler& roundScheduler)
         : context_(context),
           membership_(membership),
           pipeline_(pipeline),
           placement_(placement),
           transfers_(transfers),
-          rounds_(rounds) {}
+          roundScheduler_(roundScheduler) {}
 
-    /// Plans the first period, if enabled; to be called once.
+    /// Schedules the first period, if enabled; must be called once.
     void start();
-    /// What a partition of ours had no place for when it was last looked at.
+    /// Stores the work that found no place in the latest scheduling round of a led partition.
     void recordUnschedulable(PartitionId partition,
                              const std::vector<UnschedulableWork>& unschedulable);
-    /// A peer has announced what its partition lacks; ignored unless it leads the partition.
+    /// Handles a peer's announcement of its partition's demand; ignored unless the peer leads the
+    /// partition.
     void onDemand(const std::string& peer, const protocol::DemandUpdate& update);
 
   private:
-    /// What a partition's leader has announced.
+    /// The latest announcement of a partition's leader.
     struct PartitionDemand {
         std::vector<rebalancing::Demand> demands;
-        SteadyTime heard{};  // when it was announced
+        SteadyTime announcedAt{};  // when this node received or sent it
     };
-    /// Machines that a partition of ours is to give away, until the next round.
+    /// Planned transfer of machines from a partition that this node leads; valid until the next
+    /// period.
     struct Transfer {
         std::uint32_t from = 0;
         std::uint32_t to = 0;
-        rebalancing::Supply kind;
+        rebalancing::Supply supply;
         rebalancing::Demand demand;
         std::uint32_t machines = 0;
-        std::set<std::string> refused;  // looked at in this round
+        std::set<std::string> attempted;  // machines tried since the plan was made
     };
 
-    [[nodiscard]] bool usable() const;
-    void round();
+    [[nodiscard]] bool canRebalance() const;
+    void rebalance();
     void announceDemand(PartitionId partition);
     [[nodiscard]] rebalancing::PlanInput collectInput() const;
-    /// Whether some demand may take the machine by what is known of it here.
+    /// Whether this node's state of the machine allows a transfer to any demand.
     [[nodiscard]] bool isWanted(const ClusterState& clusterState, const Machine& machine,
                                 const rebalancing::PlanInput& input) const;
-    /// Whether a task of some demand fits on such a machine.
+    /// Whether a task of any demand fits on a machine of the supply.
     [[nodiscard]] static bool isUseful(const rebalancing::Supply& supply,
                                        const rebalancing::PlanInput& input);
     void addSupplies(const ClusterState& clusterState, PartitionId partition,
                      rebalancing::PlanInput& input) const;
     [[nodiscard]] std::vector<rebalancing::Demand> demandsOf(
         const std::vector<UnschedulableWork>& unschedulable) const;
-    /// Subtracts what such machines of the partition have capacity for.
+    /// Subtracts the tasks that fit on the partition's machines for which `counts` holds.
     void subtractCapacity(const ClusterState& clusterState, PartitionId partition,
                           const std::function<bool(const Machine&)>& counts,
                           std::vector<rebalancing::Demand>& demands) const;
-    /// Whether the machine could serve the recipient by what is known of it here.
-    [[nodiscard]] bool spare(const ClusterState& clusterState, const Machine& machine,
-                             const rebalancing::Recipient& recipient) const;
+    /// Whether this node's state of the machine allows a transfer to the recipient.
+    [[nodiscard]] bool isTransferable(const ClusterState& clusterState, const Machine& machine,
+                                      const rebalancing::Recipient& recipient) const;
     [[nodiscard]] static rebalancing::Recipient recipientOf(const Transfer& transfer);
     void logPlan(const rebalancing::PlanInput& input, const rebalancing::TransferPlan& plan);
-    /// Gives what the plan says, as far as the rate limit and the records that go first allow.
-    void carryOut();
-    /// Whether something was sent.
-    bool transferSome(Transfer& transfer);
+    /// Sends the planned transfers that the rate limit allows; retries those whose partition has
+    /// other records in flight.
+    void executePlan();
+    /// Sends the transfer of one machine and what goes with it; false if none could be sent.
+    bool transferOne(Transfer& transfer);
     [[nodiscard]] std::vector<std::string> candidates(const Transfer& transfer);
     void logRefusal(const std::string& machine, rebalancing::Refusal refusal);
 
@@ -85,14 +88,14 @@
     TransactionPipeline& pipeline_;
     Placement& placement_;
     MachineTransfers& transfers_;
-    RoundScheduler& rounds_;
-    std::map<std::uint32_t, std::vector<UnschedulableWork>> unschedulable_;  // by partition of ours
-    std::map<std::uint32_t, rebalancing::DemandAverage> averages_;           // the same
-    std::map<std::uint32_t, PartitionDemand> demands_;                       // of all partitions
-    std::vector<Transfer> planned_;
+    RoundScheduler& roundScheduler_;
+    std::map<std::uint32_t, std::vector<UnschedulableWork>> unschedulable_;  // by led partition
+    std::map<std::uint32_t, rebalancing::DemandAverage> averages_;           // by led partition
+    std::map<std::uint32_t, PartitionDemand> demands_;  // by partition, led or not
+    std::vector<Transfer> plannedTransfers_;
     rebalancing::TransferRateLimiter rateLimiter_;
-    bool carryingOut_ = false;
-    SteadyTime logged_{};
+    bool retryScheduled_ = false;
+    SteadyTime lastPlanLog_{};
 };
 
 }  // namespace fawnwheel::coordination
--- a/src/coordination/migration/work_migrator.cpp
+++ b/src/coordination/migration/work_migrator.cpp
@@ -13,13 +13,14 @@
 using namespace std::chrono_literals;
 
 constexpr auto responseTimeout = 800ms;
-constexpr auto promiseDuration = 3s;
+constexpr auto acceptanceTimeout = 3s;
 constexpr std::size_t maxPendingMigrations = 16;
-// What found no place here for so long counts as above high, however short the queue is: the
-// average of one waiting task stays below any threshold (slice_left_behind).
-constexpr auto longWait = 30s;
-// The thresholds' upper bounds come from the settings; a partition that runs few tasks at a time is
-// congested by a shorter queue.
+// Work that has found no place for this long migrates as if the average were above the high
+// threshold, because the average of one waiting task stays below any threshold (scenario
+// slice_left_behind).
+constexpr auto longWaitThreshold = 30s;
+// The low threshold as a fraction of the running tasks. A partition that runs few tasks at a time
+// is congested by a shorter queue; the settings are upper bounds of the thresholds.
 constexpr double lowFractionOfRunning = 0.1;
 
 }  // namespace
@@ -73,7 +74,8 @@
     {
         auto clusterState = context_.clusterState.lock();
         for (const auto& [id, job] : clusterState->jobs)
-            if (clusterState->schedulable(job) && movable(job, partition)) waiting.push_back(id);
+            if (clusterState->schedulable(job) && isMigratable(job, partition))
+                waiting.push_back(id);
     }
     auto& since = waitingSince_[partition];
     std::erase_if(since, [&waiting](const auto& entry) {
@@ -81,54 +83,54 @@
     });
     const auto now = context_.now();
     for (const auto& id : waiting) {
-        const bool longWaiting = now - since.try_emplace(id, now).first->second > longWait;
-        const auto pressure = pressureOn(id, partition, longWaiting);
+        const bool longWaiting = now - since.try_emplace(id, now).first->second > longWaitThreshold;
+        const auto pressure = pressureFor(id, partition, longWaiting);
         if (!pressure) continue;
         queue.onConsidered();
         const double chance = queue.migrationProbability(pressure->stickinessFactor, tuning);
         if (pressure->immediate || std::uniform_real_distribution<>(0, 1)(context_.rng) < chance)
-            consider(partition, id, pressure->immediate || queue.aboveHigh(tuning));
+            migrateSlices(partition, id, pressure->immediate || queue.isAboveHigh(tuning));
     }
 }
 
-std::optional<WorkMigrator::Pressure> WorkMigrator::pressureOn(const std::string& id,
-                                                               PartitionId partition,
-                                                               bool longWaiting) {
+std::optional<WorkMigrator::Pressure> WorkMigrator::pressureFor(const std::string& id,
+                                                                PartitionId partition,
+                                                                bool longWaiting) {
     auto clusterState = context_.clusterState.lock();
     const Job* job = clusterState->job(id);
     if (job == nullptr) return std::nullopt;
-    // Work that no machine here could ever run counts as above high, and so does what will miss its
-    // objective unless it starts about now: the average lags behind it.
+    // Work migrates at once if no machine of the partition could ever run it, or if it will miss
+    // its objective unless it starts about now: the average reacts too late for it.
     const bool stranded = longWaiting || !placement_.isFeasible(*job, partition);
     const double factor = stickinessFactor(*job, partition);
-    // Elsewhere its image may have to be fetched: what has it here waits here for as long as that
-    // would take.
+    // Another partition may have to fetch the job's image. If the image is cached in this
+    // partition, the job first waits for as long as a fetch would take.
     const Seconds waited = context_.timers.wallNow() - job->readySince;
     const bool isSloAtRisk =
         placement_.isSloAtRisk(*job) && (factor > 0 || waited >= placement_.fetchTime(*job));
     return Pressure{stranded || isSloAtRisk, factor};
 }
 
-storage::TaskRange WorkMigrator::movableRange(const Slice& slice) {
+storage::TaskRange WorkMigrator::migratableRange(const Slice& slice) {
     if (slice.migrating) return {};
     if (slice.hasNotStarted()) return slice.dirty ? storage::TaskRange{} : slice.range();
-    // The rest of a slice that has begun becomes a slice of its own. It once never moved, and
-    // waited beside idle machines of other partitions (slice_left_behind).
+    // The unstarted tail of a started slice becomes a slice of its own. Otherwise these tasks
+    // waited although other partitions had idle machines (scenario slice_left_behind).
     if (!context_.jobDependenciesEnabled(*context_.clusterState.lock())) return {};
     return slice.trailingUnstarted();
 }
 
-bool WorkMigrator::movable(const Job& job, PartitionId partition) {
+bool WorkMigrator::isMigratable(const Job& job, PartitionId partition) {
     if (job.requiresSingleLeader())
         return std::any_of(job.slices.begin(), job.slices.end(), [partition](const Slice& slice) {
             return slice.partition == partition && slice.hasNotStarted() && !slice.migrating;
         });
     return std::any_of(job.slices.begin(), job.slices.end(), [&](const Slice& slice) {
-        return slice.partition == partition && movableRange(slice).count > 0;
+        return slice.partition == partition && migratableRange(slice).count > 0;
     });
 }
 
-void WorkMigrator::consider(PartitionId partition, const std::string& id, bool all) {
+void WorkMigrator::migrateSlices(PartitionId partition, const std::string& id, bool all) {
     auto clusterState = context_.clusterState.lock();
     Job* job = clusterState->job(id);
     if (job == nullptr) return;
@@ -141,7 +143,7 @@
         return;
     }
     for (const auto& slice : job->slices) {
-        if (slice.partition != partition || movableRange(slice).count == 0) continue;
+        if (slice.partition != partition || migratableRange(slice).count == 0) continue;
         beginMigration(partition, *job, slice, false);
         if (!all) return;
     }
@@ -155,11 +157,11 @@
     next.job = job.spec.id;
     next.slice = slice.index;
     next.wholeJob = wholeJob;
-    next.range = wholeJob ? slice.range() : movableRange(slice);
+    next.range = wholeJob ? slice.range() : migratableRange(slice);
     next.tasks = wholeJob ? job.spec.tasks : next.range.count;
     choosePeers(next, job);
-    if (next.peersLeft.empty()) return;
-    setLeaving(next, true);
+    if (next.remainingPartitions.empty()) return;
+    setMigrating(next, true);
     const auto requestId = nextRequestId_++;
     pending_[requestId] = std::move(next);
     requestNextPeer(requestId);
@@ -189,7 +191,7 @@
         }
         if (!job.requiresSingleLeader() && context_.jobDependenciesEnabled(*clusterState) &&
             maxCapacity < migration.tasks) {
-            // The last tasks only, as many as a peer has capacity for.
+            // Migrate only as many of the last tasks as the partition with most capacity can take.
             const auto count = std::min(maxCapacity, migration.range.count);
             migration.wholeJob = false;
             migration.range = {migration.range.end() - count, count};
@@ -197,92 +199,97 @@
         }
     }
     std::sort(peers.rbegin(), peers.rend());
-    for (const auto& peer : peers) migration.peersLeft.push_back(peer.partition);
+    for (const auto& peer : peers) migration.remainingPartitions.push_back(peer.partition);
 }
 
-void WorkMigrator::setLeaving(const Migration& migration, bool leaving) {
+void WorkMigrator::setMigrating(const Migration& migration, bool migrating) {
     auto clusterState = context_.clusterState.lock();
     Job* job = clusterState->job(migration.job);
     if (job == nullptr) return;
     for (auto& slice : job->slices) {
         if (!migration.wholeJob && slice.index != migration.slice) continue;
         slice.migrating.reset();
-        if (leaving) slice.migrating = migration.wholeJob ? slice.range() : migration.range;
+        if (migrating) slice.migrating = migration.wholeJob ? slice.range() : migration.range;
     }
 }
 
 void WorkMigrator::requestNextPeer(std::uint64_t requestId) {
     auto& migration = pending_[requestId];
-    if (migration.peersLeft.empty()) {
-        // All have been asked in turn: the work stays.
-        setLeaving(migration, false);
+    if (migration.remainingPartitions.empty()) {
+        // Every peer has refused or timed out: the work stays.
+        setMigrating(migration, false);
         pending_.erase(requestId);
         return;
     }
-    migration.asked = migration.peersLeft.front();
-    migration.peersLeft.erase(migration.peersLeft.begin());
-    const auto leader = context_.clusterState.lock()->partitions[migration.asked].leader;
-    protocol::MigrationRequest message{requestId,       migration.asked,    migration.job,
-                                       migration.slice, migration.wholeJob, migration.tasks};
+    migration.requestedPartition = migration.remainingPartitions.front();
+    migration.remainingPartitions.erase(migration.remainingPartitions.begin());
+    const auto leader =
+        context_.clusterState.lock()->partitions[migration.requestedPartition].leader;
+    protocol::MigrationRequest message{requestId,          migration.requestedPartition,
+                                       migration.job,      migration.slice,
+                                       migration.wholeJob, migration.tasks};
     if (leader == context_.settings.name) {
-        // Both partitions are ours for the time being.
+        // This node currently leads both partitions.
         onMigrationRequest(leader, message);
         return;
     }
     context_.network.sendFrame(leader, protocol::encodePeer({context_.settings.name, message}));
-    context_.timers.after(responseTimeout, [this, requestId, asked = migration.asked] {
-        const auto found = pending_.find(requestId);
-        if (found != pending_.end() && found->second.asked == asked) requestNextPeer(requestId);
-    });
+    context_.timers.after(
+        responseTimeout, [this, requestId, requestedPartition = migration.requestedPartition] {
+            const auto found = pending_.find(requestId);
+            if (found != pending_.end() && found->second.requestedPartition == requestedPartition)
+                requestNextPeer(requestId);
+        });
 }
 
-std::uint32_t WorkMigrator::promised(PartitionId partition) {
+std::uint32_t WorkMigrator::acceptedTasks(PartitionId partition) {
     const auto now = context_.now();
-    std::erase_if(promises_, [now](const Promise& p) { return p.until < now; });
+    std::erase_if(acceptedWork_, [now](const AcceptedWork& p) { return p.until < now; });
     std::uint32_t total = 0;
-    for (const auto& promise : promises_)
-        if (promise.partition == partition) total += promise.tasks;
+    for (const auto& accepted : acceptedWork_)
+        if (accepted.partition == partition) total += accepted.tasks;
     return total;
 }
 
 void WorkMigrator::onMigrationRequest(const std::string& peer,
                                       const protocol::MigrationRequest& request) {
-    protocol::MigrationResponse answer{request.requestId, false};
+    protocol::MigrationResponse response{request.requestId, false};
     {
         auto clusterState = context_.clusterState.lock();
         const Job* job = clusterState->job(request.job);
         if (job != nullptr && membership_.isLeader(request.partition) &&
             membership_.isLeaseValid()) {
-            // Accept only while the queue stays below low: what has room now does not queue.
-            // The queue that counts is the one for the machines this work could use: what waits
-            // here although they have room waits for others.
-            const auto coming = request.tasks + promised(request.partition);
-            const auto capacity = placement_.capacityFor(*job, request.partition, coming);
-            answer.accepted = capacity > promised(request.partition) &&
-                              coming - capacity < tuningFor(request.partition).low;
+            // Accept only if the queue stays below the low threshold; tasks that fit now do not
+            // queue. Count only the queue for machines that this work could use: other tasks that
+            // wait although these machines have room wait for different machines.
+            const auto incomingTasks = request.tasks + acceptedTasks(request.partition);
+            const auto capacity = placement_.capacityFor(*job, request.partition, incomingTasks);
+            response.accepted = capacity > acceptedTasks(request.partition) &&
+                                incomingTasks - capacity < tuningFor(request.partition).low;
         }
-        if (answer.accepted)
-            promises_.push_back(
-                {request.partition, request.tasks, context_.now() + promiseDuration});
+        if (response.accepted)
+            acceptedWork_.push_back(
+                {request.partition, request.tasks, context_.now() + acceptanceTimeout});
     }
-    if (peer == context_.settings.name) return onMigrationResponse(answer);
-    context_.network.sendFrame(peer, protocol::encodePeer({context_.settings.name, answer}));
+    if (peer == context_.settings.name) return onMigrationResponse(response);
+    context_.network.sendFrame(peer, protocol::encodePeer({context_.settings.name, response}));
 }
 
-void WorkMigrator::onMigrationResponse(const protocol::MigrationResponse& answer) {
-    const auto found = pending_.find(answer.requestId);
-    // A late response; another peer has been asked since.
-    if (found == pending_.end() || found->second.asked == context_.partitionCount()) return;
-    if (answer.accepted)
-        migrate(answer.requestId);
+void WorkMigrator::onMigrationResponse(const protocol::MigrationResponse& response) {
+    const auto found = pending_.find(response.requestId);
+    // Ignore a late response: the migration has finished or is already being committed.
+    if (found == pending_.end() || found->second.requestedPartition == context_.partitionCount())
+        return;
+    if (response.accepted)
+        migrate(response.requestId);
     else
-        requestNextPeer(answer.requestId);
+        requestNextPeer(response.requestId);
 }
 
 void WorkMigrator::migrate(std::uint64_t requestId) {
     auto& found = pending_[requestId];
-    const auto target = found.asked;
-    found.asked = context_.partitionCount();  // no longer asking
+    const auto target = found.requestedPartition;
+    found.requestedPartition = context_.partitionCount();  // no partition is being asked
     const Migration migration = found;
     if (!membership_.isLeader(migration.partition))
         return finishMigration(requestId, target, false);
@@ -309,8 +316,8 @@
     pipeline_.commit(
         migration.partition, std::move(transaction),
         [this, requestId, target, key, value](CommitResult result, std::uint64_t revision) {
-            // As the record that it is: the job may have been migrated on, or be over,
-            // by now.
+            // Apply it as a record event with its revision: by now the job may have migrated
+            // again or ended.
             if (result == CommitResult::committed)
                 storage::applyEvent(*context_.clusterState.lock(), {key, value, revision},
                                     context_.now());
@@ -321,7 +328,7 @@
 void WorkMigrator::migrateTasks(std::uint64_t requestId, const Migration& migration,
                                 std::uint32_t target) {
     stateWriter_.migrate(migration.partition, {migration.job, migration.slice, migration.range,
-                                               target, context_.now() + promiseDuration,
+                                               target, context_.now() + acceptanceTimeout,
                                                [this, requestId, target](bool migrated) {
                                                    finishMigration(requestId, target, migrated);
                                                }});
@@ -330,17 +337,18 @@
 void WorkMigrator::finishMigration(std::uint64_t requestId, std::uint32_t target, bool migrated) {
     const auto found = pending_.find(requestId);
     if (found == pending_.end()) return;
-    const Migration made = found->second;
+    const Migration finished = found->second;
     pending_.erase(found);
-    setLeaving(made, false);
+    setMigrating(finished, false);
     if (!migrated) return;
-    queues_[made.partition].onMigrated();
-    spdlog::info("migration: work_migrated job={} tasks={} whole_job={} from={} to={}", made.job,
-                 made.tasks, made.wholeJob, made.partition, target);
+    queues_[finished.partition].onMigrated();
+    spdlog::info("migration: work_migrated job={} tasks={} whole_job={} from={} to={}",
+                 finished.job, finished.tasks, finished.wholeJob, finished.partition, target);
 }
 
 std::optional<std::uint32_t> WorkMigrator::partitionOfDependencies(const Job& job) {
-    // Parents with children, as DESIGN maps them: its trigger comes from the same process.
+    // Keep a job in the partition of its dependencies, as DESIGN describes: the event that releases
+    // the job then comes from the same process.
     auto clusterState = context_.clusterState.lock();
     for (auto id = job.spec.dependencies.rbegin(); id != job.spec.dependencies.rend(); ++id) {
         const Job* active = clusterState->job(*id);
@@ -353,8 +361,9 @@
 }
 
 std::uint32_t WorkMigrator::choosePartition(const Job& job) {
-    // Greedy: where it would run first, by the queue there and by what its image takes to fetch.
-    // Jobs of one image so come together in few partitions, whose machines have it.
+    // Greedy choice: the partition where the job is expected to start first, from the queue's
+    // length and the time to fetch the image. Jobs with the same image thus gather in few
+    // partitions, whose machines have it cached.
     if (const auto partition = partitionOfDependencies(job)) return *partition;
     std::uint32_t best = context_.preferredPartition;
     std::tuple<int, double> bestScore{-1, 0};
@@ -362,7 +371,7 @@
     const auto queues = placement_.queueLengths();
     auto clusterState = context_.clusterState.lock();
     for (std::uint32_t i = 0; i < context_.partitionCount(); ++i) {
-        // Equal partitions: one's own first.
+        // Among equal partitions, prefer this node's own.
         const auto partition = (context_.preferredPartition + i) % context_.partitionCount();
         if (!clusterState->nodes.contains(clusterState->partitions[partition].leader)) continue;
         const auto queue = queues[partition];
--- a/src/coordination/migration/work_migrator.h
+++ b/src/coordination/migration/work_migrator.h
@@ -1,10 +1,10 @@
 /// @file
-/// Work migration: samples the ready queues and gives unstarted work to peers.
+/// Work migration: samples the ready queues and migrates unstarted work to other partitions.
 ///
-/// Each sample period the queue's average is tested against the thresholds (`QueueAverage`). Work
-/// that no machine here can run, that has waited for long, or whose objective is at risk migrates
-/// at once. Peers are asked in turn; one that stays below its low threshold accepts, and one
-/// guarded change of the durable record moves the work.
+/// In each sample period the queue's average is compared with the thresholds (`QueueAverage`). Work
+/// migrates at once if no machine of its partition can run it, if it has waited for long, or if its
+/// objective is at risk. Peers are asked one after the other; one whose queue stays below its low
+/// threshold accepts, and one compare-and-swap on the durable record migrates the work.
 #pragma once
 
 #include <map>
@@ -31,35 +31,35 @@
           stateWriter_(stateWriter),
           placement_(placement) {}
 
-    /// Begins to sample; to be called once.
+    /// Starts sampling; must be called once.
     void start();
-    /// A peer asks whether this node takes its work; it is answered at once.
+    /// Decides whether this node accepts a peer's work, and responds at once.
     void onMigrationRequest(const std::string& peer, const protocol::MigrationRequest& request);
-    void onMigrationResponse(const protocol::MigrationResponse& answer);
-    /// The partition that a new job starts out in: that of its last active dependency, else where
-    /// it would run first.
+    void onMigrationResponse(const protocol::MigrationResponse& response);
+    /// The first partition of a new job: that of its last active dependency, otherwise the one
+    /// where the job is expected to start earliest.
     [[nodiscard]] std::uint32_t choosePartition(const Job& job);
 
   private:
-    /// Work for which a peer is being found.
+    /// Work that is looking for a target partition.
     struct Migration {
-        PartitionId partition = 0;  // ours
+        PartitionId partition = 0;  // source partition
         std::string job;
         std::uint32_t slice = 0;
         bool wholeJob = false;
-        storage::TaskRange range;  // of the slice
+        storage::TaskRange range;  // tasks of the slice
         std::uint32_t tasks = 0;
-        std::vector<std::uint32_t> peersLeft;  // partitions to ask, in turn
-        std::uint32_t asked = 0;               // partition
+        std::vector<std::uint32_t> remainingPartitions;  // in the order of asking
+        std::uint32_t requestedPartition = 0;            // partition asked last
     };
-    /// Work accepted from a peer that has not arrived yet.
-    struct Promise {
+    /// Work that this node has accepted from a peer and not yet received.
+    struct AcceptedWork {
         PartitionId partition = 0;
         std::uint32_t tasks = 0;
         SteadyTime until{};
     };
 
-    /// What speaks for migrating a job.
+    /// The reasons for migrating a job.
     struct Pressure {
         bool immediate = false;
         double stickinessFactor = 0;
@@ -67,28 +67,30 @@
 
     void sampleAll();
     void samplePartition(PartitionId partition);
-    /// None: the job is gone. `longWaiting`: some of its tasks have found no place here for long.
-    [[nodiscard]] std::optional<Pressure> pressureOn(const std::string& id, PartitionId partition,
-                                                     bool longWaiting);
-    /// Begins migrations of the job's slices; only of the first one unless `all`.
-    void consider(PartitionId partition, const std::string& id, bool all);
-    // Whether some of the job's tasks here could be migrated.
-    [[nodiscard]] bool movable(const Job& job, PartitionId partition);
-    // The tasks of a slice that may be migrated together; none: an empty range.
-    [[nodiscard]] storage::TaskRange movableRange(const Slice& slice);
+    /// `longWaiting`: some of the job's tasks have waited for a place for longer than the
+    /// threshold. None if the job no longer exists.
+    [[nodiscard]] std::optional<Pressure> pressureFor(const std::string& id, PartitionId partition,
+                                                      bool longWaiting);
+    /// Starts migrating the job's slices; only the first one unless `all`.
+    void migrateSlices(PartitionId partition, const std::string& id, bool all);
+    // Whether any of the job's tasks in the partition can be migrated.
+    [[nodiscard]] bool isMigratable(const Job& job, PartitionId partition);
+    // The tasks of a slice that can be migrated together; empty if there are none.
+    [[nodiscard]] storage::TaskRange migratableRange(const Slice& slice);
     void beginMigration(PartitionId partition, Job& job, const Slice& slice, bool wholeJob);
-    /// Fills in the peers to ask, the best first, and cuts the work to what one of them can take.
+    /// Lists the partitions to ask, the best first, and limits the work to the greatest capacity
+    /// among them.
     void choosePeers(Migration& migration, const Job& job);
     void requestNextPeer(std::uint64_t requestId);
     void migrate(std::uint64_t requestId);
     void migrateJob(std::uint64_t requestId, const Migration& migration, std::uint32_t target);
     void migrateTasks(std::uint64_t requestId, const Migration& migration, std::uint32_t target);
     void finishMigration(std::uint64_t requestId, std::uint32_t target, bool migrated);
-    void setLeaving(const Migration& migration, bool leaving);
+    void setMigrating(const Migration& migration, bool migrating);
     [[nodiscard]] QueueAverage::Tuning tuningFor(PartitionId partition);
     [[nodiscard]] std::optional<std::uint32_t> partitionOfDependencies(const Job& job);
     [[nodiscard]] double stickinessFactor(const Job& job, PartitionId partition);
-    [[nodiscard]] std::uint32_t promised(PartitionId partition);
+    [[nodiscard]] std::uint32_t acceptedTasks(PartitionId partition);
 
     Context& context_;
     Membership& membership_;
@@ -96,10 +98,10 @@
     StateWriter& stateWriter_;
     Placement& placement_;
     std::map<std::uint32_t, QueueAverage> queues_;
-    // By partition and job: since when some of its tasks have waited to be placed.
+    // By partition and job: when the job was first seen with tasks waiting for a place.
     std::map<std::uint32_t, std::map<std::string, SteadyTime>> waitingSince_;
     std::map<std::uint64_t, Migration> pending_;
-    std::vector<Promise> promises_;
+    std::vector<AcceptedWork> acceptedWork_;
     std::uint64_t nextRequestId_ = 1;
 };
 
--- a/src/rebalancing/demand.cpp
+++ b/src/rebalancing/demand.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr double negligibleAverage = 0.05;  // an average so small that nothing is left of it
+constexpr double negligibleAverage = 0.05;  // tasks; a smaller average is dropped
 
 constexpr std::uint32_t lowestPriorityRank = 3;
 constexpr std::uint32_t guaranteedUrgency = 4;
@@ -25,18 +25,19 @@
     return static_cast<std::uint64_t>(std::max<std::int64_t>(0, millis.count()));
 }
 
-std::uint32_t TaskShape::placesOn(const std::string& type, const std::string& inZone, bool onSpot,
-                                  protocol::Resources free, std::uint32_t maxPlaces) const {
+std::uint32_t TaskShape::countFitting(const std::string& type, const std::string& inZone,
+                                      bool onSpot, protocol::Resources free,
+                                      std::uint32_t maxCount) const {
     const bool allowed =
         (!onSpot || spot) && (zone.empty() || zone == inZone) &&
         (types.empty() || std::find(types.begin(), types.end(), type) != types.end());
     if (!allowed) return 0;
-    std::uint32_t places = 0;
-    while (places < maxPlaces && each.fits(free)) {
+    std::uint32_t count = 0;
+    while (count < maxCount && each.fits(free)) {
         free -= each;
-        ++places;
+        ++count;
     }
-    return places;
+    return count;
 }
 
 void DemandAverage::sample(const std::vector<Demand>& waiting) {
@@ -64,25 +65,25 @@
 }
 
 std::vector<Demand> DemandAverage::requested() const {
-    std::vector<Demand> out;
+    std::vector<Demand> requests;
     for (const auto& [latest, average] : entries_) {
         if (latest.tasks == 0 || average < thresholds_.low) continue;
         const double ramp =
             std::min(1.0, (average - thresholds_.low) / (thresholds_.high - thresholds_.low));
         Demand demand = latest;
-        // A gang that gets a portion of its machines starts no sooner.
+        // Request a gang's demand whole: with some of its machines, it would start no sooner.
         if (!demand.indivisible)
             demand.tasks = std::ceil(std::min(latest.tasks, std::max(1.0, average * ramp)));
-        out.push_back(std::move(demand));
+        requests.push_back(std::move(demand));
     }
-    return out;
+    return requests;
 }
 
 bool DemandAverage::isShortOf(const std::string& type, const std::string& zone, bool spot,
                               const protocol::Resources& free) const {
     return std::any_of(entries_.begin(), entries_.end(), [&](const Entry& entry) {
         return entry.average >= thresholds_.low &&
-               entry.latest.shape.placesOn(type, zone, spot, free, 1) > 0;
+               entry.latest.shape.countFitting(type, zone, spot, free, 1) > 0;
     });
 }
 
--- a/src/rebalancing/flow_solver.cpp
+++ b/src/rebalancing/flow_solver.cpp
@@ -1,6 +1,6 @@
-// The plan as a minimum-cost flow, with Boost.Graph: from a source over the supplies and the
-// demands to a sink. What can't be found flows from the source to its demand at the cost of lacking
-// it, so that a flow that satisfies all demands always exists.
+// Computes a plan as a minimum-cost flow with Boost.Graph. The flow runs from a source through the
+// supplies and the demands to a sink. Unmet demand flows from the source directly to the demand at
+// the cost of lacking it, so that a flow that satisfies all demands always exists.
 #include <algorithm>
 #include <boost/graph/adjacency_list.hpp>
 #include <boost/graph/successive_shortest_path_nonnegative_weights.hpp>
@@ -41,7 +41,7 @@
         return forward;
     }
 
-    // Throws `TooManySteps` once so many arcs have been looked at.
+    // Throws `TooManySteps` after examining `maxSteps` arcs.
     void solve(Vertex source, Vertex sink, std::size_t maxSteps) {
         std::size_t steps = 0;
         const auto cost = [this, &steps, maxSteps](const Edge& edge) {
@@ -71,19 +71,20 @@
     const auto machineDemands = model.needed.size();
     const Vertex source = supplies + machineDemands;
     const Vertex sink = source + 1;
-    // Each edge, with its reverse, is looked at at least once for each want.
+    // The solver examines each edge and its reverse at least once, so a smaller limit can't be met.
     if ((model.arcs.size() + supplies + machineDemands * 2) * 2 > maxSteps) return std::nullopt;
     FlowNetwork network(sink + 1);
     for (std::size_t i = 0; i < supplies; ++i) network.add(source, i, model.offered[i], 0);
-    std::vector<Edge> lacking;
+    std::vector<Edge> unmetEdges;
     for (std::size_t i = 0; i < machineDemands; ++i) {
-        lacking.push_back(network.add(source, supplies + i, model.needed[i], model.lacking[i]));
+        unmetEdges.push_back(
+            network.add(source, supplies + i, model.needed[i], model.unmetCost[i]));
         network.add(supplies + i, sink, model.needed[i], 0);
     }
     std::vector<Edge> arcs;
     for (const auto& arc : model.arcs) {
-        const auto most = std::min(model.offered[arc.supply], model.needed[arc.machineDemand]);
-        arcs.push_back(network.add(arc.supply, supplies + arc.machineDemand, most, arc.cost));
+        const auto capacity = std::min(model.offered[arc.supply], model.needed[arc.machineDemand]);
+        arcs.push_back(network.add(arc.supply, supplies + arc.machineDemand, capacity, arc.cost));
     }
     try {
         network.solve(source, sink, maxSteps);
@@ -100,7 +101,7 @@
                                       static_cast<std::uint32_t>(machines)});
     }
     for (std::size_t i = 0; i < machineDemands; ++i)
-        plan.cost += network.flow(lacking[i]) * model.lacking[i];
+        plan.cost += network.flow(unmetEdges[i]) * model.unmetCost[i];
     return plan;
 }
 
--- a/src/rebalancing/handover.cpp
+++ b/src/rebalancing/handover.cpp
@@ -22,12 +22,13 @@
     if (machine.version == 0) return Refusal::notRecorded;
     if (machine.decommissioned || machine.consolidating || machine.interruptionAt ||
         machine.unschedulableUntil > rules.now)
-        return Refusal::leaving;
+        return Refusal::draining;
     if (machine.transferring || machine.departedTo) return Refusal::transferring;
     if (machine.lender) return Refusal::onLoan;
-    if (keptForOthers(clusterState, machine, rules.recipient, rules.now)) return Refusal::reserved;
+    if (isReservedForOtherWork(clusterState, machine, rules.recipient, rules.now))
+        return Refusal::reserved;
     if (!machine.acknowledged() || !machine.lastHeartbeat ||
-        rules.now - *machine.lastHeartbeat > rules.silent)
+        rules.now - *machine.lastHeartbeat > rules.maxHeartbeatAge)
         return Refusal::silent;
     if (rules.now - machine.knownSince < rules.minTenure) return Refusal::belowMinTenure;
     return std::nullopt;
@@ -37,7 +38,7 @@
     if (job.completing || clusterState.knownCancelled(job)) return Refusal::jobEnding;
     if (std::any_of(job.slices.begin(), job.slices.end(),
                     [](const Slice& slice) { return slice.migrating.has_value(); }))
-        return Refusal::jobLeaving;
+        return Refusal::jobMigrating;
     return std::nullopt;
 }
 
@@ -45,17 +46,18 @@
     if (!allocation.durable) return Refusal::recordPending;
     if (allocation.stopGrace || allocation.startCancelled || allocation.state == TaskState::saving)
         return Refusal::taskStopping;
-    // Half of a gang's start orders could be out: it stays until it runs or has given up.
+    // Only some of the gang's start commands may have been sent: its machines stay until the gang
+    // runs or its start is abandoned.
     if (job.spec.kind == protocol::JobKind::gang &&
         (!allocation.reported || allocation.state != TaskState::running))
         return Refusal::gangStarting;
     return std::nullopt;
 }
 
-// Consecutive tasks that are on the machines, with nothing but done ones between them.
-std::vector<TaskRange> rangesOf(const Roaring& here, const Roaring& done) {
+// Ranges of tasks on the transferred machines; done tasks between two of them don't split a range.
+std::vector<TaskRange> rangesOf(const Roaring& transferredTasks, const Roaring& done) {
     std::vector<TaskRange> ranges;
-    for (const std::uint32_t task : here) {
+    for (const std::uint32_t task : transferredTasks) {
         if (!ranges.empty()) {
             const auto end = ranges.back().end();
             const auto doneBetween = done.rank(task) - done.rank(end - 1);
@@ -69,7 +71,7 @@
     return ranges;
 }
 
-std::size_t piecesOf(const Slice& slice, const std::vector<TaskRange>& ranges) {
+std::size_t countPieces(const Slice& slice, const std::vector<TaskRange>& ranges) {
     std::set<std::uint32_t> cuts;
     for (const auto& range : ranges) {
         cuts.insert(range.first);
@@ -80,7 +82,7 @@
     return cuts.size() + 1;
 }
 
-// Collects what goes together, machine by machine.
+// Transitive closure of the machines and jobs that have to be transferred together.
 class Closure {
   public:
     Closure(ClusterState& clusterState, const HandoverRules& rules)
@@ -88,9 +90,9 @@
 
     HandoverPlan planFrom(const std::string& machine) {
         addMachine(machine);
-        while (!refusal_ && !open_.empty()) {
-            const auto next = open_.back();
-            open_.pop_back();
+        while (!refusal_ && !unvisited_.empty()) {
+            const auto next = unvisited_.back();
+            unvisited_.pop_back();
             visit(next);
         }
         if (!refusal_) collect();
@@ -101,8 +103,8 @@
   private:
     void addMachine(const std::string& id) {
         if (!machines_.insert(id).second) return;
-        open_.push_back(id);
-        // Each needs a change of its own: more are never carried out.
+        unvisited_.push_back(id);
+        // Each machine needs a write of its own, so no transaction can hold more machines.
         if (machines_.size() > rules_.maxWrites) refusal_ = Refusal::tooLarge;
     }
 
@@ -131,7 +133,7 @@
         if (!jobs_.emplace(job.spec.id, &job).second) return;
         refusal_ = refusalOf(clusterState_, job);
         if (refusal_ || !job.requiresSingleLeader()) return;
-        // One leader for all of it: every machine that it is on goes too.
+        // The job needs a single leader, so every machine that runs its tasks is transferred too.
         if (job.partition != rules_.partition ||
             (job.spec.kind == protocol::JobKind::gang && job.allocatedTasks() < job.spec.tasks)) {
             refusal_ = Refusal::gangStarting;
@@ -156,23 +158,23 @@
 
     void collectSlice(const Job& job, const Slice& slice) {
         if (slice.size() == 0 || slice.partition != rules_.partition) return;
-        Roaring here;
+        Roaring transferredTasks;
         Roaring done;
         for (const auto& allocation : slice.allocations)
-            if (machines_.contains(allocation.machine)) here.add(allocation.task);
+            if (machines_.contains(allocation.machine)) transferredTasks.add(allocation.task);
         for (std::uint32_t i = 0; i < slice.size(); ++i)
             if (slice.done[i]) done.add(slice.first + i);
-        plan_.used[job.spec.team] += times(job.spec.each, here.cardinality());
-        SliceHandover partition{job.spec.id, slice.index, rangesOf(here, done), 1};
+        plan_.used[job.spec.team] += times(job.spec.each, transferredTasks.cardinality());
+        SliceHandover sliceHandover{job.spec.id, slice.index, rangesOf(transferredTasks, done), 1};
         if (job.requiresSingleLeader()) {
-            // A slice without a record follows its job's.
+            // A slice without a record of its own follows the job's record.
             if (slice.version == 0 && !slice.dirty) return;
-            partition.ranges = {slice.range()};
+            sliceHandover.ranges = {slice.range()};
         }
-        if (partition.ranges.empty()) return;
-        partition.pieces = piecesOf(slice, partition.ranges);
-        plan_.writes += partition.pieces;
-        plan_.slices.push_back(std::move(partition));
+        if (sliceHandover.ranges.empty()) return;
+        sliceHandover.pieces = countPieces(slice, sliceHandover.ranges);
+        plan_.writes += sliceHandover.pieces;
+        plan_.slices.push_back(std::move(sliceHandover));
     }
 
     static storage::Resources times(const storage::Resources& each, std::uint64_t count) {
@@ -184,7 +186,7 @@
     const HandoverRules& rules_;
     std::set<std::string> machines_;
     std::map<std::string, Job*> jobs_;
-    std::vector<std::string> open_;
+    std::vector<std::string> unvisited_;
     std::optional<Refusal> refusal_;
     Handover plan_;
 };
@@ -197,7 +199,7 @@
             return "not this partition's";
         case Refusal::notRecorded:
             return "not recorded yet";
-        case Refusal::leaving:
+        case Refusal::draining:
             return "drained or decommissioned";
         case Refusal::transferring:
             return "already transferring";
@@ -217,9 +219,9 @@
             return "a gang is starting";
         case Refusal::jobEnding:
             return "a job is ending";
-        case Refusal::jobLeaving:
+        case Refusal::jobMigrating:
             return "a job is migrating";
-        case Refusal::limitMoving:
+        case Refusal::quotaTransferring:
             return "quota is being transferred";
         case Refusal::tooLarge:
             return "too large for one transaction";
@@ -234,21 +236,21 @@
     return total;
 }
 
-bool keptForOthers(const ClusterState& clusterState, const Machine& machine,
-                   const Recipient& recipient, storage::SteadyTime now) {
+bool isReservedForOtherWork(const ClusterState& clusterState, const Machine& machine,
+                            const Recipient& recipient, storage::SteadyTime now) {
     if (machine.reservedUntil <= now) return false;
     const auto found = clusterState.jobs.find(machine.reservedFor);
     if (found == clusterState.jobs.end()) return true;
     const Job& job = found->second;
     if (job.partition == recipient.partition) return false;
     if (job.spec.kind != protocol::JobKind::gang || job.hasAllocations()) return true;
-    Demand kept;
-    kept.urgency = urgencyOf(job.priority, false);
-    kept.since = millisOf(job.submitted);
-    Demand wanted;
-    wanted.urgency = recipient.urgency;
-    wanted.since = recipient.since;
-    return !wanted.precedes(kept);
+    Demand reserving;
+    reserving.urgency = urgencyOf(job.priority, false);
+    reserving.since = millisOf(job.submitted);
+    Demand receiving;
+    receiving.urgency = recipient.urgency;
+    receiving.since = recipient.since;
+    return !receiving.precedes(reserving);
 }
 
 HandoverPlan planHandover(ClusterState& clusterState, const std::string& machine,
--- a/src/rebalancing/transfer_plan.cpp
+++ b/src/rebalancing/transfer_plan.cpp
@@ -8,35 +8,36 @@
 
 namespace {
 
-constexpr std::int64_t moveCost = 10;
-constexpr std::int64_t busyCost = 10;     // its tasks change hands, with more records
-constexpr std::int64_t farCost = 3;       // in another zone than its new leader
-constexpr std::int64_t worstFitCost = 8;  // where only one task finds room
-constexpr std::int64_t lackingCost = 100;
-constexpr std::uint32_t maxPlaces = 64;  // more of them make no difference
+constexpr std::int64_t transferCost = 10;
+constexpr std::int64_t busyCost = 10;      // running tasks are transferred too, with more records
+constexpr std::int64_t crossZoneCost = 3;  // a machine in another zone than its new leader
+constexpr std::int64_t worstFitCost = 8;   // for a machine that fits only one task
+constexpr std::int64_t unmetDemandCost = 100;
+constexpr std::uint32_t maxFittingTasks = 64;  // counted per machine; more make no difference
 
-std::uint32_t placesOf(const Supply& supply, const MachineDemand& machineDemand) {
-    return machineDemand.demand.shape.placesOn(supply.type, supply.zone, supply.spot, supply.free,
-                                               maxPlaces);
+std::uint32_t fittingTasks(const Supply& supply, const MachineDemand& machineDemand) {
+    return machineDemand.demand.shape.countFitting(supply.type, supply.zone, supply.spot,
+                                                   supply.free, maxFittingTasks);
 }
 
 std::int64_t costOf(const PlanInput& input, const Supply& supply,
-                    const MachineDemand& machineDemand, std::uint32_t places) {
-    std::int64_t cost = moveCost + worstFitCost / places;
+                    const MachineDemand& machineDemand, std::uint32_t fitting) {
+    std::int64_t cost = transferCost + worstFitCost / fitting;
     if (supply.busy) cost += busyCost;
     const auto zone = input.zones.find(machineDemand.partition);
-    if (zone != input.zones.end() && zone->second != supply.zone) cost += farCost;
+    if (zone != input.zones.end() && zone->second != supply.zone) cost += crossZoneCost;
     return cost;
 }
 
-// Of two partitions that both lack machines, each with some that the other could use, one has to
-// get the rest: giving to whoever asks, two controllers with a gang each once passed the same
-// machines to and fro (rebalancing_machines_fail).
-bool neededFirst(const PlanInput& input, const Supply& supply, const MachineDemand& machineDemand) {
+// Whether the supply's own partition has demand that could use it and is not preceded by the other
+// demand. Without this check, two controllers with a gang each kept passing the same machines back
+// and forth (scenario rebalancing_machines_fail).
+bool isNeededByEarlierDemand(const PlanInput& input, const Supply& supply,
+                             const MachineDemand& machineDemand) {
     return std::any_of(
         input.machineDemands.begin(), input.machineDemands.end(), [&](const MachineDemand& own) {
             return own.partition == supply.partition &&
-                   !machineDemand.demand.precedes(own.demand) && placesOf(supply, own) > 0;
+                   !machineDemand.demand.precedes(own.demand) && fittingTasks(supply, own) > 0;
         });
 }
 
@@ -51,15 +52,15 @@
         std::uint32_t best = 1;
         for (std::size_t supply = 0; supply < input.supplies.size(); ++supply) {
             const auto& offer = input.supplies[supply];
-            const auto places = placesOf(offer, wanted);
-            if (places == 0 || offer.partition == wanted.partition ||
-                neededFirst(input, offer, wanted))
+            const auto fitting = fittingTasks(offer, wanted);
+            if (fitting == 0 || offer.partition == wanted.partition ||
+                isNeededByEarlierDemand(input, offer, wanted))
                 continue;
-            best = std::max(best, places);
-            model.arcs.push_back({supply, machineDemand, costOf(input, offer, wanted, places)});
+            best = std::max(best, fitting);
+            model.arcs.push_back({supply, machineDemand, costOf(input, offer, wanted, fitting)});
         }
         model.needed.push_back(static_cast<std::int64_t>(std::ceil(wanted.demand.tasks / best)));
-        model.lacking.push_back(lackingCost * (1 + std::int64_t{wanted.demand.urgency}));
+        model.unmetCost.push_back(unmetDemandCost * (1 + std::int64_t{wanted.demand.urgency}));
     }
     return model;
 }
@@ -74,8 +75,8 @@
     std::stable_sort(order.begin(), order.end(), [&model](std::size_t one, std::size_t other) {
         const auto& a = model.arcs[one];
         const auto& b = model.arcs[other];
-        return std::pair(-model.lacking[a.machineDemand], a.cost) <
-               std::pair(-model.lacking[b.machineDemand], b.cost);
+        return std::pair(-model.unmetCost[a.machineDemand], a.cost) <
+               std::pair(-model.unmetCost[b.machineDemand], b.cost);
     });
     for (const auto index : order) {
         const auto& arc = model.arcs[index];
@@ -88,7 +89,7 @@
             {arc.supply, arc.machineDemand, static_cast<std::uint32_t>(machines)});
     }
     for (std::size_t machineDemand = 0; machineDemand < needed.size(); ++machineDemand)
-        plan.cost += needed[machineDemand] * model.lacking[machineDemand];
+        plan.cost += needed[machineDemand] * model.unmetCost[machineDemand];
     return plan;
 }
 
--- a/src/rebalancing/transfer_rate_limiter.h
+++ b/src/rebalancing/transfer_rate_limiter.h
@@ -1,6 +1,6 @@
 /// @file
-/// How many machines a controller may give away: so many a minute, and no more than a fraction
-/// of the writes that the state service accepts.
+/// Limits how many machines a controller transfers: a number per minute, and no more than a
+/// fraction of the writes that the state service accepts.
 #pragma once
 
 #include <algorithm>
@@ -11,29 +11,30 @@
 
 namespace fawnwheel::rebalancing {
 
-/// Rates that a controller's transfers must not exceed.
+/// Greatest average rates of a controller's transfers and their writes.
 struct TransferLimits {
     double transfersPerSecond = 1;
     double writesPerSecond = 1;
 };
 
-/// Token buckets for transfers and for the writes that they cost. Not thread-safe.
+/// Token buckets for transfers and for their writes. Not thread-safe.
 class TransferRateLimiter {
   public:
-    /// Adds the tokens since the last call, up to a few seconds' worth.
+    /// Adds the tokens for the time since the last call; each bucket holds those of `burstSeconds`,
+    /// and the transfer bucket at least one.
     void fill(transport::SteadyTime now, const TransferLimits& limits) {
-        if (filled_) {
-            const double seconds = std::chrono::duration<double>(now - *filled_).count();
+        if (lastFill_) {
+            const double seconds = std::chrono::duration<double>(now - *lastFill_).count();
             transfers_ = std::min(transfers_ + seconds * limits.transfersPerSecond,
                                   std::max(1.0, limits.transfersPerSecond * burstSeconds));
             writes_ = std::min(writes_ + seconds * limits.writesPerSecond,
                                limits.writesPerSecond * burstSeconds);
         }
-        filled_ = now;
+        lastFill_ = now;
     }
-    /// A transfer that costs more tokens than there are is carried out on credit.
+    /// Whether a transfer may start; it may cost more write tokens than are left.
     [[nodiscard]] bool allows() const { return transfers_ >= 1 && writes_ > 0; }
-    /// Takes tokens for transfers that are carried out; the balance may become negative.
+    /// Takes the tokens of started transfers; the balance may become negative.
     void consume(std::size_t transfers, std::size_t writes) {
         transfers_ -= static_cast<double>(transfers);
         writes_ -= static_cast<double>(writes);
@@ -42,7 +43,7 @@
   private:
     static constexpr double burstSeconds = 5;
 
-    std::optional<transport::SteadyTime> filled_;
+    std::optional<transport::SteadyTime> lastFill_;
     double transfers_ = 1;
     double writes_ = 1;
 };
--- a/tests/unit/coordination/migration/machine_transfers_test.cpp
+++ b/tests/unit/coordination/migration/machine_transfers_test.cpp
@@ -1,5 +1,5 @@
-// Machines that change hands with their tasks: what goes together, and what the records hold when
-// the transaction is carried out, refused, late or without an answer.
+// Transfers of machines with their tasks: what changes partition together, and what the records
+// hold when the transaction is committed, refused, late, or gets no response.
 #include "coordination/migration/machine_transfers.h"
 
 #include "coordination/membership/membership_fixture.h"
@@ -15,7 +15,7 @@
 using storage::keys::quota;
 using storage::keys::slice;
 
-// Partition 0 of node 0 has machines m-1 and m-2, and its peer node 2 owns partition 2.
+// Node 0 leads partition 0 with machines m-1 and m-2; its peer node 2 leads partition 2.
 class TransferBench : public MembershipFixture, private MachineTransferObserver {
   protected:
     TransferBench()
@@ -28,19 +28,20 @@
         for (const auto* node : {"node-0", "node-1", "node-2"})
             state.put(storage::keys::machineTransfersGate(node), storage::featureGateValue());
         for (const auto* id : {"m-1", "m-2"}) {
-            Machine made;
-            made.id = id;
-            made.type = "large";
-            made.zone = "a";
-            made.partition = 0;
-            state.put(machine(id), storage::machineValue(made));
+            Machine created;
+            created.id = id;
+            created.type = "large";
+            created.zone = "a";
+            created.partition = 0;
+            state.put(machine(id), storage::machineValue(created));
         }
     }
 
     void onAllocationsDurable(const std::set<std::string>&) override {}
 
-    // Takes the records in, with machines that have been heard.
-    void loadHeard() {
+    // Loads the records and makes all machines acknowledged, with a current heartbeat, and all
+    // allocations reported as running.
+    void loadWithHeartbeats() {
         loadRecords();
         auto clusterState = context.clusterState.lock();
         for (auto& [id, known] : clusterState->machines) {
@@ -59,23 +60,23 @@
     }
     // An array of ten tasks in one slice: 2, 3 and 6 on m-1, 5 on m-2, 4 and 7 done.
     void putArray() {
-        Job made = makeJob(10, 10);
-        made.slices[0].markDone(4);
-        made.slices[0].markDone(7);
+        Job created = makeJob(10, 10);
+        created.slices[0].markDone(4);
+        created.slices[0].markDone(7);
         for (const std::uint32_t task : {2U, 3U, 6U})
-            made.slices[0].allocations.push_back(makeAllocation(task, "m-1", 70 + task));
-        made.slices[0].allocations.push_back(makeAllocation(5, "m-2", 75));
-        putJob(made);
-        putSlice(made, made.slices[0]);
+            created.slices[0].allocations.push_back(makeAllocation(task, "m-1", 70 + task));
+        created.slices[0].allocations.push_back(makeAllocation(5, "m-2", 75));
+        putJob(created);
+        putSlice(created, created.slices[0]);
     }
     void putGang(std::uint32_t tasks) {
-        Job made = makeJob(tasks, tasks);
-        made.spec.kind = protocol::JobKind::gang;
+        Job created = makeJob(tasks, tasks);
+        created.spec.kind = protocol::JobKind::gang;
         for (std::uint32_t task = 0; task < tasks; ++task)
-            made.slices[0].allocations.push_back(
+            created.slices[0].allocations.push_back(
                 makeAllocation(task, task == 0 ? "m-1" : "m-2", 9));
-        putJob(made);
-        putSlice(made, made.slices[0]);
+        putJob(created);
+        putSlice(created, created.slices[0]);
     }
     [[nodiscard]] rebalancing::HandoverRules rules() const {
         return {0, {2, 0, 0}, settings_.transactionChanges, context.now(), 30s, 10s, true};
@@ -90,21 +91,21 @@
                    ? std::get<rebalancing::Refusal>(plan)
                    : rebalancing::Refusal::notOurs;
     }
-    void give(const std::string& id) {
+    void transferMachine(const std::string& id) {
         const auto plan = planFor(id);
         ASSERT_TRUE(std::holds_alternative<rebalancing::Handover>(plan))
             << toString(std::get<rebalancing::Refusal>(plan));
-        given.reset();
-        EXPECT_FALSE(transfers.give(0, 2, std::get<rebalancing::Handover>(plan),
-                                    [this](bool done) { given = done; }));
+        transferred.reset();
+        EXPECT_FALSE(transfers.transferWithWork(0, 2, std::get<rebalancing::Handover>(plan),
+                                                [this](bool done) { transferred = done; }));
     }
-    // What a reader knows that has nothing but the records.
+    // Rebuilds the cluster state from the records alone.
     void readRecords(storage::ClusterState& fresh) {
         fresh.partitionCount = 3;
         for (const auto& [key, record] : state.records)
             storage::applyEvent(fresh, {key, record.value, record.version}, context.now());
     }
-    // A machine's leader holds all its tasks' slices.
+    // Expects every slice with tasks on a machine to be in the machine's partition.
     void expectOneOwner(storage::ClusterState& clusterState) {
         for (auto& [id, known] : clusterState.machines)
             for (const auto& ref : known.allocations)
@@ -117,21 +118,22 @@
     QuotaExchange quotas;
     HeartbeatHandler heartbeats;
     MachineTransfers transfers;
-    std::optional<bool> given;
+    std::optional<bool> transferred;
 };
 
-TEST_F(TransferBench, TheTasksGoWithTheirMachineUnderTheSameAttempts) {
+TEST_F(TransferBench, TasksKeepTheirAttemptsWhenTheirMachineIsTransferred) {
     putArray();
-    loadHeard();
+    loadWithHeartbeats();
     const auto plan = planFor("m-1");
     const auto& handover = std::get<rebalancing::Handover>(plan);
     ASSERT_EQ(handover.slices.size(), 1U);
-    // The done task between two that stay apart from the others keeps no piece of its own.
+    // Tasks 2 and 3 form a range of their own, as does 6: task 5 between them stays on m-2. The
+    // done task 4 gets no piece of its own.
     EXPECT_EQ(handover.slices[0].ranges, (std::vector<TaskRange>{{2, 2}, {6, 1}}));
     EXPECT_EQ(handover.slices[0].pieces, 5U);
-    give("m-1");
+    transferMachine("m-1");
     serveAll();
-    EXPECT_EQ(given, true);
+    EXPECT_EQ(transferred, true);
     storage::ClusterState fresh;
     readRecords(fresh);
     for (auto* clusterState : {&fresh, &*context.clusterState.lock()}) {
@@ -147,22 +149,23 @@
     }
     EXPECT_EQ(slicesPerTaskInRecords("run-1"), std::vector<int>(10, 1));
     EXPECT_EQ(slicesPerTaskInClusterState("run-1"), std::vector<int>(10, 1));
-    // Its worker has to show the new leader's token before anything is concluded.
+    // The new leader ignores the worker until it shows a token above all of the old leader's.
     EXPECT_GT(fresh.machine("m-1")->minFencingToken, 65'536U);
     EXPECT_EQ(fresh.machine("m-1")->transferredBy, "node-0");
 }
 
-// Both divided, they once added their pieces under the same index.
-TEST_F(TransferBench, TwoSlicesOfOneJobAreDividedTogether) {
-    Job made = makeJob(8, 4);
+// Guards against a lost piece: split in one transaction, two slices of a job both added their
+// pieces under the same index.
+TEST_F(TransferBench, SplittingTwoSlicesOfOneJobUsesDistinctIndices) {
+    Job created = makeJob(8, 4);
     for (const std::uint32_t task : {1U, 6U})
-        made.slices[task / 4].allocations.push_back(makeAllocation(task, "m-1", 70 + task));
-    putJob(made);
-    for (const auto& piece : made.slices) putSlice(made, piece);
-    loadHeard();
-    give("m-1");
+        created.slices[task / 4].allocations.push_back(makeAllocation(task, "m-1", 70 + task));
+    putJob(created);
+    for (const auto& piece : created.slices) putSlice(created, piece);
+    loadWithHeartbeats();
+    transferMachine("m-1");
     serveAll();
-    EXPECT_EQ(given, true);
+    EXPECT_EQ(transferred, true);
     EXPECT_EQ(slicesPerTaskInRecords("run-1"), std::vector<int>(8, 1));
     EXPECT_EQ(slicesPerTaskInClusterState("run-1"), std::vector<int>(8, 1));
     storage::ClusterState fresh;
@@ -171,12 +174,12 @@
     expectOneOwner(fresh);
 }
 
-TEST_F(TransferBench, ARunningGangGoesWithAllItsMachinesAndItsHome) {
+TEST_F(TransferBench, RunningGangIsTransferredWithAllItsMachines) {
     putGang(3);
-    loadHeard();
-    give("m-2");
+    loadWithHeartbeats();
+    transferMachine("m-2");
     serveAll();
-    EXPECT_EQ(given, true);
+    EXPECT_EQ(transferred, true);
     storage::ClusterState fresh;
     readRecords(fresh);
     EXPECT_EQ(fresh.job("run-1")->partition, 2U);
@@ -185,23 +188,23 @@
     expectOneOwner(fresh);
 }
 
-TEST_F(TransferBench, AGangThatHasNotStartedStaysWithAllItsMachines) {
+TEST_F(TransferBench, StartingGangRefusesTheTransfer) {
     putGang(2);
-    loadHeard();
+    loadWithHeartbeats();
     context.clusterState.lock()->job("run-1")->slices[0].allocations[1].state =
         protocol::TaskState::waiting;
     EXPECT_EQ(refusalFor("m-1"), rebalancing::Refusal::gangStarting);
     EXPECT_EQ(refusalFor("m-2"), rebalancing::Refusal::gangStarting);
-    // Half placed, the other half given up.
+    // One task has an allocation, the other one's has been removed.
     auto clusterState = context.clusterState.lock();
     clusterState->removeAllocation(*clusterState->job("run-1"),
                                    clusterState->job("run-1")->slices[0], 1);
     EXPECT_EQ(refusalFor("m-1"), rebalancing::Refusal::gangStarting);
 }
 
-TEST_F(TransferBench, WhatIsLeavingOrUnsureStays) {
+TEST_F(TransferBench, MachineOrTaskInTransitionRefusesTheTransfer) {
     putArray();
-    loadHeard();
+    loadWithHeartbeats();
     auto clusterState = context.clusterState.lock();
     Machine& known = *clusterState->machine("m-1");
     Job& array = *clusterState->job("run-1");
@@ -215,9 +218,9 @@
         return refusal;
     };
     using rebalancing::Refusal;
-    EXPECT_EQ(refusedWith([&] { known.decommissioned = true; }), Refusal::leaving);
-    EXPECT_EQ(refusedWith([&] { known.consolidating = true; }), Refusal::leaving);
-    EXPECT_EQ(refusedWith([&] { known.interruptionAt = context.now() + 30s; }), Refusal::leaving);
+    EXPECT_EQ(refusedWith([&] { known.decommissioned = true; }), Refusal::draining);
+    EXPECT_EQ(refusedWith([&] { known.consolidating = true; }), Refusal::draining);
+    EXPECT_EQ(refusedWith([&] { known.interruptionAt = context.now() + 30s; }), Refusal::draining);
     EXPECT_EQ(refusedWith([&] { known.transferring = true; }), Refusal::transferring);
     EXPECT_EQ(refusedWith([&] { known.departedTo = 1; }), Refusal::transferring);
     EXPECT_EQ(refusedWith([&] { known.lender = 1; }), Refusal::onLoan);
@@ -239,7 +242,7 @@
     EXPECT_EQ(refusalFor("m-1"), Refusal::recordPending);
     array.slices[0].allocationOf(3)->durable = true;
     array.slices[0].migrating = TaskRange{8, 2};
-    EXPECT_EQ(refusalFor("m-1"), Refusal::jobLeaving);
+    EXPECT_EQ(refusalFor("m-1"), Refusal::jobMigrating);
     array.slices[0].migrating.reset();
     clusterState->recordCancellation("run-1", 1);
     EXPECT_EQ(refusalFor("m-1"), Refusal::jobEnding);
@@ -250,20 +253,21 @@
     FewTransferChanges() { settings_.transactionChanges = 4; }
 };
 
-TEST_F(FewTransferChanges, WhatDoesNotFitIntoOneTransactionStays) {
+TEST_F(FewTransferChanges, HandoverTooLargeForOneTransactionIsRefused) {
     putArray();
-    loadHeard();
+    loadWithHeartbeats();
     EXPECT_EQ(refusalFor("m-1"), rebalancing::Refusal::tooLarge);
 }
 
-// The room that the tasks leave must not be filled under the giver's old share of the limit.
-TEST_F(TransferBench, TheQuotaOfTheTeamsLimitGoesWithTheTasks) {
+// Guards against a team exceeding its limit: without the quota share the giver would fill the
+// capacity that the tasks leave.
+TEST_F(TransferBench, QuotaShareIsTransferredWithTheTasks) {
     putArray();
-    loadHeard();
+    loadWithHeartbeats();
     const auto* team = context.findTeam("t");
     ASSERT_NE(team, nullptr);
-    give("m-1");
-    // Nothing more of it may be begun by the giver while the outcome is unknown.
+    transferMachine("m-1");
+    // The giver must not use the share while the outcome is unknown.
     EXPECT_TRUE(context.clusterState.lock()->outgoingQuotas.contains("t"));
     serveAll();
     auto clusterState = context.clusterState.lock();
@@ -273,15 +277,15 @@
     EXPECT_FALSE(clusterState->outgoingQuotas.contains("t"));
 }
 
-TEST_F(TransferBench, ACancellationThatComesFirstKeepsTheMachine) {
+TEST_F(TransferBench, CancellationBeforeTheCommitFailsTheTransfer) {
     putArray();
-    loadHeard();
-    give("m-1");
+    loadWithHeartbeats();
+    transferMachine("m-1");
     auto cancelled = state.records[job("run-1")].value;
     cancelled["cancelled"] = true;
     state.put(job("run-1"), cancelled);
     serveAll();
-    EXPECT_EQ(given, false);
+    EXPECT_EQ(transferred, false);
     auto clusterState = context.clusterState.lock();
     EXPECT_EQ(clusterState->machine("m-1")->partition, 0U);
     EXPECT_FALSE(clusterState->machine("m-1")->transferring);
@@ -289,43 +293,44 @@
     expectOneOwner(*clusterState);
 }
 
-TEST_F(TransferBench, ATakerThatHasChangedGetsNothing) {
+TEST_F(TransferBench, NewLeaderOfTheRecipientFailsTheTransfer) {
     putArray();
-    loadHeard();
-    give("m-1");
+    loadWithHeartbeats();
+    transferMachine("m-1");
     putPartition(2, "node-1", 5);
     serveAll();
-    EXPECT_EQ(given, false);
+    EXPECT_EQ(transferred, false);
     EXPECT_EQ(state.records[machine("m-1")].value["part"], 0);
 }
 
-TEST_F(TransferBench, AGiverThatHasLostItsPartitionGivesNothing) {
+TEST_F(TransferBench, LostPartitionOfTheGiverFailsTheTransfer) {
     putArray();
-    loadHeard();
-    give("m-1");
+    loadWithHeartbeats();
+    transferMachine("m-1");
     putPartition(0, "node-1", 5);
     serveAll();
-    EXPECT_EQ(given, false);
+    EXPECT_EQ(transferred, false);
     EXPECT_EQ(state.records[machine("m-1")].value["part"], 0);
     expectOneOwner(*context.clusterState.lock());
 }
 
-// Carried out, but the answer is lost, and an earlier copy comes late.
-TEST_F(TransferBench, AnOutcomeWithoutAnAnswerIsFoundOut) {
+// The transaction commits, but its response is lost and a copy of it arrives late. The giver has to
+// learn the outcome from the watch, and the copy must fail.
+TEST_F(TransferBench, LostResponseIsResolvedAndLateCopyFails) {
     putArray();
-    loadHeard();
+    loadWithHeartbeats();
     replica.start();
     serveAll();
     {
-        // Read anew, the records say nothing of what the workers heartbeat.
+        // Records hold no heartbeats, so reading them has cleared the machines' heartbeats.
         auto clusterState = context.clusterState.lock();
         for (auto& [id, known] : clusterState->machines) known.lastHeartbeat = context.now();
         for (auto& [id, known] : clusterState->machines) known.knownSince = context.now() - 60s;
     }
-    give("m-1");
+    transferMachine("m-1");
     const auto sent = state.takeTransaction();
     EXPECT_EQ(state.execute(sent.request).status, 200);
-    // The watch brings it before any answer: the giver sends the worker on from here.
+    // The watch delivers the change before any response: the giver then redirects the worker.
     for (int i = 0; i < 20 && !context.clusterState.lock()->machine("m-1")->departedTo; ++i) {
         timers.advance(50ms);
         for (auto request = state.pending.begin(); request != state.pending.end();) {
@@ -339,10 +344,10 @@
         }
     }
     EXPECT_EQ(context.clusterState.lock()->machine("m-1")->departedTo, 2U);
-    EXPECT_FALSE(given.has_value());
+    EXPECT_FALSE(transferred.has_value());
     sent.done(std::nullopt);
     serveAll();
-    EXPECT_EQ(given, true);
+    EXPECT_EQ(transferred, true);
     EXPECT_EQ(state.execute(sent.request).status, 409);  // the late copy
     auto clusterState = context.clusterState.lock();
     EXPECT_EQ(clusterState->machine("m-1")->partition, 2U);
@@ -350,32 +355,33 @@
     expectOneOwner(*clusterState);
 }
 
-TEST_F(TransferBench, ATransactionOfAnEarlierLifeFails) {
+TEST_F(TransferBench, TransactionFromBeforeARestartFails) {
     putArray();
-    loadHeard();
-    give("m-1");
+    loadWithHeartbeats();
+    transferMachine("m-1");
     const auto late = state.takeTransaction();
-    // Its sender ends, and its next life takes the partition with a higher term.
+    // The sender restarts and acquires the partition with a higher term.
     putPartition(0, "node-0", 7);
     EXPECT_EQ(state.execute(late.request).status, 409);
     EXPECT_EQ(state.records[machine("m-1")].value["part"], 0);
 }
 
-// What ended while the outcome was unknown belongs to the new leader, who hears it from the worker.
-TEST_F(TransferBench, AnEndSeenDuringTheTransferIsLeftToTheNewLeader) {
+// A task that ends on the transferred machine while the outcome is unknown is recorded by the new
+// leader, which learns of the end from the worker. The giver must not record it too.
+TEST_F(TransferBench, TaskEndDuringTheTransferIsLeftToTheNewLeader) {
     putArray();
-    loadHeard();
-    give("m-1");
+    loadWithHeartbeats();
+    transferMachine("m-1");
     {
         auto clusterState = context.clusterState.lock();
         Job& array = *clusterState->job("run-1");
-        clusterState->removeAllocation(array, array.slices[0], 6);  // of the machine that leaves
+        clusterState->removeAllocation(array, array.slices[0], 6);  // on the transferred machine
         array.slices[0].markDone(6);
-        clusterState->removeAllocation(array, array.slices[0], 5);  // of the one that stays
+        clusterState->removeAllocation(array, array.slices[0], 5);  // on the machine that stays
         array.slices[0].markDone(5);
     }
     serveAll();
-    ASSERT_EQ(given, true);
+    ASSERT_EQ(transferred, true);
     {
         auto clusterState = context.clusterState.lock();
         Job& array = *clusterState->job("run-1");
@@ -394,9 +400,9 @@
     EXPECT_EQ(slicesPerTaskInRecords("run-1"), std::vector<int>(10, 1));
 }
 
-TEST_F(TransferBench, DamagedOrImpossibleRecordsTransferNoMachine) {
+TEST_F(TransferBench, CorruptMachineRecordKeepsTheMachineInPlace) {
     putArray();
-    loadHeard();
+    loadWithHeartbeats();
     const Json good = state.records[machine("m-1")].value;
     const auto with = [&good](const char* field, const Json& value) {
         Json changed = good;
@@ -413,7 +419,7 @@
         EXPECT_EQ(known.partition, 0U) << bad;
         EXPECT_EQ(known.type, "large") << bad;
         EXPECT_EQ(known.allocations.size(), 3U) << bad;
-        // Its leader's next writing goes over the corrupt version.
+        // The leader's next write compares against the corrupt record's version.
         EXPECT_EQ(known.version, state.revision) << bad;
         EXPECT_TRUE(clusterState->corruptMachines.contains("m-1")) << bad;
     }
@@ -421,8 +427,8 @@
     EXPECT_TRUE(clusterState->corruptMachines.empty());
 }
 
-TEST_F(TransferBench, LentMachinesGoAndComeBack) {
-    loadHeard();
+TEST_F(TransferBench, LendingRecordsTheLender) {
+    loadWithHeartbeats();
     transfers.lend(0, 2, {"m-1"});
     EXPECT_TRUE(context.clusterState.lock()->machine("m-1")->transferring);
     serveAll();
--- a/tests/unit/coordination/migration/queue_average_test.cpp
+++ b/tests/unit/coordination/migration/queue_average_test.cpp
@@ -14,7 +14,7 @@
     EXPECT_DOUBLE_EQ(average.average(), 36);
 }
 
-TEST(QueueAverage, TransfersNothingBelowLowAndAllAboveHigh) {
+TEST(QueueAverage, MigratesNothingBelowLowAndEverythingAboveHigh) {
     QueueAverage average;
     QueueAverage::Tuning tuning;
     tuning.weight = 1;
