--- a/src/coordination/migration/machine_lending.cpp
+++ b/src/coordination/migration/machine_lending.cpp
@@ -67,7 +67,7 @@
     // Request idle machines even if they don't complete the gang: a request costs little, and
     // unused loans are returned. A busy local machine reserved for the gang does not reduce the
     // request: otherwise two partitions with an idle machine each left gangs of two tasks waiting
-    // for minutes (scenario largest_first).
+    // for minutes (scenario largest_gang_before_queued_small_gangs).
     auto missing = entry.tasksWithoutFreeMachine;
     std::sort(lenders.begin(), lenders.end(),
               [](const Lender& a, const Lender& b) { return a.idle > b.idle; });
@@ -77,7 +77,7 @@
     }
     // Request busy machines too, so that peers reserve them as they become free. Under a load that
     // never leaves a machine idle, a gang larger than its partition otherwise never started
-    // (scenario largest_first).
+    // (scenario largest_gang_before_queued_small_gangs).
     missing = std::min(missing, entry.tasks);
     if (placement_.canProvision(gang, entry.zone)) return;
     std::sort(lenders.begin(), lenders.end(),
@@ -140,7 +140,8 @@
                 (reserving != nullptr && placement_.precedes(gang, *reserving)))
                 lendable.busy.push_back(machine);
         } else if (lendable.idle.size() <
-                   std::min<std::size_t>(request.machines, context_.settings.transactionChanges)) {
+                   std::min<std::size_t>(request.machines,
+                                         context_.settings.maxTransactionWrites)) {
             lendable.idle.push_back(machine->id);
         }
     }
@@ -175,7 +176,7 @@
 bool MachineLending::blocksEarlierWork(ClusterState& clusterState, const Machine& machine) const {
     // Without this check, a gang that could not get the rest of its machines kept a borrowed one
     // idle for minutes, while work that precedes it waited and may not use a borrowed machine
-    // (scenario slice_left_behind).
+    // (scenario partly_started_slice_migrates).
     const Job* gang = clusterState.job(machine.reservedFor);
     const auto* type = context_.findMachineType(machine.type);
     if (gang == nullptr || type == nullptr ||
@@ -212,7 +213,7 @@
             }
             auto& names = returns[*machine->lender];
             if ((isBlocking || now - machine->idleSince > unusedLoanTimeout) &&
-                names.size() < context_.settings.transactionChanges)
+                names.size() < context_.settings.maxTransactionWrites)
                 names.push_back(machine->id);
         }
     }
--- a/src/coordination/migration/machine_transfers.cpp
+++ b/src/coordination/migration/machine_transfers.cpp
@@ -9,7 +9,7 @@
 // Distance between the giving leader's fencing token and the first token of the recipient. An
 // abandoned transfer may still be committed late, while the giver's token keeps growing. With a
 // distance of 1, two leaders responded to a worker with the same token (scenario
-// rebalancing_troubles).
+// rebalancing_random_failures).
 constexpr std::uint64_t fencingTokenReserve = 256;
 
 }  // namespace
@@ -107,7 +107,7 @@
         addMachine(transfer, machine, next);
     }
     return fits && addQuotas(transfer, clusterState, handover, from, to) &&
-           compares.size() < context_.settings.transactionConditions();
+           compares.size() < context_.settings.maxTransactionCompares();
 }
 
 void MachineTransfers::revert(const Transfer& transfer, ClusterState& clusterState) {
--- a/src/coordination/migration/rebalancer.cpp
+++ b/src/coordination/migration/rebalancer.cpp
@@ -52,8 +52,8 @@
 }
 
 rebalancing::TaskShape shapeOf(const protocol::JobSpec& spec, const std::string& zone) {
-    rebalancing::TaskShape shape{spec.each, spec.types.value_or(std::vector<std::string>{}), zone,
-                                 spec.spot};
+    rebalancing::TaskShape shape{spec.taskResources,
+                                 spec.types.value_or(std::vector<std::string>{}), zone, spec.spot};
     std::sort(shape.types.begin(), shape.types.end());
     return shape;
 }
@@ -154,7 +154,8 @@
 
 void Rebalancer::announceDemand(PartitionId partition) {
     const auto& tuning = context_.operatorSettings.rebalancing;
-    const rebalancing::DemandThresholds thresholds{tuning.low, tuning.high, tuning.weight};
+    const rebalancing::DemandThresholds thresholds{tuning.lowThreshold, tuning.highThreshold,
+                                                   tuning.latestSampleWeight};
     auto& average = averages_.try_emplace(partition, thresholds).first->second;
     auto demands = demandsOf(unschedulable_[partition]);
     // Skip machines reserved for a gang: the gang's missing tasks already exclude them.
@@ -355,7 +356,7 @@
     const rebalancing::HandoverRules rules{
         transfer.from,
         recipientOf(transfer),
-        context_.settings.transactionChanges,
+        context_.settings.maxTransactionWrites,
         context_.now(),
         toSteadyDuration(tuning.minTenure),
         toSteadyDuration(context_.settings.heartbeatInterval * maxHeartbeatAgeIntervals),
--- a/src/coordination/migration/work_migrator.cpp
+++ b/src/coordination/migration/work_migrator.cpp
@@ -17,7 +17,7 @@
 constexpr std::size_t maxPendingMigrations = 16;
 // Work that has found no place for this long migrates as if the average were above the high
 // threshold, because the average of one waiting task stays below any threshold (scenario
-// slice_left_behind).
+// partly_started_slice_migrates).
 constexpr auto longWaitThreshold = 30s;
 // The low threshold as a fraction of the running tasks. A partition that runs few tasks at a time
 // is congested by a shorter queue; the settings are upper bounds of the thresholds.
@@ -37,11 +37,12 @@
             running += static_cast<double>(machine->allocations.size());
     }
     QueueAverage::Tuning tuning;
-    tuning.weight = context_.operatorSettings.weight;
-    tuning.probability = context_.operatorSettings.probability;
-    tuning.low =
-        std::min(context_.operatorSettings.low, std::max(1.0, running * lowFractionOfRunning));
-    tuning.high = std::min(context_.operatorSettings.high, std::max(tuning.low + 1, running));
+    tuning.weight = context_.operatorSettings.latestSampleWeight;
+    tuning.probability = context_.operatorSettings.migrationProbability;
+    tuning.low = std::min(context_.operatorSettings.lowQueueLength,
+                          std::max(1.0, running * lowFractionOfRunning));
+    tuning.high =
+        std::min(context_.operatorSettings.highQueueLength, std::max(tuning.low + 1, running));
     return tuning;
 }
 
@@ -61,7 +62,7 @@
 
 void WorkMigrator::sampleAll() {
     for (const auto partition : membership_.ledPartitions()) samplePartition(partition);
-    context_.timers.after(toSteadyDuration(context_.operatorSettings.samplePeriod),
+    context_.timers.after(toSteadyDuration(context_.operatorSettings.queueSamplePeriod),
                           [this] { sampleAll(); });
 }
 
@@ -115,7 +116,7 @@
     if (slice.migrating) return {};
     if (slice.hasNotStarted()) return slice.dirty ? storage::TaskRange{} : slice.range();
     // The unstarted tail of a started slice becomes a slice of its own. Otherwise these tasks
-    // waited although other partitions had idle machines (scenario slice_left_behind).
+    // waited although other partitions had idle machines (scenario partly_started_slice_migrates).
     if (!context_.jobDependenciesEnabled(*context_.clusterState.lock())) return {};
     return slice.trailingUnstarted();
 }
--- a/src/coordination/provisioning/autoscaler.cpp
+++ b/src/coordination/provisioning/autoscaler.cpp
@@ -115,10 +115,10 @@
             std::find_if(incoming.begin(), incoming.end(), [&](const IncomingMachine& candidate) {
                 return typeAllowed(job.spec, *context_.findMachineType(candidate.pool.type),
                                    candidate.pool.zone, candidate.pool.spot) &&
-                       job.spec.each.fits(candidate.available);
+                       job.spec.taskResources.fits(candidate.available);
             });
         if (machine != incoming.end()) {
-            machine->available -= job.spec.each;
+            machine->available -= job.spec.taskResources;
             continue;
         }
         const auto pool = cheapestPool(job, left, {});
@@ -127,7 +127,7 @@
             break;
         ++requests[*pool].count;
         incoming.push_back({*pool, context_.findMachineType(pool->type)->capacity});
-        incoming.back().available -= job.spec.each;
+        incoming.back().available -= job.spec.taskResources;
     }
 }
 
--- a/src/coordination/provisioning/machine_inventory.cpp
+++ b/src/coordination/provisioning/machine_inventory.cpp
@@ -44,14 +44,14 @@
             listed.insert(listed.end(), page->machines.begin(), page->machines.end());
             if (page->more) {
                 // Copy the id first: arguments are evaluated in any order, so `listed` could be
-                // moved from before its last id is read (scenario grown_fleet).
+                // moved from before its last id is read (scenario large_fleet_all_nodes_crash).
                 const auto last = listed.back().id;
                 return listPage(last, requestedAt, std::move(listed), pages + 1);
             }
             applyMachineList(requestedAt, listed);
         }
         const auto fraction =
-            context_.settings.cloudCalls / static_cast<double>(context_.nodes.size());
+            context_.settings.cloudCallsPerSecond / static_cast<double>(context_.nodes.size());
         const auto pause = std::max<Duration>(
             minListInterval, toSteadyDuration(Seconds(pages / (fraction * listFractionOfCalls))));
         context_.timers.after(context_.jittered(pause), [this] { listMachines(); });
--- a/src/coordination/provisioning/machine_records.cpp
+++ b/src/coordination/provisioning/machine_records.cpp
@@ -21,7 +21,7 @@
     // Write many records in one transaction: with one write after the other, recording a thousand
     // machines took minutes, and so did decommissioning idle ones. Fill only half of a transaction,
     // so that allocations don't wait long.
-    const auto limit = std::max<std::size_t>(1, context_.settings.transactionChanges / 2);
+    const auto limit = std::max<std::size_t>(1, context_.settings.maxTransactionWrites / 2);
     auto& batches = batches_[change];
     auto& queue = batches.queues[partition];
     Batch batch;
--- a/src/rebalancing/handover.cpp
+++ b/src/rebalancing/handover.cpp
@@ -164,7 +164,7 @@
             if (machines_.contains(allocation.machine)) transferredTasks.add(allocation.task);
         for (std::uint32_t i = 0; i < slice.size(); ++i)
             if (slice.done[i]) done.add(slice.first + i);
-        plan_.used[job.spec.team] += times(job.spec.each, transferredTasks.cardinality());
+        plan_.used[job.spec.team] += times(job.spec.taskResources, transferredTasks.cardinality());
         SliceHandover sliceHandover{job.spec.id, slice.index, rangesOf(transferredTasks, done), 1};
         if (job.requiresSingleLeader()) {
             // A slice without a record of its own follows the job's record.
