--- a/src/protocol/cloud_client.h
+++ b/src/protocol/cloud_client.h
@@ -23,8 +23,8 @@
 
     /// Reads the machine types on offer; `done` gets none if there is no usable response.
     void catalog(std::function<void(std::optional<std::vector<MachineType>>)> done);
-    /// Reads one page of this account's machines, in the order of ids and starting after the id
-    /// `after`; `done` gets none if there is no usable response.
+    /// Reads one page of this account's machines, those after the id `after`; `done` gets none if
+    /// there is no usable response.
     void list(const std::string& after, std::function<void(std::optional<CloudPage>)> done);
     /// Requests `count` machines; `done` gets the ids of the machines provisioned.
     void provision(const std::string& provisioningRequest, const std::string& type,
