--- a/src/coordination/replication/transaction_pipeline.h
+++ b/src/coordination/replication/transaction_pipeline.h
@@ -18,7 +18,7 @@
 /// The definite outcome of a transaction.
 enum class CommitResult {
     committed,
-    conflict,       ///< a compared record has changed; the cluster state has been refreshed
+    conflict,       ///< another writer came first; the cluster state has been refreshed
     rejected,       ///< too large for the state service; the cluster state has been refreshed
     partitionLost,  ///< this node no longer leads the partition in that term
 };
@@ -46,7 +46,7 @@
 
     /// Queues a transaction. `done` is called exactly once, with the revision if the transaction
     /// was committed. The presently known version of the partition's record is added to the
-    /// compares, so that a decision made in one term is never committed in a later one.
+    /// compares, so that a decision made in one term is never committed in a later term.
     void commit(PartitionId partition, protocol::CompareAndSwap transaction, CommitCallback done);
     /// Whether the partition has a transaction without an outcome.
     [[nodiscard]] bool busy(PartitionId partition) const;
@@ -54,7 +54,8 @@
     [[nodiscard]] bool inFlight(const std::string& key) const {
         return inFlightKeys_.contains(key);
     }
-    /// Ends the partition's queued transactions with `partitionLost`: this node no longer leads it.
+    /// Called when this node no longer leads the partition: its queued transactions end as
+    /// `partitionLost`.
     void abandon(PartitionId partition);
 
   private:
