--- a/src/coordination/provisioning/autoscaler.h
+++ b/src/coordination/provisioning/autoscaler.h
@@ -12,7 +12,7 @@
 /// which the cloud has refused a request.
 class Autoscaler : public CloudAvailability {
   public:
-    /// Each response of the cloud schedules a scheduling round through `rounds`.
+    /// Each response of the cloud schedules a round through `roundScheduler`.
     Autoscaler(Context& context, Membership& membership, MachineRecords& records,
                MachineInventory& inventory, RoundScheduler& roundScheduler)
         : context_(context),
--- a/src/coordination/provisioning/machine_records.h
+++ b/src/coordination/provisioning/machine_records.h
@@ -23,7 +23,7 @@
         drop,          ///< delete the record, then the machine
     };
 
-    /// The outcome of each transaction schedules a scheduling round through `rounds`.
+    /// The outcome of each transaction schedules a round through `roundScheduler`.
     MachineRecords(Context& context, TransactionPipeline& pipeline, RoundScheduler& roundScheduler)
         : context_(context), pipeline_(pipeline), roundScheduler_(roundScheduler) {}
 
--- a/tests/unit/coordination/migration/machine_transfers_test.cpp
+++ b/tests/unit/coordination/migration/machine_transfers_test.cpp
@@ -121,6 +121,8 @@
     std::optional<bool> transferred;
 };
 
+// Guards against tasks that are lost, duplicated or restarted when only some tasks of their slice
+// are transferred with their machine.
 TEST_F(TransferBench, TasksKeepTheirAttemptsWhenTheirMachineIsTransferred) {
     putArray();
     loadWithHeartbeats();
@@ -149,7 +151,8 @@
     }
     EXPECT_EQ(slicesPerTaskInRecords("run-1"), std::vector<int>(10, 1));
     EXPECT_EQ(slicesPerTaskInClusterState("run-1"), std::vector<int>(10, 1));
-    // The new leader ignores the worker until it shows a token above all of the old leader's.
+    // The new leader relies on the worker's state only once the worker has shown the new leader's
+    // token, which is above all of the old leader's.
     EXPECT_GT(fresh.machine("m-1")->minFencingToken, 65'536U);
     EXPECT_EQ(fresh.machine("m-1")->transferredBy, "node-0");
 }
@@ -174,6 +177,7 @@
     expectOneOwner(fresh);
 }
 
+// Guards against a gang with two leaders: a gang on two machines must be transferred whole.
 TEST_F(TransferBench, RunningGangIsTransferredWithAllItsMachines) {
     putGang(3);
     loadWithHeartbeats();
@@ -188,6 +192,7 @@
     expectOneOwner(fresh);
 }
 
+// Guards against a partly started gang: the giver may have sent only some of its start commands.
 TEST_F(TransferBench, StartingGangRefusesTheTransfer) {
     putGang(2);
     loadWithHeartbeats();
@@ -202,6 +207,8 @@
     EXPECT_EQ(refusalFor("m-1"), rebalancing::Refusal::gangStarting);
 }
 
+// Guards against the transfer of a machine that is about to change or whose state is uncertain, or
+// whose tasks or job are in transition.
 TEST_F(TransferBench, MachineOrTaskInTransitionRefusesTheTransfer) {
     putArray();
     loadWithHeartbeats();
@@ -253,6 +260,7 @@
     FewTransferChanges() { settings_.maxTransactionWrites = 4; }
 };
 
+// Guards against a transfer that exceeds the state service's limit on writes in one transaction.
 TEST_F(FewTransferChanges, HandoverTooLargeForOneTransactionIsRefused) {
     putArray();
     loadWithHeartbeats();
@@ -277,6 +285,8 @@
     EXPECT_FALSE(clusterState->outgoingQuotas.contains("t"));
 }
 
+// Guards against a lost cancellation: the job is cancelled after the transfer is sent and before
+// the transaction is executed.
 TEST_F(TransferBench, CancellationBeforeTheCommitFailsTheTransfer) {
     putArray();
     loadWithHeartbeats();
@@ -293,6 +303,8 @@
     expectOneOwner(*clusterState);
 }
 
+// Guards against a transfer to a leader that it was not planned for: the recipient's leader changes
+// before the transaction is executed.
 TEST_F(TransferBench, NewLeaderOfTheRecipientFailsTheTransfer) {
     putArray();
     loadWithHeartbeats();
@@ -303,6 +315,8 @@
     EXPECT_EQ(state.records[machine("m-1")].value["part"], 0);
 }
 
+// Guards against a transfer by a former leader: the giver loses its partition before the
+// transaction is executed.
 TEST_F(TransferBench, LostPartitionOfTheGiverFailsTheTransfer) {
     putArray();
     loadWithHeartbeats();
@@ -355,6 +369,7 @@
     expectOneOwner(*clusterState);
 }
 
+// Guards against a late transaction that takes effect after its sender has restarted.
 TEST_F(TransferBench, TransactionFromBeforeARestartFails) {
     putArray();
     loadWithHeartbeats();
@@ -400,6 +415,8 @@
     EXPECT_EQ(slicesPerTaskInRecords("run-1"), std::vector<int>(10, 1));
 }
 
+// Guards against a corrupt or invalid machine record that moves the machine to another partition or
+// drops its tasks.
 TEST_F(TransferBench, CorruptMachineRecordKeepsTheMachineInPlace) {
     putArray();
     loadWithHeartbeats();
