--- a/src/coordination/controller.cpp
+++ b/src/coordination/controller.cpp
@@ -6,17 +6,20 @@
 
 using namespace std::chrono_literals;
 
-constexpr auto roundDelay = 30ms;    // collects the changes of many events into one round
-constexpr int roundPauseFactor = 3;  // pause between rounds, times what the last round took
-// Upper bound of a round's duration in that product: what took longer was a pause of the process.
+constexpr auto roundDelay = 30ms;  // collects the changes of many events into one round
+// The pause between rounds, as a multiple of the last round's duration.
+constexpr int roundPauseFactor = 3;
+// Upper bound of the round duration in that product; a longer round means that the process was
+// suspended.
 constexpr auto maxRoundDuration = 150ms;
 constexpr auto maintenanceInterval = 500ms;
 
 }  // namespace
 
-Controller::Controller(const config::Settings& settings, const config::OperatorSettings& tuning,
-                       transport::Timers& timers, transport::Network& network, std::uint64_t seed)
-    : context_(settings, tuning, timers, network, seed),
+Controller::Controller(const config::Settings& settings,
+                       const config::OperatorSettings& operatorSettings, transport::Timers& timers,
+                       transport::Network& network, std::uint64_t seed)
+    : context_(settings, operatorSettings, timers, network, seed),
       pipeline_(context_),
       replica_(context_, pipeline_, *this),
       reachability_(context_, *this),
@@ -37,7 +40,7 @@
       preemption_(context_, queueOrder_),
       consolidation_(context_),
       quotas_(context_, membership_, pipeline_, teamQuotas_, queueOrder_),
-      transfers_(context_, pipeline_, stateWriter_.writer(), quotas_, heartbeats_, *this),
+      transfers_(context_, pipeline_, stateWriter_.sliceWriter(), quotas_, heartbeats_, *this),
       lending_(context_, membership_, placement_, transfers_),
       rebalancer_(context_, membership_, pipeline_, placement_, transfers_, *this),
       migrator_(context_, membership_, pipeline_, stateWriter_, placement_),
@@ -47,8 +50,8 @@
       router_(replica_, membership_, reachability_, heartbeats_, admission_),
       peers_({membership_, migrator_, autoscaler_, lending_, quotas_, completionNotifier_,
               rebalancer_}) {
-    context_.clusterState.lock()->dependencyGraph.setStepTimeEstimator(
-        [this](const protocol::JobSpec& spec) { return queueOrder_.stepTime(spec); });
+    context_.clusterState.lock()->dependencyGraph.setTurnaroundEstimator(
+        [this](const protocol::JobSpec& spec) { return queueOrder_.estimatedTurnaround(spec); });
 }
 
 void Controller::onJobAccepted() {
@@ -61,7 +64,7 @@
 }
 
 void Controller::onReplicaChanged() {
-    catalog_.adoptRecorded();
+    catalog_.restoreRecorded();
     membership_.reconcile();
     stopCancelledJobs();
     completionNotifier_.resolveDependencies();
@@ -69,9 +72,9 @@
 }
 
 void Controller::onJobTerminal(const std::string& id, bool cancelled) {
-    statusReader_.recordTerminal(id, cancelled);
-    completionNotifier_.announce(id);
-    stopping_.erase(id);
+    statusReader_.cacheTerminalStatus(id, cancelled);
+    completionNotifier_.notifyDependents(id);
+    jobsWithStopsSent_.erase(id);
 }
 
 void Controller::onDependentsCancelled() {
@@ -96,20 +99,21 @@
 void Controller::scheduleRound() {
     if (roundScheduled_) return;
     roundScheduled_ = true;
-    // Heartbeats, renewals and users' requests need most of a small share of a core: the longer a
-    // round takes, the longer the next one waits.
+    // The process has a small share of a core, and heartbeats, lease renewals and user requests
+    // need most of it. The longer a round takes, the longer the next one is delayed.
     const auto pause = std::max<Duration>(roundDelay, lastRoundDuration_ * roundPauseFactor);
     context_.timers.after(pause, [this] {
         roundScheduled_ = false;
-        const auto began = context_.now();
+        const auto startedAt = context_.now();
         runRound();
-        lastRoundDuration_ = std::min<Duration>(context_.now() - began, maxRoundDuration);
+        lastRoundDuration_ = std::min<Duration>(context_.now() - startedAt, maxRoundDuration);
     });
 }
 
 void Controller::runRound() {
     for (const auto partition : membership_.ledPartitions()) {
-        // Starts would reach nobody: what waits is left to the next leader.
+        // Without a valid lease or reachable workers no start would take effect, so waiting work is
+        // left to the next leader.
         if (membership_.isLeaseValid() && !reachability_.isUnreachable()) {
             const auto unschedulable = placement_.run(partition);
             rebalancer_.recordUnschedulable(partition, unschedulable);
@@ -125,7 +129,7 @@
 
 void Controller::onPartitionAcquired(PartitionId partition) {
     heartbeats_.onPartitionAcquired(partition);
-    reachability_.expectHeartbeats();
+    reachability_.restartSilenceTimeout();
     scheduleRound();
 }
 
@@ -135,39 +139,42 @@
 }
 
 void Controller::onPartitionLost(PartitionId partition) {
-    // Kept over a loss, an allocation that this leader had seen ended, and a successor had started
-    // once more by its record, was written off when the partition came back: the task then ran
-    // unknown to anybody, and once more elsewhere (scenario unrecorded_over_terms).
+    // Conclusions that are not recorded must not survive the loss of a partition. Otherwise this
+    // leader could see an allocation end without recording it, and a successor could start the task
+    // again from the record. When the partition came back, this leader would remove the allocation:
+    // the task would run untracked, and a second time elsewhere (scenario
+    // unrecorded_completions_across_terms).
     if (pipeline_.busy(partition)) {
-        // The outcome of what is under way is unknown: only the records tell.
+        // The outcome of the transactions in flight is unknown, so the records have to be read
+        // again.
         pipeline_.abandon(partition);
         return replica_.resync();
     }
-    context_.clusterState.lock()->discardUnrecorded(partition);
+    context_.clusterState.lock()->discardUnrecordedChanges(partition);
 }
 
 void Controller::stopCancelledJobs() {
-    std::vector<std::string> fresh;
+    std::vector<std::string> newlyCancelled;
     {
         auto clusterState = context_.clusterState.lock();
         for (const auto& [id, job] : clusterState->jobs)
-            if (clusterState->knownCancelled(job) && job.anyAllocation() &&
-                stopping_.insert(id).second)
-                fresh.push_back(id);
+            if (clusterState->knownCancelled(job) && job.hasAllocations() &&
+                jobsWithStopsSent_.insert(id).second)
+                newlyCancelled.push_back(id);
     }
-    for (const auto& id : fresh) heartbeats_.stopJob(id);
+    for (const auto& id : newlyCancelled) heartbeats_.stopJob(id);
 }
 
 void Controller::runMaintenance() {
     for (const auto partition : membership_.ledPartitions()) {
-        if (membership_.isLeaseValid()) heartbeats_.expireSilent(partition);
+        if (membership_.isLeaseValid()) heartbeats_.expireSilentWorkers(partition);
         reconciler_.reconcileMachines(partition);
         if (membership_.isLeaseValid()) lending_.returnIdleLoans(partition);
         if (membership_.isLeaseValid() && warmPool_.mayConsolidate(partition))
-            if (const auto machine = consolidation_.consolidateOne(partition))
+            if (const auto machine = consolidation_.consolidateOneMachine(partition))
                 heartbeats_.sendPendingStops(*machine);
     }
-    std::erase_if(stopping_, [this](const std::string& id) {
+    std::erase_if(jobsWithStopsSent_, [this](const std::string& id) {
         return context_.clusterState.lock()->job(id) == nullptr;
     });
     completionNotifier_.resolveDependencies();
--- a/src/coordination/provisioning/machine_catalog.cpp
+++ b/src/coordination/provisioning/machine_catalog.cpp
@@ -22,7 +22,7 @@
 }
 
 void MachineCatalog::load() {
-    context_.cloud.catalog([this](std::optional<std::vector<MachineType>> types) {
+    context_.cloudClient.catalog([this](std::optional<std::vector<MachineType>> types) {
         if (types && !types->empty()) {
             if (!loaded_) spdlog::info("inventory: catalog_loaded types={}", types->size());
             context_.catalog = std::move(*types);
@@ -35,15 +35,15 @@
 }
 
 void MachineCatalog::record() {
-    // A controller that starts while the cloud does not answer would else know no machine types,
-    // and take in and place nothing (incident inc-058e).
+    // Without a recorded catalog, a controller that starts while the cloud does not respond knows
+    // no machine types, and neither admits nor places any work (incident inc-058e).
     if (!membership_.isLeader(0) || !membership_.isLeaseValid()) return;
     auto value = storage::catalogValue(context_.catalog);
     std::uint64_t version = 0;
     {
         auto clusterState = context_.clusterState.lock();
         version = clusterState->catalogVersion;
-        // Prices move all the time and are not worth a write.
+        // A change of prices alone is not written: prices change all the time.
         const auto same = [](const MachineType& a, const MachineType& b) {
             return a.name == b.name && a.capacity.fits(b.capacity) && b.capacity.fits(a.capacity) &&
                    a.zones == b.zones;
@@ -52,12 +52,12 @@
                        clusterState->catalog.begin(), clusterState->catalog.end(), same))
             return;
     }
-    if (value.dump().size() > context_.settings.valueBytes()) return;
+    if (value.dump().size() > context_.settings.maxValueBytes()) return;
     const auto types = context_.catalog;
     pipeline_.commit(
         0, {{{storage::keys::catalog, version}}, {{storage::keys::catalog, std::move(value), 0}}},
         [this, types](CommitResult result, std::uint64_t revision) {
-            if (result != CommitResult::done) return;
+            if (result != CommitResult::committed) return;
             auto clusterState = context_.clusterState.lock();
             if (clusterState->catalogVersion >= revision) return;
             clusterState->catalog = types;
@@ -69,7 +69,7 @@
     if (clusterState.catalog.empty() && !context_.catalog.empty() && !pipeline_.busy(0)) record();
 }
 
-void MachineCatalog::adoptRecorded() {
+void MachineCatalog::restoreRecorded() {
     auto clusterState = context_.clusterState.lock();
     if (!context_.catalog.empty() || clusterState->catalog.empty()) return;
     context_.catalog = clusterState->catalog;
--- a/src/protocol/names.h
+++ b/src/protocol/names.h
@@ -1,5 +1,5 @@
 /// @file
-/// The one table of the wire's own words. Everything else in the project uses the field's terms.
+/// The only table of the strings used in HTTP messages. The rest of the project uses the C++ names.
 #pragma once
 
 namespace fawnwheel::protocol::wire {
@@ -90,11 +90,11 @@
 inline constexpr auto stateFailed = "failed";
 inline constexpr auto causeDone = "done";
 inline constexpr auto causeStopped = "halted";
-inline constexpr auto causePeers = "mates_gone";
-inline constexpr auto causeAlone = "incomplete";
+inline constexpr auto causePeersGone = "mates_gone";
+inline constexpr auto causeGangIncomplete = "incomplete";
 inline constexpr auto causeError = "error";
 inline constexpr auto causeNoCapacity = "full";
-inline constexpr auto causeBusy = "in_use";
+inline constexpr auto causeDuplicateTask = "in_use";
 inline constexpr auto causeUnknown = "unknown";
 inline constexpr auto commandStart = "launch";
 inline constexpr auto commandStop = "stop";
--- a/tests/loopback/processes.cpp
+++ b/tests/loopback/processes.cpp
@@ -23,7 +23,7 @@
 constexpr auto requestTimeout = 6s;
 constexpr std::size_t manyConnections = 4000;
 
-// An address on loopback that nobody listens on now.
+// A loopback address with a port that nothing listens on at the moment.
 std::string freeAddress() {
     const int fd = ::socket(AF_INET, SOCK_STREAM, 0);
     sockaddr_in address{};
@@ -106,9 +106,9 @@
     return std::make_unique<transport::HttpServer>(
         loop_, address, manyConnections,
         [this, from, host](const transport::HttpRequest& request, transport::HttpReply reply) {
-            if (world_ == nullptr) return reply({503, {}, 0});
+            if (simulation_ == nullptr) return reply({503, {}, 0});
             advance();
-            world_->serveOutside(from, host, request, std::move(reply));
+            simulation_->serveExternal(from, host, request, std::move(reply));
         });
 }
 
@@ -152,29 +152,29 @@
                         transport::HttpReply reply) {
     client_.call(processes_[static_cast<std::size_t>(node)].front, request, requestTimeout,
                  [this, reply = std::move(reply)](std::optional<transport::HttpResponse> response) {
-                     if (!response) return;  // the world's own time-out tells
+                     if (!response) return;  // the simulation's own timeout reports it
                      advance();
                      reply(std::move(*response));
                  });
 }
 
-void Processes::recordEnded() {
+void Processes::recordUnexpectedExits() {
     for (auto& process : processes_) {
         if (process.pid < 0 || ::waitpid(process.pid, nullptr, WNOHANG) != process.pid) continue;
         process.pid = -1;
-        ++endedThemselves_;
+        ++unexpectedExits_;
     }
 }
 
 void Processes::advance() {
-    world_->advance(sim::Time(loop_.now() - began_));
+    simulation_->advance(sim::Time(loop_.now() - began_));
 }
 
-void Processes::play(sim::World& world, sim::Time length) {
-    world_ = &world;
+void Processes::runFor(sim::Simulation& simulation, sim::Time length) {
+    simulation_ = &simulation;
     began_ = loop_.now();
     std::function<void()> step = [&] {
-        recordEnded();
+        recordUnexpectedExits();
         if (sim::Time(loop_.now() - began_) >= length) return loop_.stop();
         advance();
         loop_.after(advancePeriod, step);
@@ -182,7 +182,7 @@
     step();
     loop_.run();
     for (int i = 0; i < spec_.nodes; ++i) kill(i);
-    world_ = nullptr;
+    simulation_ = nullptr;
 }
 
 }  // namespace fawnwheel::loopback
--- a/tests/loopback/processes.h
+++ b/tests/loopback/processes.h
@@ -1,10 +1,10 @@
-// Controllers as real processes on loopback, among the stand-ins of the world, which serve real
-// sockets.
+// Controllers as real processes on loopback. The simulated state service, cloud and workers serve
+// them over real sockets.
 #pragma once
 
 #include <sys/types.h>
 
-#include "sim/world.h"
+#include "sim/simulation.h"
 #include "transport/http_client.h"
 #include "transport/http_server.h"
 #include "transport/loop.h"
@@ -12,8 +12,8 @@
 namespace fawnwheel::loopback {
 
 struct ProcessSpec {
-    std::string daemon;        // path of the program
-    std::string operatorFile;  // its operators' settings
+    std::string daemon;        // path of the fawnwheeld program
+    std::string operatorFile;  // path of the operators' settings
     std::string directory;     // for settings and logs
     int nodes = 3;
     std::vector<std::string> zones;
@@ -22,7 +22,7 @@
     sim::Time cancel{60};
 };
 
-class Processes final : public sim::OutsideNodes {
+class Processes final : public sim::ExternalNodes {
   public:
     explicit Processes(ProcessSpec spec);
     ~Processes() override;
@@ -36,17 +36,18 @@
                  transport::HttpReply reply) override;
     std::string addressOf(const std::string& machine) override;
 
-    // Plays the world in real time for so long, then ends the processes.
-    void play(sim::World& world, sim::Time length);
-    // Processes that ended without being killed.
-    [[nodiscard]] int endedThemselves() const { return endedThemselves_; }
+    // Runs the simulation in real time for so long, then kills the processes.
+    void runFor(sim::Simulation& simulation, sim::Time length);
+    // Number of processes that exited without being killed.
+    [[nodiscard]] int unexpectedExits() const { return unexpectedExits_; }
 
   private:
     struct Process {
         std::string name;
         std::string front;
         std::string internal;
-        std::string state;  // an address of its own tells the state service who asks
+        // Address of the state service: one per node, so that the service knows which node calls.
+        std::string state;
         std::string settingsFile;
         pid_t pid = -1;
         std::unique_ptr<transport::HttpServer> stateServer;
@@ -57,12 +58,12 @@
                                                                const std::string& from,
                                                                const std::string& host);
     void advance();
-    void recordEnded();
+    void recordUnexpectedExits();
 
     ProcessSpec spec_;
     transport::Loop loop_;
     transport::HttpClient client_;
-    sim::World* world_ = nullptr;
+    sim::Simulation* simulation_ = nullptr;
     transport::SteadyTime began_{};
     std::string cloud_;
     std::unique_ptr<transport::HttpServer> cloudServer_;
@@ -72,7 +73,7 @@
         std::unique_ptr<transport::HttpServer> server;
     };
     std::map<std::string, Machine> machines_;
-    int endedThemselves_ = 0;
+    int unexpectedExits_ = 0;
 };
 
 }  // namespace fawnwheel::loopback
--- a/tests/unit/config/settings_test.cpp
+++ b/tests/unit/config/settings_test.cpp
@@ -19,7 +19,8 @@
     return {};
 }
 
-TEST(Settings, TeamsAndObjectivesMayBeMissing) {
+// A settings file without teams and objectives must be accepted.
+TEST(Settings, TeamsAndObjectivesAreOptional) {
     const auto settings = parseSettings(minimal);
     EXPECT_TRUE(settings.teams.empty());
     EXPECT_TRUE(settings.objectives.empty());
@@ -27,6 +28,7 @@
     EXPECT_EQ(settings.zoneOf("n-0"), "b");
 }
 
+// An error without the field's path would not show the operator which field to correct.
 TEST(Settings, ErrorsNameTheField) {
     EXPECT_NE(errorOf(R"({"host_name": 3})").find("host_name"), std::string::npos);
     auto bad = minimal;
@@ -38,7 +40,9 @@
     EXPECT_FALSE(errorOf("{").empty());
 }
 
-TEST(Settings, TheSmallerOfPresentAndComingLimitsCounts) {
+// The state service may lower its limits at an unknown time. Records written for the present limits
+// would then be refused, so the smaller of the present and the next value must apply.
+TEST(Settings, SmallerOfPresentAndNextLimitsApplies) {
     const auto with = [](const std::string& state) {
         auto text = minimal;
         text.insert(text.size() - 1, R"(, "deployment": {"state": )" + state + "}");
@@ -47,14 +51,14 @@
     auto settings = parseSettings(with(
         R"({"rps": 60, "write_rps": 20, "value_kb": 4, "txn_ops": 12,
             "next": {"write_rps": 15, "value_kb": 2, "txn_ops": 4}})"));
-    EXPECT_EQ(settings.stateRequests, 60);
-    EXPECT_EQ(settings.stateWrites, 15);
-    EXPECT_EQ(settings.valueBytes(), 2048U);
-    EXPECT_EQ(settings.transactionChanges, 4U);
-    EXPECT_EQ(settings.transactionConditions(), 16U);
+    EXPECT_EQ(settings.stateRequestsPerSecond, 60);
+    EXPECT_EQ(settings.stateWritesPerSecond, 15);
+    EXPECT_EQ(settings.maxValueBytes(), 2048U);
+    EXPECT_EQ(settings.maxTransactionWrites, 4U);
+    EXPECT_EQ(settings.maxTransactionCompares(), 16U);
     settings = parseSettings(with(R"({"value_kb": 4, "txn_ops": 12, "next": {"txn_ops": 50}})"));
-    EXPECT_EQ(settings.transactionChanges, 12U);
-    EXPECT_EQ(settings.valueKb, 4);
+    EXPECT_EQ(settings.maxTransactionWrites, 12U);
+    EXPECT_EQ(settings.maxValueKb, 4);
     EXPECT_TRUE(errorOf(with(R"({"next": null})")).empty());
     EXPECT_NE(
         errorOf(with(R"({"next": {"txn_ops": "few"}})")).find("deployment.state.next.txn_ops"),
@@ -62,12 +66,14 @@
     EXPECT_NE(errorOf(with(R"({"next": 4})")).find("deployment.state.next"), std::string::npos);
 }
 
-TEST(OperatorSettings, ReadsWhatItKnowsAndRefusesTheRest) {
+// A misspelled section or an invalid value must be refused; ignoring it would leave the default in
+// force without notice.
+TEST(OperatorSettings, ParsesKnownFieldsAndRejectsInvalidOnes) {
     const auto settings = parseOperatorSettings(
         "[moves]\nlow = 5\nhigh=50\n; note\n"
         "[machines]\nuse_spot = no\n");
-    EXPECT_EQ(settings.low, 5);
-    EXPECT_EQ(settings.high, 50);
+    EXPECT_EQ(settings.lowQueueLength, 5);
+    EXPECT_EQ(settings.highQueueLength, 50);
     EXPECT_FALSE(settings.useSpot);
     for (const auto* bad : {"[moves]\nlow = many\n", "[moves]\nlow = -1\n", "[other]\nlow = 1\n",
                             "[moves]\nlow = 30\nhigh = 20\n", "[machines]\nuse_spot = maybe\n"})
--- a/tests/unit/coordination/replication/record_bench.h
+++ b/tests/unit/coordination/replication/replication_fixture.h
@@ -1,18 +1,18 @@
 /// @file
-/// A fixture for tests of what a leader records.
+/// A fixture for tests of the records that a leader writes.
 #pragma once
 
 #include <gtest/gtest.h>
 
-#include "coordination/replication/manual_state.h"
+#include "coordination/replication/manual_state_service.h"
 #include "coordination/replication/replica.h"
 #include "coordination/replication/state_writer.h"
 #include "storage/records.h"
 
 namespace fawnwheel::coordination {
 
-/// Ignores everything that the replica and the state writer announce.
-class IgnoringObserver final : public ReplicaObserver, public StateWriterObserver {
+/// Ignores all notifications of the replica and the state writer.
+class NullObserver final : public ReplicaObserver, public StateWriterObserver {
   public:
     void onReplicaChanged() override {}
     void onJobTerminal(const std::string&, bool) override {}
@@ -20,35 +20,35 @@
     void onAllocationsDurable(const std::set<std::string>&) override {}
 };
 
-/// Node 0 of three, the leader of partitions 0 and 1, with its records, replica, transaction
-/// pipeline and state writer.
-class RecordBench : public ::testing::Test {
+/// Node 0 of three nodes, which leads partitions 0 and 1, with a state service that holds its
+/// records, and with its replica, transaction pipeline and state writer.
+class ReplicationTest : public ::testing::Test {
   protected:
-    explicit RecordBench(double valueKb = 16, std::size_t writes = 12)
+    explicit ReplicationTest(double valueKb = 16, std::size_t writes = 12)
         : settings_(makeSettings(valueKb, writes)),
-          context(settings_, operators_, timers, state, 1),
+          context(settings_, operatorSettings_, timers, state, 1),
           pipeline(context),
           stateWriter(context, pipeline, observer_),
           replica(context, pipeline, observer_) {
         for (const auto* node : {"node-0", "node-1", "node-2"})
             state.put(storage::keys::jobDependenciesGate(node), storage::featureGateValue());
         for (std::uint32_t partition = 0; partition < 3; ++partition)
-            own(partition, partition < 2 ? "node-0" : "node-2", 1);
+            putPartition(partition, partition < 2 ? "node-0" : "node-2", 1);
     }
 
     static config::Settings makeSettings(double valueKb, std::size_t writes) {
         config::Settings made;
         made.name = "node-0";
         made.peers = {{"node-1", "a", ""}, {"node-2", "a", ""}};
-        made.state = "state";
-        made.stateRequests = 100'000;
-        made.stateWrites = 100'000;
-        made.valueKb = valueKb;
-        made.transactionChanges = writes;
+        made.stateAddress = "state";
+        made.stateRequestsPerSecond = 100'000;
+        made.stateWritesPerSecond = 100'000;
+        made.maxValueKb = valueKb;
+        made.maxTransactionWrites = writes;
         return made;
     }
 
-    void own(std::uint32_t partition, const std::string& node, std::uint64_t term) {
+    void putPartition(std::uint32_t partition, const std::string& node, std::uint64_t term) {
         state.put(storage::keys::partition(partition),
                   storage::partitionValue(storage::Partition{node, term, 0}));
     }
@@ -58,7 +58,7 @@
         job.spec.jobClass = "c";
         job.spec.team = "t";
         job.spec.tasks = tasks;
-        job.spec.each = {1, 0, 1};
+        job.spec.taskResources = {1, 0, 1};
         job.spec.image = "i";
         job.sliceSize = sliceSize;
         job.slices = storage::makeSlices(job.spec, sliceSize, 0);
@@ -78,19 +78,20 @@
     void putSlice(const Job& job, const Slice& slice) {
         state.put(storage::keys::slice(job.spec.id, slice.index), storage::sliceValue(slice));
     }
-    /// Applies the records as they stand, without the replica.
-    void load() {
+    /// Applies the present records to the cluster state directly, without the replica.
+    void loadRecords() {
         auto clusterState = context.clusterState.lock();
         for (const auto& [key, record] : state.records)
             storage::applyEvent(*clusterState, {key, record.value, record.version}, context.now());
-        clusterState->applied = state.revision;
+        clusterState->appliedRevision = state.revision;
     }
-    /// Answers all requests that wait, as often as new ones come; watches only for the first half
-    /// of the rounds, because each answer brings the next one.
+    /// Serves all pending requests in 200 rounds, so that requests sent in response are served too.
+    /// Watches are served only in the first half of the rounds, because each response to a watch
+    /// causes the next watch.
     void serveAll() {
         for (int round = 0; round < 200; ++round) {
             timers.advance(std::chrono::milliseconds(50));
-            std::vector<ManualState::Request> ready;
+            std::vector<ManualStateService::Request> ready;
             for (auto request = state.pending.begin(); request != state.pending.end();) {
                 if (request->isWatch() && round > 100) {
                     ++request;
@@ -102,29 +103,31 @@
             for (const auto& request : ready) state.serve(request);
         }
     }
-    /// How many slices of the cluster state cover each task of the job.
-    std::vector<int> coverInClusterState(const std::string& id) {
+    /// For each task of the job, the number of slices in the cluster state that contain the task.
+    std::vector<int> slicesPerTaskInClusterState(const std::string& id) {
         auto clusterState = context.clusterState.lock();
         const Job* job = clusterState->job(id);
         if (job == nullptr) return {};
-        std::vector<int> cover(job->spec.tasks, 0);
+        std::vector<int> sliceCounts(job->spec.tasks, 0);
         for (const auto& slice : job->slices)
-            for (auto task = slice.first; task < slice.range().end(); ++task) ++cover.at(task);
-        return cover;
+            for (auto task = slice.first; task < slice.range().end(); ++task)
+                ++sliceCounts.at(task);
+        return sliceCounts;
     }
-    /// The same by the records, for a reader that has nothing else.
-    std::vector<int> coverInRecords(const std::string& id) {
+    /// The same for a cluster state that is built from the records alone.
+    std::vector<int> slicesPerTaskInRecords(const std::string& id) {
         storage::ClusterState fresh;
         for (const auto& [key, record] : state.records)
             storage::applyEvent(fresh, {key, record.value, record.version}, context.now());
         const Job* job = fresh.job(id);
         if (job == nullptr) return {};
-        std::vector<int> cover(job->spec.tasks, 0);
+        std::vector<int> sliceCounts(job->spec.tasks, 0);
         for (const auto& slice : job->slices)
-            for (auto task = slice.first; task < slice.range().end(); ++task) ++cover.at(task);
-        return cover;
+            for (auto task = slice.first; task < slice.range().end(); ++task)
+                ++sliceCounts.at(task);
+        return sliceCounts;
     }
-    std::size_t sliceRecords(const std::string& id) {
+    std::size_t sliceRecordCount(const std::string& id) {
         return static_cast<std::size_t>(
             std::count_if(state.records.begin(), state.records.end(), [&id](const auto& entry) {
                 return entry.first.starts_with("live/slice/" + id + "/");
@@ -132,11 +135,11 @@
     }
 
     ManualTimers timers;
-    ManualState state;
-    config::OperatorSettings operators_;
+    ManualStateService state;
+    config::OperatorSettings operatorSettings_;
     config::Settings settings_;
     Context context;
-    IgnoringObserver observer_;
+    NullObserver observer_;
     TransactionPipeline pipeline;
     StateWriter stateWriter;
     Replica replica;
--- a/tests/unit/sim/small_world.h
+++ b/tests/unit/sim/small_simulation.h
@@ -1,12 +1,12 @@
-// A world of one zone with small machines, and a job of one task for it.
+// A simulation spec with one zone and a type of small machines, and a one-task job for it.
 #pragma once
 
-#include "sim/world.h"
+#include "sim/simulation.h"
 
 namespace fawnwheel::sim {
 
-inline WorldSpec smallWorld() {
-    WorldSpec spec;
+inline SimulationSpec smallSimulationSpec() {
+    SimulationSpec spec;
     TypeSpec type;
     type.type.name = "small";
     type.type.capacity = {8, 0, 32};
@@ -23,7 +23,7 @@
     job.jobClass = "test";
     job.team = "crew";
     job.tasks = 1;
-    job.each = {1, 0, 1};
+    job.taskResources = {1, 0, 1};
     job.image = "img";
     job.estimate = Time(5);
     return job;
